--- a/src/cowsliprill/decisions/admission.py
+++ b/src/cowsliprill/decisions/admission.py
@@ -1,4 +1,4 @@
-"""When to refuse, and when to tell callers to come back."""
+"""Backlog of a pool, and retry-after times of refused requests."""
 
 import dataclasses
 import random
@@ -6,79 +6,87 @@
 RETRY_AFTER_MIN_S = 0.5
 RETRY_AFTER_MAX_S = 10.0
 
-_JITTER = 0.2
+_JITTER_FRACTION = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Backlog:
-    """What stands between a pool and the next request.
+    """Work that is queued at a pool, and the capacity to drain it.
 
     Attributes:
-      waiting: Slots that waiting requests take, at all entries.
-      free_slots: Decode slots that no entry uses.
-      slots: Decode slots in all.
-      hold_s: Mean time that a request holds a decode slot.
-      prefills: Prefill engines.
-      prefill_s: Mean time of a prefill.
-      slots_a_request: Slots that one request usually takes.
+      waiting: Decode slots that queued requests of all entry processes take.
+      free_slots: Decode slots that no entry process uses.
+      slots: Total number of decode slots.
+      mean_hold_s: Mean time for which a request holds its decode slots.
+      prefills: Number of engines that run prefills.
+      prefill_s: Mean duration of a prefill.
+      slots_per_request: Mean number of decode slots of a request.
     """
 
     waiting: float
     free_slots: int
     slots: int
-    hold_s: float
+    mean_hold_s: float
     prefills: int
     prefill_s: float
-    slots_a_request: float = 1.0
+    slots_per_request: float = 1.0
 
     def is_scarce(self) -> bool:
-        """Returns whether more requests wait than there are free slots."""
+        """Returns whether queued requests need more than the free slots."""
         return self.waiting > self.free_slots
 
     def wait_s(self) -> float:
-        """Returns how long the last waiting request will wait."""
+        """Returns the expected wait of the last queued request, in seconds.
+
+        It is the longer of the waits for decode slots and for prefills, and
+        infinite if there are no engines.
+        """
         if not self.slots or not self.prefills:
             return float("inf")
         blocked = max(self.waiting - self.free_slots, 0)
-        decode_wait = blocked * self.hold_s / self.slots
-        requests = self.waiting / self.slots_a_request
+        decode_wait = blocked * self.mean_hold_s / self.slots
+        requests = self.waiting / self.slots_per_request
         prefill_wait = requests * self.prefill_s / self.prefills
         return max(decode_wait, prefill_wait)
 
 
-class ReturnTimes:
-    """Hands out times at which refused callers should come back.
+class RetryAfterSchedule:
+    """Assigns retry-after times to refused requests.
 
-    Each gets the next opening in a calendar that advances by the time the
-    pool needs for one request, so that as many come back as can be served.
-    Were all told the same time, they would return together and be refused
-    together.
+    Each request gets the next free time in a schedule, which advances by the
+    time that the pool needs for one request. So no more clients retry than can
+    be served. With the same retry-after for all, clients would return together
+    and be refused together.
 
     Args:
-      rng: Random numbers.
+      rng: Random number generator.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
         self._next_at = 0.0
 
-    def retry_after_s(self, now: float, wait_s: float, step_s: float) -> float:
-        """Returns when a caller refused now should come back.
+    def retry_after_s(
+        self, now: float, wait_s: float, interval_s: float
+    ) -> float:
+        """Returns the retry-after of a request that is refused now.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
           wait_s: Expected wait of a request that joins the queue now.
-          step_s: Time this entry's share of the pool needs for one request.
+          interval_s: Time that this process's share of the pool needs for one
+            request.
 
         Returns:
-          Seconds from now.
+          Retry-after in seconds from now, with jitter.
         """
         earliest = now + RETRY_AFTER_MIN_S + min(wait_s, RETRY_AFTER_MAX_S)
         latest = now + RETRY_AFTER_MAX_S
-        at = max(earliest, self._next_at)
-        if at >= latest:
-            # The calendar is full: spread evenly over its second half.
+        retry_at = max(earliest, self._next_at)
+        if retry_at >= latest:
+            # The schedule is full: spread retries evenly over the second half
+            # of its range.
             return self._random.uniform(0.5, 1.0) * RETRY_AFTER_MAX_S
-        self._next_at = at + step_s
-        jitter = 1 + self._random.uniform(-_JITTER, _JITTER)
-        return max((at - now) * jitter, RETRY_AFTER_MIN_S)
+        self._next_at = retry_at + interval_s
+        jitter = 1 + self._random.uniform(-_JITTER_FRACTION, _JITTER_FRACTION)
+        return max((retry_at - now) * jitter, RETRY_AFTER_MIN_S)
--- a/src/cowsliprill/decisions/cell.py
+++ b/src/cowsliprill/decisions/cell.py
@@ -1,16 +1,17 @@
-"""The one place that places the requests of a pool, for all entries.
-
-Pure. A cell is a pool of engines with one home among the VMs. Its scheduler
-knows each request that waits or runs at any entry, so it counts the engines'
-memory exactly and puts all requests in one order. Entries send it their events
-and get its decisions.
-
-An entry that a cell hasn't heard may have work at the engines that nobody here
-counts. Where the cell is at the home, entries that have work state it within a
-moment after they have turned to it, and the others have none: what it uses of
-each engine grows to the whole meanwhile. Where it is not, it stands in for a
-home that some entries can't reach, and others use. It uses the part of each
-engine that is the part of the live entries which it hears.
+"""Central scheduler of one engine pool, shared by all entry processes.
+
+Pure. One VM, the pool's coordinator, runs the cell. Its scheduler knows each
+request that waits or runs at any entry process, so it accounts for the engines'
+memory exactly and orders all requests in one queue. Entry processes send it
+their events and receive its decisions.
+
+Entry processes that have not connected yet may have requests at the engines
+that the cell doesn't know of. After a coordinator failover all entry processes
+with running requests report them within `TAKEOVER_S`, so the fraction of each
+engine's slots that a new coordinator uses rises to 1 in that time. A VM that is
+not the coordinator serves entry processes that can't reach the coordinator,
+while others still use it. It uses the same fraction of each engine's slots as
+the fraction of live entry processes connected to it.
 """
 
 import dataclasses
@@ -21,96 +22,114 @@
 from cowsliprill.decisions import pool as pools
 from cowsliprill.decisions import scheduler as scheduler_lib
 
-# An entry that isn't heard for so long is taken for gone, and the slots of its
-# requests for free: engines drop requests whose connection is lost. It is
-# longer than an entry that lives is ever silent, see `cells.client.PING_S`.
-SILENCE_S = 2.5
+# Heartbeat timeout of an entry process with requests. Its slots are then free,
+# as engines drop requests whose connection is lost. It is longer than the
+# heartbeat interval of a live entry process, `cells.client.PING_S`.
+ENTRY_TIMEOUT_S = 2.5
 
-# Entries that have work turn to a new home within this time.
-SETTLED_S = 1.0
+# Entry processes with requests connect to a new coordinator within this time.
+TAKEOVER_S = 1.0
 
-# How often what a new home uses of the engines grows.
-_GROWTH_S = 0.05
+# Interval at which a new coordinator raises the fraction of slots it uses.
+_RAMP_STEP_S = 0.05
 
-# An entry without requests isn't forgotten for so long, though it says nothing:
-# its next request needn't begin a channel.
-_IDLE_S = 60.0
+# Timeout of an entry process without requests, which sends no heartbeats. It is
+# long so that the next request needs no new session.
+_IDLE_ENTRY_TIMEOUT_S = 60.0
 
-# Part of the saved retries of all entries that one cell uses.
-_BUDGET_PART = 0.5
+# Fraction of the retry bursts of all entry processes that one cell may use.
+_RETRY_BUDGET_FRACTION = 0.5
 
 Decision = messages.Decision
 
 
 @dataclasses.dataclass(slots=True)
-class _Entry:
+class _EntrySession:
     epoch: int
-    heard_at: float
+    last_seen_at: float
     inbox: channel.Inbox = dataclasses.field(default_factory=channel.Inbox)
     outbox: channel.Outbox[Decision] = dataclasses.field(
         default_factory=channel.Outbox
     )
-    ids_by_number: dict[int, int] = dataclasses.field(default_factory=dict)
+    request_ids_by_number: dict[int, int] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 class Cell:
-    """One pool's requests of all entries.
+    """Schedules the requests of one pool for all entry processes.
 
     Args:
-      availability_zone: Where the home is.
-      seed: Seed of its random numbers.
+      availability_zone: Availability zone of this VM.
+      seed: Seed of the random number generator.
     """
 
     def __init__(self, availability_zone: str, seed: int) -> None:
         self._scheduler = scheduler_lib.Scheduler(
             availability_zone, seed, owns_slots=True
         )
-        self._entries_by_id: dict[str, _Entry] = {}
-        self._owners_by_id: dict[int, tuple[str, int]] = {}
+        self._sessions_by_entry: dict[str, _EntrySession] = {}
+        self._origins_by_request_id: dict[int, tuple[str, int]] = {}
         self._next_id = 0
-        self._live_entries = 1
-        self._home_since: float | None = None
-        self._share: float | None = None
+        self._live_entry_count = 1
+        self._coordinator_since: float | None = None
+        self._slot_fraction: float | None = None
 
     def set_home(self, is_home: bool, now: float) -> None:
-        """Takes whether this cell is at the pool's home, as its VM sees it.
+        """Sets whether this VM is the pool's coordinator in its own VM list.
 
         Args:
-          is_home: Whether it is; else it stands in for the home.
-          now: Time, seconds.
+          is_home: Whether this VM is the coordinator. If not, it serves entry
+            processes that can't reach the coordinator.
+          now: Current time in seconds.
         """
         if not is_home:
-            self._home_since = None
-        elif self._home_since is None:
-            self._home_since = now
-        self._set_share(now)
+            self._coordinator_since = None
+        elif self._coordinator_since is None:
+            self._coordinator_since = now
+        self._update_slot_fraction(now)
 
     def update(
         self, snapshot: model.Snapshot, fleet: model.Fleet, now: float
     ) -> None:
-        """Takes new settings or a new VM list."""
-        self._live_entries = sum(
+        """Applies new settings or a new VM list.
+
+        Args:
+          snapshot: Settings in force.
+          fleet: VM list.
+          now: Current time in seconds.
+        """
+        self._live_entry_count = sum(
             len(vm.entry_ports)
             for vm in fleet.vms_by_id.values()
             if vm.role is model.VmRole.ENTRY
             and vm.state is not model.VmState.JOINING
         )
         self._handle(messages.WorldChanged(snapshot, fleet), now)
-        self._set_share(now)
+        self._update_slot_fraction(now)
 
     def knows(self, entry: str, epoch: int) -> bool:
-        """Returns whether an entry's messages may go on where they were."""
-        known = self._entries_by_id.get(entry)
-        return known is not None and known.epoch == epoch
+        """Returns whether an entry process has an open session.
+
+        Args:
+          entry: Id of the entry process.
+          epoch: Epoch of the session.
+        """
+        session = self._sessions_by_entry.get(entry)
+        return session is not None and session.epoch == epoch
 
     def is_old(self, entry: str, epoch: int) -> bool:
-        """Returns whether a channel was followed by a newer one.
+        """Returns whether a session was superseded by a newer one.
 
-        A call that was long on its way would otherwise throw away what the
-        entry has stated since.
+        Without this check a delayed call of the old session would discard the
+        state that the entry process has sent since.
+
+        Args:
+          entry: Id of the entry process.
+          epoch: Epoch of the session.
         """
-        known = self._entries_by_id.get(entry)
-        return known is not None and known.epoch > epoch
+        session = self._sessions_by_entry.get(entry)
+        return session is not None and session.epoch > epoch
 
     def receive(
         self,
@@ -120,153 +139,180 @@
         events: tuple[messages.Event, ...],
         now: float,
     ) -> None:
-        """Takes an entry's messages.
+        """Handles messages of an entry process; repeated ones are ignored.
 
         Args:
-          entry: Id of the entry.
-          epoch: Rises with each channel of the entry; a new one begins anew.
-          first: Number of the first message.
-          events: The messages, by the entry's own numbers of requests.
-          now: Time, seconds.
+          entry: Id of the entry process.
+          epoch: Epoch of the session, which rises with each session of the
+            entry process. A new epoch discards the state of the old session.
+          first: Sequence number of the first message.
+          events: Messages, with the entry process's own request numbers.
+          now: Current time in seconds.
         """
-        known = self._entries_by_id.get(entry)
-        if known is None or known.epoch != epoch:
-            if known is not None:
-                self._forget(entry, now)
-            known = _Entry(epoch, now)
-            self._entries_by_id[entry] = known
-            self._set_share(now)
-        known.heard_at = now
-        for event in known.inbox.take(first, events):
-            translated = self._translate(entry, known, event)
+        session = self._sessions_by_entry.get(entry)
+        if session is None or session.epoch != epoch:
+            if session is not None:
+                self._drop_session(entry, now)
+            session = _EntrySession(epoch, now)
+            self._sessions_by_entry[entry] = session
+            self._update_slot_fraction(now)
+        session.last_seen_at = now
+        for event in session.inbox.take(first, events):
+            translated = self._translate(entry, session, event)
             if translated is not None:
                 self._handle(translated, now)
 
     def acknowledge(self, entry: str, number: int) -> None:
-        """Notes which decisions an entry has had."""
-        self._entries_by_id[entry].outbox.acknowledge(number)
+        """Drops the decisions that an entry process has received.
+
+        Args:
+          entry: Id of the entry process.
+          number: Sequence number of the last decision received.
+        """
+        self._sessions_by_entry[entry].outbox.acknowledge(number)
 
     def decisions(self, entry: str) -> tuple[int, tuple[Decision, ...], int]:
-        """Returns what an entry hasn't acknowledged.
+        """Returns the decisions that an entry process hasn't acknowledged.
 
         Returns:
-          Number of the first decision, the decisions, and the number of the
-          newest message that was taken from the entry.
+          Sequence number of the first decision, the decisions, and the
+          sequence number of the last message received from the entry process.
         """
-        known = self._entries_by_id[entry]
-        outbox = known.outbox
-        return outbox.first, outbox.pending(), known.inbox.last
+        session = self._sessions_by_entry[entry]
+        outbox = session.outbox
+        return outbox.first, outbox.pending(), session.inbox.last
 
     def has_news(self, entry: str) -> bool:
-        """Returns whether an entry should hear from this cell now."""
-        known = self._entries_by_id.get(entry)
-        return known is None or bool(known.outbox.pending())
+        """Returns whether a long poll of an entry process must end now.
+
+        This is so if there are unacknowledged decisions or no session.
+        """
+        session = self._sessions_by_entry.get(entry)
+        return session is None or bool(session.outbox.pending())
 
     def engines(self, pool: str) -> int:
-        """Returns how many engines of a pool are known."""
+        """Returns the number of engines of a pool."""
         return self._scheduler.engines(pool)
 
     def standing(self, pool: str) -> pools.Standing | None:
-        """Returns how full a pool is by what is known here."""
+        """Returns the load of a pool, or None if the pool is unknown."""
         return self._scheduler.standing(pool)
 
     def prompt_part(self, pool: str) -> float | None:
-        """Returns the part of a pool's work that prompts are, if known."""
+        """Returns the fraction of a pool's engine time spent on prefills.
+
+        Returns:
+          The fraction, or None if the pool is unknown or too few requests
+          were recorded.
+        """
         return self._scheduler.prompt_part(pool)
 
     def running(self, entry: str) -> int:
-        """Returns how many requests of an entry wait or run."""
-        return len(self._entries_by_id[entry].ids_by_number)
+        """Returns the number of queued and running requests of an entry."""
+        return len(self._sessions_by_entry[entry].request_ids_by_number)
 
     def tick(self, now: float) -> None:
-        """Lets time pass."""
-        silent = [
+        """Drops timed-out entry processes and handles due deadlines."""
+        timed_out = [
             name
-            for name, entry in self._entries_by_id.items()
-            if now - entry.heard_at
-            > (SILENCE_S if entry.ids_by_number else _IDLE_S)
+            for name, session in self._sessions_by_entry.items()
+            if now - session.last_seen_at
+            > (
+                ENTRY_TIMEOUT_S
+                if session.request_ids_by_number
+                else _IDLE_ENTRY_TIMEOUT_S
+            )
         ]
-        for name in silent:
-            self._forget(name, now)
-        self._set_share(now)
+        for name in timed_out:
+            self._drop_session(name, now)
+        self._update_slot_fraction(now)
         self._handle(messages.Tick(), now)
 
     def next_wakeup(self, now: float) -> float:
-        """Returns when `tick` is due."""
+        """Returns the time at which `tick` is due."""
         wakeup = self._scheduler.next_wakeup(now)
-        if self._is_settling(now):
-            return min(wakeup, now + _GROWTH_S)
+        if self._is_ramping_up(now):
+            return min(wakeup, now + _RAMP_STEP_S)
         return wakeup
 
-    def _is_settling(self, now: float) -> bool:
-        since = self._home_since
-        return since is not None and now - since <= SETTLED_S + _GROWTH_S
-
-    def _forget(self, entry: str, now: float) -> None:
-        known = self._entries_by_id.pop(entry)
-        # All are disowned before the first is cancelled: the room that it
-        # leaves could else be given to the next one of the same entry.
-        for request_id in known.ids_by_number.values():
-            self._owners_by_id.pop(request_id, None)
-        for request_id in known.ids_by_number.values():
+    def _is_ramping_up(self, now: float) -> bool:
+        since = self._coordinator_since
+        return since is not None and now - since <= TAKEOVER_S + _RAMP_STEP_S
+
+    def _drop_session(self, entry: str, now: float) -> None:
+        session = self._sessions_by_entry.pop(entry)
+        # All requests lose their origin before the first is cancelled.
+        # Otherwise the slots that it frees could go to another request of the
+        # same entry process.
+        for request_id in session.request_ids_by_number.values():
+            self._origins_by_request_id.pop(request_id, None)
+        for request_id in session.request_ids_by_number.values():
             self._handle(messages.Cancel(request_id), now)
 
-    def _set_share(self, now: float) -> None:
-        share = self._heard_part(now)
-        if self._home_since is not None:
-            share = max(share, (now - self._home_since) / SETTLED_S)
-        share = min(share, 1.0)
-        if share != self._share:
-            self._share = share
-            self._perform(self._scheduler.set_share(share, now))
-
-    def _heard_part(self, now: float) -> float:
-        heard = sum(
-            now - entry.heard_at <= SILENCE_S
-            for entry in self._entries_by_id.values()
+    def _update_slot_fraction(self, now: float) -> None:
+        slot_fraction = self._reachable_fraction(now)
+        if self._coordinator_since is not None:
+            slot_fraction = max(
+                slot_fraction, (now - self._coordinator_since) / TAKEOVER_S
+            )
+        slot_fraction = min(slot_fraction, 1.0)
+        if slot_fraction != self._slot_fraction:
+            self._slot_fraction = slot_fraction
+            self._perform(self._scheduler.set_slot_fraction(slot_fraction, now))
+
+    def _reachable_fraction(self, now: float) -> float:
+        reachable = sum(
+            now - session.last_seen_at <= ENTRY_TIMEOUT_S
+            for session in self._sessions_by_entry.values()
         )
-        return heard / max(self._live_entries, 1)
+        return reachable / max(self._live_entry_count, 1)
 
     def _translate(
-        self, entry: str, known: _Entry, event: messages.Event
+        self, entry: str, session: _EntrySession, event: messages.Event
     ) -> messages.Event | None:
         match event:
             case messages.Submit(request_id=number):
-                request_id = self._new_id(entry, known, number)
+                request_id = self._new_id(entry, session, number)
                 return dataclasses.replace(
                     event,
                     request_id=request_id,
-                    service=self._with_whole_budget(event.service),
+                    service=self._with_pooled_retry_budget(event.service),
                 )
             case messages.Adopt(submit=submit, start=start):
-                request_id = self._new_id(entry, known, submit.request_id)
+                request_id = self._new_id(entry, session, submit.request_id)
                 return dataclasses.replace(
                     event,
                     submit=dataclasses.replace(submit, request_id=request_id),
                     start=dataclasses.replace(start, request_id=request_id),
                 )
             case messages.Cancel(number) | messages.Finished(number):
-                request_id = known.ids_by_number.pop(number, None)
-                self._owners_by_id.pop(request_id, None)
+                request_id = session.request_ids_by_number.pop(number, None)
+                self._origins_by_request_id.pop(request_id, None)
             case _:
-                request_id = known.ids_by_number.get(event.request_id)
+                request_id = session.request_ids_by_number.get(event.request_id)
         if request_id is None:
             return None
         return dataclasses.replace(event, request_id=request_id)
 
-    def _with_whole_budget(self, service: model.Service) -> model.Service:
-        # What may be saved up is each entry's part. This cell counts for all
-        # entries; a part is left out, since the budget begins anew when the
-        # home moves.
-        burst = service.retries.burst * self._live_entries * _BUDGET_PART
+    def _with_pooled_retry_budget(
+        self, service: model.Service
+    ) -> model.Service:
+        # The retry burst in the settings is per entry process, and this cell
+        # serves all of them. It uses only a fraction of the sum, since the
+        # budget starts full again after each coordinator failover.
+        burst = (
+            service.retries.burst
+            * self._live_entry_count
+            * _RETRY_BUDGET_FRACTION
+        )
         retries = dataclasses.replace(service.retries, burst=max(int(burst), 1))
         return dataclasses.replace(service, retries=retries)
 
-    def _new_id(self, entry: str, known: _Entry, number: int) -> int:
+    def _new_id(self, entry: str, session: _EntrySession, number: int) -> int:
         request_id = self._next_id
         self._next_id += 1
-        known.ids_by_number[number] = request_id
-        self._owners_by_id[request_id] = (entry, number)
+        session.request_ids_by_number[number] = request_id
+        self._origins_by_request_id[request_id] = (entry, number)
         return request_id
 
     def _handle(self, event: messages.Event, now: float) -> None:
@@ -276,19 +322,19 @@
         for action in actions:
             match action:
                 case messages.Start() | messages.Refuse():
-                    self._tell(action)
+                    self._send(action)
                 case _:
-                    # Engines drop a request when its connection is closed, so
-                    # the entry that loses an attempt ends it by itself.
+                    # Entry processes cancel attempts by themselves: engines
+                    # drop a request when its connection is closed.
                     pass
 
-    def _tell(self, decision: Decision) -> None:
-        owner = self._owners_by_id.get(decision.request_id)
-        if owner is None:
+    def _send(self, decision: Decision) -> None:
+        origin = self._origins_by_request_id.get(decision.request_id)
+        if origin is None:
             return
-        entry, number = owner
-        known = self._entries_by_id[entry]
-        known.outbox.add(dataclasses.replace(decision, request_id=number))
+        entry, number = origin
+        session = self._sessions_by_entry[entry]
+        session.outbox.add(dataclasses.replace(decision, request_id=number))
         if isinstance(decision, messages.Refuse):
-            del self._owners_by_id[decision.request_id]
-            known.ids_by_number.pop(number, None)
+            del self._origins_by_request_id[decision.request_id]
+            session.request_ids_by_number.pop(number, None)
--- a/src/cowsliprill/decisions/demand.py
+++ b/src/cowsliprill/decisions/demand.py
@@ -1,51 +1,52 @@
-"""Recent demand at an entry, and which part of it fits the capacity.
+"""Recent demand at a scheduler, and which requests fit the capacity.
 
-When more is asked for than can be served, something has to be refused. Each
-customer has its fair share of the decode slots; within it, higher priority goes
-first and then what brings the most goodput for the slot time it takes. The
-rest is refused at once instead of waiting for a slot that it won't get.
+In an overload each customer gets its max-min fair share of the decode slots.
+Within it, requests of higher priority go first, then those with the most
+goodput for their slot time. The others are refused at once, as they would
+otherwise wait in vain for a slot.
 """
 
 import collections
 import dataclasses
 from collections.abc import Mapping
 
-# Requests that are remembered at the least, and all of the last `_SPAN_MIN_S`:
-# a pool of many requests a second has more of them in that time.
-_ITEMS_LEAST = 160
-_AGE_MAX_S = 20.0
-_SPAN_MIN_S = 3.0
-_REFRESH_S = 0.25
+# The window keeps at least this many requests, and all of the last
+# `_MIN_SPAN_S`, which are more at a high request rate.
+_MIN_SAMPLES = 160
+_MAX_AGE_S = 20.0
+_MIN_SPAN_S = 3.0
+_REFRESH_INTERVAL_S = 0.25
 
-# Bursts last some seconds; a longer look back would notice them too late.
+# Bursts last some seconds; a longer window would detect them too late.
 _LOAD_WINDOW_S = 3.0
 
-# Admit a little more than fits: a queue that runs empty wastes slots, and
-# what is too much is refused by its expected wait.
-_HEADROOM = 1.0
+# Multiple of the capacity up to which demand is admitted. It should not be too
+# low: a queue that runs empty wastes slots, and excess requests are refused by
+# their expected wait anyway.
+_CAPACITY_FACTOR = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Item:
-    """What one request asks for.
+class RequestDemand:
+    """Demand of one request.
 
     Attributes:
-      at: When it arrived.
-      customer: Its customer.
-      priority: Its priority.
-      cost_s: Decode slot time it is expected to take.
-      worth: What it is worth if it meets its targets.
+      arrived_at: Arrival time in seconds.
+      customer: Id of its customer.
+      priority: Its priority; higher goes first.
+      cost_s: Expected decode slot time, summed over its slots.
+      value: Its goodput if it meets its targets.
     """
 
-    at: float
+    arrived_at: float
     customer: str
     priority: int
     cost_s: float
-    worth: float = 1.0
+    value: float = 1.0
 
     def rank(self) -> tuple[int, float]:
-        """Returns its place among its customer's requests, small first."""
-        return (-self.priority, self.cost_s / max(self.worth, 1e-6))
+        """Returns the sort key within its customer, smallest first."""
+        return (-self.priority, self.cost_s / max(self.value, 1e-6))
 
 
 def fair_shares(
@@ -53,16 +54,16 @@
     demand_by_customer: Mapping[str, float],
     shares_by_customer: Mapping[str, float],
 ) -> dict[str, float]:
-    """Splits a total max-min fairly by weight.
+    """Allocates a total by weighted max-min fairness.
 
     Args:
-      total: What there is.
-      demand_by_customer: What each customer asks for.
+      total: Amount to allocate.
+      demand_by_customer: Demand of each customer.
       shares_by_customer: Weights, 1 for customers not named.
 
     Returns:
-      What each customer gets; none gets more than it asks for, and what one
-      leaves goes to the others.
+      Allocation of each customer. None exceeds the customer's demand; what one
+      customer leaves unused goes to the others.
     """
     weights = {
         customer: shares_by_customer.get(customer, 1.0)
@@ -74,66 +75,79 @@
     )
     left = total
     weight_left = sum(weights.values())
-    given = {}
+    allocated = {}
     for customer in by_level:
         share = left * weights[customer] / weight_left if weight_left else 0.0
-        given[customer] = min(demand_by_customer[customer], share)
-        left -= given[customer]
+        allocated[customer] = min(demand_by_customer[customer], share)
+        left -= allocated[customer]
         weight_left -= weights[customer]
-    return given
+    return allocated
 
 
 class DemandWindow:
-    """The requests that arrived lately."""
+    """Sliding window of the requests that arrived recently."""
 
     def __init__(self) -> None:
-        self._items: collections.deque[Item] = collections.deque()
+        self._items: collections.deque[RequestDemand] = collections.deque()
         self._count_by_priority: collections.Counter[int] = (
             collections.Counter()
         )
         self._cutoffs_by_customer: dict[str, tuple[int, float]] = {}
         self._refreshed_at = float("-inf")
 
-    def add(self, item: Item) -> None:
-        """Notes a request that arrived."""
+    def add(self, item: RequestDemand) -> None:
+        """Records a new request."""
         self._items.append(item)
         self._count_by_priority[item.priority] += 1
-        since = item.at - _SPAN_MIN_S
-        while len(self._items) > _ITEMS_LEAST and self._items[0].at < since:
+        since = item.arrived_at - _MIN_SPAN_S
+        while (
+            len(self._items) > _MIN_SAMPLES
+            and self._items[0].arrived_at < since
+        ):
             self._drop_oldest()
 
     def fits(
-        self, item: Item, slots: float, shares_by_customer: Mapping[str, float]
+        self,
+        item: RequestDemand,
+        slots: float,
+        shares_by_customer: Mapping[str, float],
     ) -> bool:
-        """Returns whether a request belongs to the demand that can be served.
+        """Returns whether a request fits its customer's share of the capacity.
 
         Args:
-          item: The request, added before.
-          slots: Decode slots that are this entry's part of the pool.
+          item: Request, which was added before.
+          slots: Decode slots of the pool that this process may use.
           shares_by_customer: Weights of the customers.
         """
-        if item.at - self._refreshed_at >= _REFRESH_S:
-            self._refresh(item.at, slots, shares_by_customer)
+        if item.arrived_at - self._refreshed_at >= _REFRESH_INTERVAL_S:
+            self._refresh(item.arrived_at, slots, shares_by_customer)
         cutoff = self._cutoffs_by_customer.get(item.customer)
         return cutoff is None or item.rank() <= cutoff
 
     def load(self, now: float, slots: float) -> float:
-        """Returns the part of the slots that lately arriving work takes.
+        """Returns recent demand as a fraction of the capacity.
 
         Args:
-          now: Time, seconds.
-          slots: Slots there are.
+          now: Current time in seconds.
+          slots: Decode slots of the pool that this process may use.
         """
         since = now - _LOAD_WINDOW_S
         cost_s = 0.0
         for item in reversed(self._items):
-            if item.at < since:
+            if item.arrived_at < since:
                 break
             cost_s += item.cost_s
         return cost_s / max(slots * _LOAD_WINDOW_S, 1.0)
 
-    def share_at_least(self, priority: int) -> float:
-        """Returns the share of the demand with a priority or a higher one."""
+    def fraction_at_or_above(self, priority: int) -> float:
+        """Returns the fraction of recent requests of at least some priority.
+
+        Args:
+          priority: Least priority that counts.
+
+        Returns:
+          The fraction, 1 if there were no requests.
+        """
         if not self._items:
             return 1.0
         count = sum(
@@ -153,34 +167,39 @@
         self, now: float, slots: float, shares_by_customer: Mapping[str, float]
     ) -> None:
         self._refreshed_at = now
-        while self._items and now - self._items[0].at > _AGE_MAX_S:
+        while self._items and now - self._items[0].arrived_at > _MAX_AGE_S:
             self._drop_oldest()
         self._cutoffs_by_customer = {}
         if not self._items:
             return
-        span = max(now - self._items[0].at, _SPAN_MIN_S)
-        items_by_customer: dict[str, list[Item]] = {}
+        span_s = max(now - self._items[0].arrived_at, _MIN_SPAN_S)
+        items_by_customer: dict[str, list[RequestDemand]] = {}
         for item in self._items:
             items_by_customer.setdefault(item.customer, []).append(item)
         demand_by_customer = {
             customer: sum(item.cost_s for item in items)
             for customer, items in items_by_customer.items()
         }
-        total = slots * span * _HEADROOM
-        given = fair_shares(total, demand_by_customer, shares_by_customer)
+        total = slots * span_s * _CAPACITY_FACTOR
+        allocated = fair_shares(total, demand_by_customer, shares_by_customer)
         for customer, items in items_by_customer.items():
-            if given[customer] < demand_by_customer[customer]:
+            if allocated[customer] < demand_by_customer[customer]:
                 self._cutoffs_by_customer[customer] = _cutoff(
-                    items, given[customer]
+                    items, allocated[customer]
                 )
 
 
-def _cutoff(items: list[Item], capacity_s: float) -> tuple[int, float]:
-    """Returns the rank of the last request that fits, at least in part.
+def _cutoff(items: list[RequestDemand], capacity_s: float) -> tuple[int, float]:
+    """Returns the rank of the last request that fits at least partly.
+
+    The first request always counts. Otherwise a customer whose share is smaller
+    than one request could run none.
 
-    A share smaller than one request would otherwise let a customer do nothing.
+    Args:
+      items: Recent requests of one customer.
+      capacity_s: Decode slot time of the customer's fair share.
     """
-    ranked = sorted(items, key=Item.rank)
+    ranked = sorted(items, key=RequestDemand.rank)
     last = ranked[0]
     for item in ranked:
         if capacity_s <= 0:
--- a/src/cowsliprill/decisions/estimates.py
+++ b/src/cowsliprill/decisions/estimates.py
@@ -1,31 +1,31 @@
-"""Expected times of prefills, transfers and answers."""
+"""Expected durations of prefills and KV cache transfers, and output lengths."""
 
 import math
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 
-# Fixed part of a prefill: scheduling in the engine and the exchange of two
-# messages.
+# Fixed part of a prefill's duration: scheduling in the engine and the exchange
+# of two messages.
 _PREFILL_OVERHEAD_S = 0.015
 
-# Added for each step that leaves an availability zone.
+# Latency added by each hop to another availability zone.
 CROSS_ZONE_S = 0.003
 
-_ANSWER_SHARE_START = 0.7
-_LEARNING_RATE = 0.02
+_INITIAL_OUTPUT_FRACTION = 0.7
+_EMA_WEIGHT = 0.02
 _DEFAULT_SECONDS_PER_TOKEN = 0.03
 
 
 def prefill_s(
     endpoint: model.Endpoint, submit: messages.Submit, cached_tokens: int
 ) -> float:
-    """Returns the expected time of a prefill once it begins.
+    """Returns the expected duration of a prefill without queueing, in seconds.
 
     Args:
-      endpoint: The prefill engine.
-      submit: The request.
-      cached_tokens: Leading tokens whose KV cache the engine has.
+      endpoint: Prefill engine.
+      submit: Request.
+      cached_tokens: Leading prompt tokens in the engine's prefix cache.
     """
     tokens = max(submit.prompt_tokens - cached_tokens, 1)
     speed = endpoint.prefill_tokens_per_s
@@ -33,11 +33,14 @@
 
 
 def own_prefill_s(decode: model.Endpoint, submit: messages.Submit) -> float:
-    """Returns how long a decode engine reads a prompt itself.
+    """Returns the expected duration of a prefill on a decode engine.
 
     Args:
-      decode: The engine; infinite if it can't.
-      submit: The request.
+      decode: Decode engine.
+      submit: Request.
+
+    Returns:
+      Seconds; infinite if the engine can't run prefills.
     """
     speed = decode.own_prefill_tokens_per_s
     return submit.prompt_tokens / speed if speed > 0 else math.inf
@@ -46,46 +49,71 @@
 def transfer_s(
     prefill: model.Endpoint, decode: model.Endpoint, prompt_tokens: int
 ) -> float:
-    """Returns the expected time of a transfer on links that are free."""
+    """Returns the expected duration of a KV cache transfer on idle links.
+
+    Args:
+      prefill: Engine that sends the KV cache.
+      decode: Engine that receives it.
+      prompt_tokens: Number of prompt tokens.
+
+    Returns:
+      Seconds, with the latency between availability zones.
+    """
     rates = [
         endpoint.link_bytes_per_s
         for endpoint in (prefill, decode)
         if endpoint.link_bytes_per_s > 0
     ]
-    size = prompt_tokens * prefill.kv_bytes_per_token
-    same = prefill.availability_zone == decode.availability_zone
-    hop = 0.0 if same else CROSS_ZONE_S
-    return hop + (size / min(rates) if rates else 0.0)
+    size_bytes = prompt_tokens * prefill.kv_bytes_per_token
+    same_zone = prefill.availability_zone == decode.availability_zone
+    zone_hop_s = 0.0 if same_zone else CROSS_ZONE_S
+    return zone_hop_s + (size_bytes / min(rates) if rates else 0.0)
+
 
+class OutputLengths:
+    """Predicts output lengths as a fraction of the requested maximum.
 
-class AnswerLengths:
-    """Learns how much of the tokens they ask for the answers really have."""
+    The fraction is an exponential moving average for each service.
+    """
 
     def __init__(self) -> None:
-        self._share_by_service: dict[str, float] = {}
+        self._fraction_by_service: dict[str, float] = {}
 
     def expected_tokens(self, submit: messages.Submit) -> float:
-        """Returns the expected length of an answer, in tokens."""
+        """Returns the expected number of output tokens, at least 1.
+
+        The client's own estimate takes precedence.
+        """
         if submit.expected_tokens:
-            guess = min(submit.expected_tokens, submit.output_tokens)
-            return max(float(guess), 1.0)
-        share = self._share_by_service.get(
-            submit.service.id, _ANSWER_SHARE_START
+            hint = min(submit.expected_tokens, submit.output_tokens)
+            return max(float(hint), 1.0)
+        fraction = self._fraction_by_service.get(
+            submit.service.id, _INITIAL_OUTPUT_FRACTION
         )
-        return max(submit.output_tokens * share, 1.0)
+        return max(submit.output_tokens * fraction, 1.0)
 
-    def learn(self, submit: messages.Submit, output_tokens: int) -> None:
-        """Takes in the length of a finished answer."""
+    def record(self, submit: messages.Submit, output_tokens: int) -> None:
+        """Records the number of output tokens of a finished request."""
         service_id = submit.service.id
-        share = self._share_by_service.get(service_id, _ANSWER_SHARE_START)
-        seen = output_tokens / max(submit.output_tokens, 1)
-        self._share_by_service[service_id] = (
-            share + (seen - share) * _LEARNING_RATE
+        fraction = self._fraction_by_service.get(
+            service_id, _INITIAL_OUTPUT_FRACTION
+        )
+        observed = output_tokens / max(submit.output_tokens, 1)
+        self._fraction_by_service[service_id] = (
+            fraction + (observed - fraction) * _EMA_WEIGHT
         )
 
 
 def seconds_per_token(endpoints: list[model.Endpoint]) -> float:
-    """Returns the mean pace of decode engines."""
-    paces = [item.seconds_per_token for item in endpoints]
-    paces = [pace for pace in paces if pace > 0]
-    return sum(paces) / len(paces) if paces else _DEFAULT_SECONDS_PER_TOKEN
+    """Returns the mean time per output token of decode engines, in seconds.
+
+    Args:
+      endpoints: Decode engines; those with unknown speed are left out.
+    """
+    intervals = [item.seconds_per_token for item in endpoints]
+    intervals = [interval for interval in intervals if interval > 0]
+    return (
+        sum(intervals) / len(intervals)
+        if intervals
+        else _DEFAULT_SECONDS_PER_TOKEN
+    )
--- a/src/cowsliprill/decisions/pool.py
+++ b/src/cowsliprill/decisions/pool.py
@@ -1,4 +1,4 @@
-"""One pool of engines as an entry sees it: leases, queue and backlog."""
+"""State of one engine pool at a scheduler: leases, queue and averages."""
 
 import dataclasses
 import math
@@ -18,64 +18,67 @@
 from cowsliprill.decisions import workload
 from cowsliprill.decisions import worth
 
-_LEARNING_RATE = 0.05
-_HOLD_START_S = 5.0
+_EMA_WEIGHT = 0.05
+_INITIAL_HOLD_S = 5.0
 
-# So many that the fixed part of a transfer's time doesn't matter.
-_MANY_TOKENS = 100_000
+# Prompt length from which the transfer time per token is derived. It is large,
+# so that the fixed part of a transfer's duration doesn't matter.
+_TRANSFER_SAMPLE_TOKENS = 100_000
 
-# A prefill engine that lately took this many times the expected time is no
-# worse than one that is slower still; both come last.
-_SLOWNESS_MAX = 10.0
-_SLOWNESS_RATE = 0.15
-_PREFILL_START_S = 0.2
+# Upper bound of a prefill engine's slowdown, the ratio of actual to expected
+# prefill times. Engines beyond it are chosen last anyway.
+_SLOWDOWN_MAX = 10.0
+_SLOWDOWN_EMA_WEIGHT = 0.15
+_INITIAL_PREFILL_S = 0.2
 
-# Part of an expected answer for which memory is promised. Answers grow while
-# others beside them end, so all of them are never at their full length at
-# once. Promised less, engines put requests back and read them anew; promised
-# more, memory stays empty while callers are refused.
-_ANSWER_PROMISED = 0.7
+# Fraction of the expected output length for which memory is reserved. Outputs
+# grow while others on the same engine end, so not all are at full length at
+# once. With a lower fraction, engines preempt requests and prefill them again;
+# with a higher one, memory stays empty while requests are refused.
+_RESERVED_OUTPUT_FRACTION = 0.7
 
-# An entry sees a part of each customer's work, so small differences say
-# nothing. Only a customer clearly above its share here has to stand back.
-_OVER_SHARE = 1.5
-_OVER_SLOTS = 2
+# One process sees only some of each customer's requests, so small differences
+# mean nothing. Only customers beyond their share by this factor and number of
+# requests are put behind others.
+_SHARE_TOLERANCE_FACTOR = 1.5
+_SHARE_TOLERANCE_REQUESTS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class BestTimes:
-    """What a request takes on free engines, in seconds.
+class UnloadedLatency:
+    """Expected latency of a request on idle engines, in seconds.
 
     Attributes:
-      prefill_s: Its prefill, with what is cached.
-      transfer_s: The transfer of its KV cache.
-      token_s: One token.
-      export_ttl_s: How long a finished prefill is kept for its transfer.
+      prefill_s: Duration of its prefill, given the engines' prefix caches.
+      transfer_s: Duration of the transfer of its KV cache.
+      token_interval_s: Time per output token.
+      export_ttl_s: How long an engine keeps the KV cache of a finished prefill
+        for its transfer.
     """
 
     prefill_s: float
     transfer_s: float
-    token_s: float
+    token_interval_s: float
     export_ttl_s: float
 
-    def first_token_s(self) -> float:
-        """Returns the least time to first token."""
-        return self.prefill_s + self.transfer_s + self.token_s
+    def min_ttft_s(self) -> float:
+        """Returns the expected time to first token, in seconds."""
+        return self.prefill_s + self.transfer_s + self.token_interval_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Standing:
-    """How full a pool is.
+    """Load of a pool.
 
     Attributes:
-      promised: Decode slots that running requests take.
-      running: Requests with work at decode engines.
-      prefilling: Requests with work at prefill engines.
-      slots: Decode slots in all.
-      waiting: Requests that wait.
-      prompt_tokens_per_s: Speed of a prefill engine, as far as known.
-      seconds_per_token: Time between tokens of an answer, as far as known.
-      prompt_part: Part of the work that prompts are, 0 while unknown.
+      promised: Decode slots reserved for running requests.
+      running: Requests with reserved slots at decode engines.
+      prefilling: Requests in the prefill stage.
+      slots: Total number of decode slots.
+      waiting: Queued requests.
+      prompt_tokens_per_s: Speed of the fastest prefill engine, 0 if unknown.
+      seconds_per_token: Mean time per output token of decode engines.
+      prompt_part: Fraction of the engine time spent on prefills, 0 if unknown.
     """
 
     promised: int
@@ -89,11 +92,11 @@
 
 
 class Pool:
-    """State of one pool.
+    """Engines, queue, slot leases and moving averages of one pool.
 
     Args:
-      rng: Random numbers for the times to come back.
-      engine_health: What is known of the engines.
+      rng: Random number generator for retry-after times.
+      engine_health: Health of the engines as seen by this process.
     """
 
     def __init__(
@@ -109,47 +112,56 @@
         self.in_use_by_customer: dict[str, int] = {}
         self.shares_by_customer: Mapping[str, float] = {}
         self.block_tokens = 0
-        self.usual_slots = 1.0
+        self.mean_slots_per_request = 1.0
         self.usual_prompt_tokens = 0.0
         self._speeds = speeds.Speeds()
-        self._work = workload.Workload()
-        self.lengths = estimates.AnswerLengths()
-        self.worths = worth.Worths()
-        self.hold_s = _HOLD_START_S
-        self._holds_learnt = False
-        self.prefill_s = _PREFILL_START_S
-        self.start_delay_s = 0.0
+        self._workload = workload.Workload()
+        self.output_lengths = estimates.OutputLengths()
+        self.request_values = worth.RequestValues()
+        self.mean_hold_s = _INITIAL_HOLD_S
+        self._has_hold_samples = False
+        self.prefill_s = _INITIAL_PREFILL_S
+        self.first_token_delay_s = 0.0
         self.prefills_short_since = math.inf
-        self.slowness_by_prefill: dict[str, float] = {}
-        self._token_s = 0.0
+        self.slowdown_by_prefill: dict[str, float] = {}
+        self._token_interval_s = 0.0
         self._transfer_s_per_token = 0.0
         self._export_ttl_s = 1.0
-        self.returns = admission.ReturnTimes(rng)
+        self.retry_schedule = admission.RetryAfterSchedule(rng)
 
     def set_engines(
         self, prefills: list[model.Endpoint], decodes: list[model.Endpoint]
     ) -> None:
-        """Takes over the engines to use; running work keeps its holdings."""
+        """Sets the engines to use.
+
+        Leases of removed engines are kept while requests run there.
+
+        Args:
+          prefills: Prefill engines.
+          decodes: Decode engines.
+        """
         self.prefills = [self._speeds.describe(item) for item in prefills]
         self.decodes = [self._speeds.describe(item) for item in decodes]
         prefills, decodes = self.prefills, self.decodes
         for endpoint in prefills + decodes:
-            before = self.endpoints_by_id.get(endpoint.id)
-            if before is not None and _state(before) != _state(endpoint):
-                # What was learnt of an engine's last life, or of its work as a
-                # prefill engine, says nothing of what has begun under the same
-                # id. One that turned a prompt away while it changed would be
-                # left alone for as long as it lives.
+            previous = self.endpoints_by_id.get(endpoint.id)
+            if previous is not None and _incarnation(previous) != _incarnation(
+                endpoint
+            ):
+                # Health data from before an engine's restart or change of role
+                # doesn't apply any more. Without the reset, an engine that
+                # rejected a prompt during its role change could stay ejected
+                # for good.
                 self._health.forget(endpoint.id)
         self.endpoints_by_id = {item.id: item for item in prefills + decodes}
         self.block_tokens = max(
             (item.block_tokens for item in decodes), default=self.block_tokens
         )
-        self._token_s = estimates.seconds_per_token(decodes)
+        self._token_interval_s = estimates.seconds_per_token(decodes)
         self._transfer_s_per_token = min(
             (
-                estimates.transfer_s(prefill, decode, _MANY_TOKENS)
-                / _MANY_TOKENS
+                estimates.transfer_s(prefill, decode, _TRANSFER_SAMPLE_TOKENS)
+                / _TRANSFER_SAMPLE_TOKENS
                 for prefill in prefills
                 for decode in decodes
             ),
@@ -158,15 +170,15 @@
         self._export_ttl_s = min(
             (item.export_ttl_s for item in prefills), default=1.0
         )
-        wanted = {endpoint.id for endpoint in prefills + decodes}
-        for endpoint_id in wanted:
+        current_ids = {endpoint.id for endpoint in prefills + decodes}
+        for endpoint_id in current_ids:
             self.holding(endpoint_id)
         for endpoint_id, holding in list(self.holdings_by_endpoint.items()):
-            if endpoint_id not in wanted and not holding.in_use:
+            if endpoint_id not in current_ids and not holding.in_use:
                 del self.holdings_by_endpoint[endpoint_id]
 
     def holding(self, endpoint_id: str) -> leases.Holding:
-        """Returns what this entry holds at an endpoint."""
+        """Returns the slots leased at an endpoint, a new lease if unknown."""
         holding = self.holdings_by_endpoint.get(endpoint_id)
         if holding is None:
             holding = leases.Holding()
@@ -174,120 +186,143 @@
         return holding
 
     def slots_for(self, submit: messages.Submit) -> int:
-        """Returns the slots of a decode engine that a request takes.
+        """Returns the number of decode slots that a request takes.
 
-        One, where slots are places. Where they are blocks of memory, what its
-        prompt and its answer are expected to fill.
+        This is one if a slot is a request. If slots are KV cache blocks, it is
+        the number of blocks reserved for its prompt and its expected output.
         """
         if not self.block_tokens:
             return 1
-        answer = self.lengths.expected_tokens(submit) * _ANSWER_PROMISED
-        tokens = submit.prompt_tokens + answer
+        reserved_output_tokens = (
+            self.output_lengths.expected_tokens(submit)
+            * _RESERVED_OUTPUT_FRACTION
+        )
+        tokens = submit.prompt_tokens + reserved_output_tokens
         return math.ceil(tokens / self.block_tokens)
 
-    def learn_slots(self, slots: int) -> None:
-        """Takes in how many slots a request takes."""
-        if self.usual_slots == 1.0:
-            self.usual_slots = float(slots)
-        self.usual_slots += (slots - self.usual_slots) * _LEARNING_RATE
+    def record_slots(self, slots: int) -> None:
+        """Records the number of decode slots of a new request."""
+        if self.mean_slots_per_request == 1.0:
+            self.mean_slots_per_request = float(slots)
+        self.mean_slots_per_request += (
+            slots - self.mean_slots_per_request
+        ) * _EMA_WEIGHT
 
-    def learn_prompt(self, tokens: int) -> None:
-        """Takes in the length of a prompt that arrived."""
+    def record_prompt_tokens(self, tokens: int) -> None:
+        """Records the prompt length of a new request."""
         if not self.usual_prompt_tokens:
             self.usual_prompt_tokens = float(tokens)
         change = tokens - self.usual_prompt_tokens
-        self.usual_prompt_tokens += change * _LEARNING_RATE
+        self.usual_prompt_tokens += change * _EMA_WEIGHT
+
+    def record_hold(self, seconds: float) -> None:
+        """Records how long a finished request held its decode slots."""
+        self._has_hold_samples = True
+        self.mean_hold_s += (seconds - self.mean_hold_s) * _EMA_WEIGHT
 
-    def learn_hold(self, seconds: float) -> None:
-        """Takes in how long a request held its decode slot."""
-        self._holds_learnt = True
-        self.hold_s += (seconds - self.hold_s) * _LEARNING_RATE
+    def record_prefill_speed(self, tokens: int, seconds: float) -> None:
+        """Records a prefill that ran without concurrent prefills.
 
-    def learn_reading(self, tokens: int, seconds: float) -> None:
-        """Takes in how long a prefill engine read a prompt alone."""
+        Args:
+          tokens: Prompt tokens that were not cached.
+          seconds: Duration of the prefill.
+        """
         if self._speeds.read(tokens, seconds):
             self.set_engines(self.prefills, self.decodes)
 
     def learn_writing(self, tokens: int, seconds: float) -> None:
-        """Takes in how long tokens of an answer took, without the first."""
+        """Records the decode speed of a stream.
+
+        Args:
+          tokens: Output tokens after the first one.
+          seconds: Time since the first token.
+        """
         if self._speeds.wrote(tokens, seconds):
             self.set_engines(self.prefills, self.decodes)
 
-    def learn_work(
+    def record_work(
         self,
         submit: messages.Submit,
         slots: int,
-        first_token_s: float,
+        min_ttft_s: float,
         now: float,
     ) -> None:
-        """Takes in what a request that arrived asks of the engines.
+        """Records the engine time that a new request needs.
+
+        Nothing is recorded until the speeds of the engines are known.
 
         Args:
-          submit: The request.
-          slots: Slots of a decode engine that it takes.
-          first_token_s: Least time to its first token, in which its slots are
-            kept for it.
-          now: Time, seconds.
+          submit: Request.
+          slots: Decode slots that it takes.
+          min_ttft_s: Expected time to its first token, during which its slots
+            are already reserved.
+          now: Current time in seconds.
         """
         if not (self.prefills and self.decodes and self._speeds.are_known()):
             return
         prefill, decode = self.prefills[0], self.decodes[0]
-        filled = max(slots / decode.slots, 1 / (decode.places or decode.slots))
-        answer_tokens = self.lengths.expected_tokens(submit)
-        self._work.add(
+        occupancy = max(
+            slots / decode.slots, 1 / (decode.places or decode.slots)
+        )
+        output_tokens = self.output_lengths.expected_tokens(submit)
+        self._workload.add(
             prompt_s=submit.prompt_tokens / prefill.prefill_tokens_per_s,
-            answer_s=(first_token_s + answer_tokens * self._token_s) * filled,
+            answer_s=(min_ttft_s + output_tokens * self._token_interval_s)
+            * occupancy,
             now=now,
         )
 
     def prompt_part(self) -> float | None:
-        """Returns the part of the work that prompts are, None if unknown."""
-        return self._work.prompt_part()
-
-    def learn_start_delay(self, seconds: float) -> None:
-        """Takes in by how much a first token came later than unhindered."""
-        change = max(seconds, 0.0) - self.start_delay_s
-        self.start_delay_s += change * _LEARNING_RATE
-
-    def learn_prefill(self, seconds: float) -> None:
-        """Takes in the expected time of a prefill that is started."""
-        self.prefill_s += (seconds - self.prefill_s) * _LEARNING_RATE
-
-    def learn_prefill_speed(self, endpoint_id: str, ratio: float) -> None:
-        """Takes in how long a prefill took over what was expected."""
-        slowness = self.slowness_by_prefill.get(endpoint_id, 1.0)
-        slowness += (min(ratio, _SLOWNESS_MAX) - slowness) * _SLOWNESS_RATE
-        self.slowness_by_prefill[endpoint_id] = max(slowness, 1.0)
+        """Returns the fraction of engine time spent on prefills, if known."""
+        return self._workload.prompt_part()
+
+    def record_first_token_delay(self, seconds: float) -> None:
+        """Records how much later than on idle engines a first token came."""
+        change = max(seconds, 0.0) - self.first_token_delay_s
+        self.first_token_delay_s += change * _EMA_WEIGHT
+
+    def record_prefill_estimate(self, seconds: float) -> None:
+        """Records the expected duration of a prefill that starts."""
+        self.prefill_s += (seconds - self.prefill_s) * _EMA_WEIGHT
+
+    def record_prefill_slowdown(self, endpoint_id: str, ratio: float) -> None:
+        """Records the ratio of a prefill's actual to its expected duration."""
+        slowdown = self.slowdown_by_prefill.get(endpoint_id, 1.0)
+        slowdown += (
+            min(ratio, _SLOWDOWN_MAX) - slowdown
+        ) * _SLOWDOWN_EMA_WEIGHT
+        self.slowdown_by_prefill[endpoint_id] = max(slowdown, 1.0)
 
     def prefill_wait_s(
         self,
         endpoint: model.Endpoint,
         submit: messages.Submit,
         *,
-        usual: bool = False,
+        ignore_slowdown: bool = False,
     ) -> float:
-        """Returns the expected time until a request's prefill is done.
+        """Returns the expected time until a prefill is done, in seconds.
 
         Args:
-          endpoint: The prefill engine.
-          submit: The request.
-          usual: Whether to ignore how slow the engine was lately.
+          endpoint: Prefill engine.
+          submit: Request.
+          ignore_slowdown: Whether to ignore the slowdown recorded for the
+            engine.
         """
         holding = self.holding(endpoint.id)
         cached = holding.cached.cached_tokens(submit.prefix_hashes)
-        own_s = estimates.prefill_s(endpoint, submit, cached)
-        seconds = own_s + holding.used * self.prefill_s
-        slowness = self.slowness_by_prefill.get(endpoint.id, 1.0)
-        return seconds if usual else seconds * slowness
+        processing_s = estimates.prefill_s(endpoint, submit, cached)
+        seconds = processing_s + holding.used * self.prefill_s
+        slowdown = self.slowdown_by_prefill.get(endpoint.id, 1.0)
+        return seconds if ignore_slowdown else seconds * slowdown
 
     def take(self, customer: str) -> None:
-        """Counts a request that starts, for fair sharing."""
+        """Counts a started request, for fair sharing."""
         self.in_use_by_customer[customer] = (
             self.in_use_by_customer.get(customer, 0) + 1
         )
 
     def release(self, customer: str) -> None:
-        """Counts a request that ends."""
+        """Counts a request that has ended or failed, for fair sharing."""
         left = self.in_use_by_customer[customer] - 1
         if left:
             self.in_use_by_customer[customer] = left
@@ -295,17 +330,27 @@
             del self.in_use_by_customer[customer]
 
     def over_share(self, customer: str) -> float:
-        """Returns how far a customer's running work is above its fair share."""
+        """Returns how far a customer's running requests exceed its fair share.
+
+        Returns:
+          Running requests per unit of weight, less the fair share and its
+          tolerance; at least 0.
+        """
         active = self.in_use_by_customer.keys() | set(self.queue.customers())
         weight = sum(self.shares_by_customer.get(name, 1.0) for name in active)
         total = sum(self.in_use_by_customer.values())
-        fair = (total + 1) / weight if weight else 0.0
+        fair_share = (total + 1) / weight if weight else 0.0
         share = self.shares_by_customer.get(customer, 1.0)
         used = (self.in_use_by_customer.get(customer, 0) + 1) / share
-        return max(used - fair * _OVER_SHARE - _OVER_SLOTS, 0.0)
+        return max(
+            used
+            - fair_share * _SHARE_TOLERANCE_FACTOR
+            - _SHARE_TOLERANCE_REQUESTS,
+            0.0,
+        )
 
     def standing(self) -> Standing:
-        """Returns how full the pool is."""
+        """Returns the load of the pool."""
         return Standing(
             promised=sum(self.holding(item.id).used for item in self.decodes),
             running=sum(self.holding(item.id).running for item in self.decodes),
@@ -318,81 +363,86 @@
                 (item.prefill_tokens_per_s for item in self.prefills),
                 default=0.0,
             ),
-            seconds_per_token=self._token_s,
+            seconds_per_token=self._token_interval_s,
             prompt_part=self.prompt_part() or 0.0,
         )
 
     def slots(self) -> int:
-        """Returns the decode slots of the pool, those of others included.
+        """Returns the decode slots of the pool, whichever process uses them.
 
-        Engines that are left alone don't count: were they taken for free, more
-        would be admitted than the others can serve.
+        Ejected engines don't count. If their slots were taken for free, more
+        requests would be admitted than the other engines can serve.
         """
-        return sum(endpoint.slots for endpoint in self._well(self.decodes))
+        return sum(endpoint.slots for endpoint in self._healthy(self.decodes))
 
     def has_sound_prefill(self) -> bool:
-        """Returns whether a prefill engine isn't left alone."""
+        """Returns whether any prefill engine is not ejected."""
         return len(self._health.left_alone(self.prefills)) < len(self.prefills)
 
     def decodes_read_prompts(self) -> bool:
-        """Returns whether a decode engine can read prompts itself."""
+        """Returns whether any decode engine can run prefills."""
         return any(
             endpoint.own_prefill_tokens_per_s for endpoint in self.decodes
         )
 
-    def can_read_prompts(self) -> bool:
-        """Returns whether any engine reads prompts."""
+    def can_prefill(self) -> bool:
+        """Returns whether any engine can run prefills."""
         return bool(self.prefills) or self.decodes_read_prompts()
 
-    def _well(self, endpoints: list[model.Endpoint]) -> list[model.Endpoint]:
+    def _healthy(self, endpoints: list[model.Endpoint]) -> list[model.Endpoint]:
         left_alone = self._health.left_alone(endpoints)
         if not left_alone:
             return endpoints
-        well = [item for item in endpoints if item.id not in left_alone]
-        # All of them are soon tried again, and callers have the time to wait
-        # for that.
-        return well or endpoints
+        healthy = [item for item in endpoints if item.id not in left_alone]
+        # If all engines are ejected, all count: they are probed soon, and
+        # requests have the time to wait for that.
+        return healthy or endpoints
 
     def backlog(self, priority: int) -> admission.Backlog:
-        """Returns what stands before the last request of a priority.
+        """Returns the backlog ahead of a new request of some priority.
 
         Args:
-          priority: Requests of a lower one don't stand before it. How many
-            of the requests at other entries do isn't known; they are taken
-            to have the same mix as those here.
+          priority: Least priority of the requests that count. The priorities of
+            requests that wait at other entry processes aren't known; they are
+            assumed to be distributed as those of recent requests here.
         """
-        holdings = [self.holding(item.id) for item in self._well(self.decodes)]
+        holdings = [
+            self.holding(item.id) for item in self._healthy(self.decodes)
+        ]
         others = max((item.others_waiting for item in holdings), default=0)
-        own = [item for item in self.queue if item.submit.priority >= priority]
-        ahead = others * self.demand.share_at_least(priority)
+        queued = [
+            item for item in self.queue if item.submit.priority >= priority
+        ]
+        ahead = others * self.demand.fraction_at_or_above(priority)
         slots = self.slots()
         used = sum(item.used for item in holdings)
-        prefills = self._well(self.prefills)
+        prefills = self._healthy(self.prefills)
         if not prefills and self.decodes_read_prompts():
-            # Decode engines read prompts then, each as well as it can.
-            prefills = self._well(self.decodes)
+            # Without prefill engines, decode engines run the prefills.
+            prefills = self._healthy(self.decodes)
         return admission.Backlog(
-            waiting=sum(item.slots for item in own) + ahead,
+            waiting=sum(item.slots for item in queued) + ahead,
             free_slots=max(slots - used, 0),
             slots=slots,
-            hold_s=self._usual_hold_s(own),
+            mean_hold_s=self._expected_hold_s(queued),
             prefills=len(prefills),
-            prefill_s=self._usual_prefill_s(own, prefills),
-            slots_a_request=self.usual_slots,
+            prefill_s=self._expected_prefill_s(queued, prefills),
+            slots_per_request=self.mean_slots_per_request,
         )
 
-    def _usual_hold_s(self, waiting: list[queue.Waiting]) -> float:
-        # What was learnt counts; before that, what the waiting ones ask for.
-        # The start value alone would refuse a first burst of short answers.
-        if self._holds_learnt or not waiting:
-            return self.hold_s
+    def _expected_hold_s(self, waiting: list[queue.Waiting]) -> float:
+        # Before the first request has finished, the estimate comes from the
+        # queued requests. The initial value would refuse a first burst of
+        # requests with short outputs.
+        if self._has_hold_samples or not waiting:
+            return self.mean_hold_s
         return statistics.fmean(item.cost_s for item in waiting)
 
-    def _usual_prefill_s(
+    def _expected_prefill_s(
         self, waiting: list[queue.Waiting], prefills: list[model.Endpoint]
     ) -> float:
-        # The prompts that wait are known. After some long ones, their mean
-        # would refuse short ones that drain at once.
+        # The lengths of the queued prompts are known. After some long prompts,
+        # the moving average would refuse short ones that drain at once.
         speeds = [
             endpoint.prefill_tokens_per_s
             for endpoint in prefills
@@ -403,12 +453,8 @@
         tokens = statistics.fmean(item.submit.prompt_tokens for item in waiting)
         return min(self.prefill_s, tokens / statistics.fmean(speeds))
 
-    def best_times(self, submit: messages.Submit) -> BestTimes:
-        """Returns what a request takes on free engines.
-
-        Args:
-          submit: The request.
-        """
+    def unloaded_latency(self, submit: messages.Submit) -> UnloadedLatency:
+        """Returns the expected latency of a request on idle engines."""
         prefill_s = min(
             (
                 estimates.prefill_s(
@@ -422,13 +468,13 @@
             ),
             default=0.0,
         )
-        return BestTimes(
+        return UnloadedLatency(
             prefill_s=prefill_s,
             transfer_s=self._transfer_s_per_token * submit.prompt_tokens,
-            token_s=self._token_s,
+            token_interval_s=self._token_interval_s,
             export_ttl_s=self._export_ttl_s,
         )
 
 
-def _state(endpoint: model.Endpoint) -> tuple[str, model.EndpointKind]:
+def _incarnation(endpoint: model.Endpoint) -> tuple[str, model.EndpointKind]:
     return endpoint.life, endpoint.kind
--- a/src/cowsliprill/decisions/pool_set.py
+++ b/src/cowsliprill/decisions/pool_set.py
@@ -1,4 +1,4 @@
-"""All pools of one entry, as the settings and the VM list have them."""
+"""Pools of one scheduler, built from the settings and the VM list."""
 
 import random
 
@@ -17,20 +17,21 @@
 
 
 class PoolSet:
-    """The pools and the engines that this entry uses of each.
+    """All pools, each with the subset of engines that this process uses.
 
     Args:
-      availability_zone: Where the entry is.
-      seed: Tells entries apart.
-      rng: Random numbers.
-      engine_health: What the entry has learnt of the engines.
-      owns_slots: Whether all slots are its own to use.
+      availability_zone: Availability zone in which this process runs.
+      seed: Seed for the choice of engines; it differs between processes.
+      rng: Random number generator.
+      engine_health: Health of the engines as seen by this process.
+      owns_slots: Whether this process alone uses the engines, without leases.
 
     Attributes:
-      by_name: The pools.
-      by_endpoint: The pool of each engine in use.
-      entries: Entry processes in the VM list, at least 1.
-      share: Part of each engine's slots that is its own to use.
+      pools_by_name: The pools.
+      pools_by_endpoint: Pool of each engine in use, by endpoint id.
+      entry_count: Number of entry processes that share the slots, at least 1.
+      slot_fraction: Fraction of each engine's slots that may be used if
+        `owns_slots` is set.
     """
 
     def __init__(
@@ -43,95 +44,96 @@
         owns_slots: bool = False,
     ) -> None:
         self._owns_slots = owns_slots
-        self.share = 1.0
-        self.by_name: dict[str, pools.Pool] = {}
-        self.by_endpoint: dict[str, pools.Pool] = {}
-        self.entries = 1
+        self.slot_fraction = 1.0
+        self.pools_by_name: dict[str, pools.Pool] = {}
+        self.pools_by_endpoint: dict[str, pools.Pool] = {}
+        self.entry_count = 1
         self._availability_zone = availability_zone
         self._seed = seed
         self._random = rng
         self._health = engine_health
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
-        """Takes over new settings or a new VM list.
+        """Applies new settings or a new VM list.
 
         Args:
-          snapshot: The settings in force.
-          fleet: The VM list with news.
+          snapshot: Settings in force.
+          fleet: VM list with the endpoints that are leaving or changing role.
         """
-        processes = sum(
+        entry_processes = sum(
             len(vm.entry_ports) or 1
             for vm in fleet.vms_by_id.values()
             if vm.role is model.VmRole.ENTRY
         )
-        self.entries = 1 if self._owns_slots else max(processes, 1)
+        self.entry_count = 1 if self._owns_slots else max(entry_processes, 1)
         shares_by_customer = shares.Shares(snapshot.customers_by_id)
         kinds_by_pool: dict[str, _EndpointsByKind] = {}
-        # A changing engine turns away whatever comes. Prompts sent there before
-        # the registry told of it cost each of their callers its only attempt.
+        # An engine that changes its role rejects all requests. A prompt that
+        # is sent there can use up the only attempt of its request.
         unusable = fleet.leaving_endpoint_ids | fleet.changing_endpoint_ids
         for endpoint in snapshot.endpoints_by_id.values():
             if endpoint.id not in unusable:
                 kinds = kinds_by_pool.setdefault(endpoint.pool, {})
                 kinds.setdefault(endpoint.kind, []).append(endpoint)
-        self.by_endpoint = {}
-        for name in kinds_by_pool.keys() | self.by_name.keys():
+        self.pools_by_endpoint = {}
+        for name in kinds_by_pool.keys() | self.pools_by_name.keys():
             pool = self._pool(name)
             pool.shares_by_customer = shares_by_customer
             self._set_engines(pool, kinds_by_pool.get(name, {}))
-        self._health.forget_except(set(self.by_endpoint))
+        self._health.forget_except(set(self.pools_by_endpoint))
 
     def use_fallback(self, endpoint_ids: tuple[str, ...]) -> None:
-        """Allows a small share of engines whose home can't be reached.
+        """Allows some slots without a lease if the coordinator is unreachable.
 
-        It is half of an equal share: entries that still reach the home may
-        hold the rest, and the engine refuses what is too much.
+        Each entry process may use half of an equal share. Entry processes that
+        still reach the coordinator may have leased the other slots; the engine
+        rejects requests beyond its capacity.
 
         Args:
-          endpoint_ids: The engines.
+          endpoint_ids: Endpoints whose coordinator can't be reached.
         """
         for endpoint_id in endpoint_ids:
-            pool = self.by_endpoint.get(endpoint_id)
+            pool = self.pools_by_endpoint.get(endpoint_id)
             endpoint = pool and pool.endpoints_by_id.get(endpoint_id)
             if pool and endpoint:
-                share = endpoint.slots // (2 * self.entries)
+                share = endpoint.slots // (2 * self.entry_count)
                 pool.holding(endpoint_id).fallback = max(share, 1)
 
     def _pool(self, name: str) -> pools.Pool:
-        pool = self.by_name.get(name)
+        pool = self.pools_by_name.get(name)
         if pool is None:
             pool = pools.Pool(self._random, self._health)
-            self.by_name[name] = pool
+            self.pools_by_name[name] = pool
         return pool
 
     def _set_engines(self, pool: pools.Pool, kinds: _EndpointsByKind) -> None:
         pool.set_engines(
-            self._used(kinds, model.EndpointKind.PREFILL),
-            self._used(kinds, model.EndpointKind.DECODE),
+            self._usable(kinds, model.EndpointKind.PREFILL),
+            self._usable(kinds, model.EndpointKind.DECODE),
         )
         for endpoint_id in pool.holdings_by_endpoint:
-            self.by_endpoint[endpoint_id] = pool
+            self.pools_by_endpoint[endpoint_id] = pool
         if self._owns_slots:
-            self._own(pool)
+            self._assign_slots(pool)
 
-    def _used(
+    def _usable(
         self, kinds: _EndpointsByKind, kind: model.EndpointKind
     ) -> list[model.Endpoint]:
         found = kinds.get(kind, [])
         if self._owns_slots:
-            # Nobody else uses those that this one would leave out.
+            # No other process would use engines that are left out here.
             return sorted(found, key=lambda endpoint: endpoint.id)
         return subset.choose(
             found, _LIMITS_BY_KIND[kind], self._seed, self._availability_zone
         )
 
-    def _own(self, pool: pools.Pool) -> None:
+    def _assign_slots(self, pool: pools.Pool) -> None:
         for endpoint in pool.endpoints_by_id.values():
-            slots = int(endpoint.slots * self.share)
+            slots = int(endpoint.slots * self.slot_fraction)
             pool.holding(endpoint.id).own(slots)
 
-    def set_share(self, share: float) -> None:
-        """Sets the part of each engine's slots that is its own to use."""
-        self.share = share
-        for pool in self.by_name.values():
-            self._own(pool)
+    def set_slot_fraction(self, slot_fraction: float) -> None:
+        """Sets the fraction of each engine's slots that may be used."""
+        self.slot_fraction = slot_fraction
+        for pool in self.pools_by_name.values():
+            self._assign_slots(pool)
--- a/src/cowsliprill/decisions/prospects.py
+++ b/src/cowsliprill/decisions/prospects.py
@@ -1,4 +1,4 @@
-"""Whether a request that waits will have its turn while it is of use."""
+"""Admission control: whether a request is expected to start in time."""
 
 import dataclasses
 
@@ -7,111 +7,124 @@
 from cowsliprill.decisions import queue
 from cowsliprill.decisions import requests
 
-# Part of the time a request may wait that a queue may take without anyone
-# being turned away for lack of room.
-_EASY_WAIT = 0.1
+# If the expected wait is below this fraction of the time left to the start
+# deadline, requests are admitted without a check of demand against capacity.
+_SHORT_WAIT_FRACTION = 0.1
 
-# Part of a pool that late requests get at the least while those in time would
-# fill it. Each that is served late then has another one be late.
-_ROOM_NOW = 0.05
+# Least fraction of a pool's capacity for late requests while requests in time
+# would fill the pool. Under full load each late request that is served makes
+# another request late.
+_MIN_LATE_FRACTION = 0.05
 
-# The same for callers that are told to come back: by then the load has changed.
-_ROOM_LATER = 0.3
+# Least fraction of a pool's capacity that is expected for retries of refused
+# requests. It is larger because the load will have changed by then.
+_MIN_RETRY_FRACTION = 0.3
 
-# Overload lasts some seconds, and callers that come back before its end are
-# refused again. The queue is short all the while: late requests don't wait.
-_OVERLOAD_S = 6.0
+# Overload lasts some seconds, and clients that retry before its end are refused
+# again. The queue length doesn't show an overload, as late requests are refused
+# and so the queue stays short.
+_OVERLOAD_BACKOFF_S = 6.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Room:
-    """What the requests in time leave of a pool.
+class SpareCapacity:
+    """Capacity of a pool that requests in time leave.
 
     Attributes:
-      left: Part of the pool, negative where they ask for more than all of it.
+      fraction: Fraction of the pool's capacity, negative if requests in time
+        need more than all of it.
     """
 
-    left: float
+    fraction: float
 
     @property
-    def for_waiting(self) -> float:
-        """Part of the pool for late requests that wait."""
-        return max(self.left, _ROOM_NOW)
+    def for_late_requests(self) -> float:
+        """Fraction of the capacity for late requests in the queue."""
+        return max(self.fraction, _MIN_LATE_FRACTION)
 
     @property
-    def for_returning(self) -> float:
-        """Part of the pool for callers that come back."""
-        return max(self.left, _ROOM_LATER)
+    def for_retries(self) -> float:
+        """Fraction of the capacity for retries of refused requests."""
+        return max(self.fraction, _MIN_RETRY_FRACTION)
 
     @property
-    def overload_s(self) -> float:
-        """How long callers should stay away for an overload, in seconds."""
-        return _OVERLOAD_S if self.left <= 0 else 0.0
+    def overload_backoff_s(self) -> float:
+        """Least retry-after in seconds, 0 if the pool isn't overloaded."""
+        return _OVERLOAD_BACKOFF_S if self.fraction <= 0 else 0.0
 
 
-def demand_item(request: requests.Request, now: float) -> demand.Item:
-    """Returns what a request asks for of its pool."""
+def request_demand(
+    request: requests.Request, now: float
+) -> demand.RequestDemand:
+    """Returns the demand of a request on its pool, which arrives now."""
     service = request.submit.service
-    return demand.Item(
-        at=now,
+    return demand.RequestDemand(
+        arrived_at=now,
         customer=request.submit.customer,
         priority=request.submit.priority,
         cost_s=request.cost_s * request.slots,
-        worth=service.goodput_weight * request.worth,
+        value=service.goodput_weight * request.value,
     )
 
 
 def fits(
-    request: requests.Request, item: demand.Item, now: float, entries: int
+    request: requests.Request,
+    item: demand.RequestDemand,
+    now: float,
+    entry_count: int,
 ) -> bool:
-    """Returns whether a request that has to wait is worth its wait.
+    """Returns whether a request that can't start now should be queued.
 
     Args:
       request: The request.
-      item: What it asks for.
-      now: Time, seconds.
-      entries: Entry processes that share the pool by its slots.
+      item: Its demand.
+      now: Current time in seconds.
+      entry_count: Number of entry processes that share the pool's slots.
     """
     pool = request.pool
     backlog = pool.backlog(item.priority)
     if not backlog.is_scarce():
         return True
-    # A burst after a calm time looks like more than fits, since answers'
-    # lengths aren't learnt yet. A queue that drains long before its
-    # requests' time is over is no reason to turn callers away.
-    patience_s = request.latest_start - now
-    if backlog.wait_s() < patience_s * _EASY_WAIT:
+    # A burst after little traffic may seem to exceed the capacity, as output
+    # lengths aren't known yet. A queue that drains long before its requests'
+    # deadlines is no reason to refuse any.
+    time_left_s = request.start_deadline - now
+    if backlog.wait_s() < time_left_s * _SHORT_WAIT_FRACTION:
         return True
-    slots = pool.slots() / entries
+    slots = pool.slots() / entry_count
     return pool.demand.fits(item, slots, pool.shares_by_customer)
 
 
 def wait_s(
-    pool: pools.Pool, last: queue.Waiting, now: float, entries: int
+    pool: pools.Pool, last: queue.Waiting, now: float, entry_count: int
 ) -> float:
-    """Returns how long the last request of a queue will wait.
+    """Returns the expected wait of the last request of a queue, in seconds.
 
-    Late ones are only served with what is left beside those that arrive
-    meanwhile. Counting on the whole pool would let them wait for nothing.
+    Late requests get only the capacity that new requests in time leave. An
+    estimate from the whole capacity would let them wait in vain.
 
     Args:
       pool: The pool.
-      last: The request.
-      now: Time, seconds.
-      entries: Entry processes that share the pool by its slots.
+      last: The last request of its queue.
+      now: Current time in seconds.
+      entry_count: Number of entry processes that share the pool's slots.
     """
-    drained_s = pool.backlog(last.submit.priority).wait_s()
+    drain_s = pool.backlog(last.submit.priority).wait_s()
     if not last.late:
-        return drained_s
-    return drained_s / room(pool, now, entries).for_waiting
+        return drain_s
+    return drain_s / spare_capacity(pool, now, entry_count).for_late_requests
 
 
-def room(pool: pools.Pool, now: float, entries: int) -> Room:
-    """Returns what the requests in time leave of a pool.
+def spare_capacity(
+    pool: pools.Pool, now: float, entry_count: int
+) -> SpareCapacity:
+    """Returns the capacity of a pool that requests in time leave.
 
     Args:
       pool: The pool.
-      now: Time, seconds.
-      entries: Entry processes that share the pool by its slots.
+      now: Current time in seconds.
+      entry_count: Number of entry processes that share the pool's slots.
     """
-    return Room(1.0 - pool.demand.load(now, pool.slots() / entries))
+    return SpareCapacity(
+        1.0 - pool.demand.load(now, pool.slots() / entry_count)
+    )
--- a/src/cowsliprill/decisions/queue.py
+++ b/src/cowsliprill/decisions/queue.py
@@ -1,9 +1,9 @@
-"""The entry's queue of requests that wait for slots.
+"""Queue of requests that wait for slots, with fair sharing by customer.
 
-Requests of one customer are ordered by priority and by the time left to their
-target: each level of priority is worth a fixed number of seconds, so that a
-low-priority request that waits long enough goes first, and none starves.
-Between customers, those below their fair share of running work go first.
+Requests of one customer are ordered by start deadline and priority. Each
+priority level counts as a fixed number of seconds, so that a low-priority
+request that has waited long enough goes first and none starves. Between
+customers, those at or below their fair share of running requests go first.
 """
 
 import bisect
@@ -13,8 +13,8 @@
 
 from cowsliprill.decisions import messages
 
-# Seconds of waiting that outweigh one level of priority.
-PRIORITY_WORTH_S = 30.0
+# Seconds of start deadline that one priority level counts as.
+PRIORITY_LEVEL_S = 30.0
 
 
 _Key = tuple[bool, float, int]
@@ -22,40 +22,42 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Waiting:
-    """A request that waits.
+    """A queued request.
 
     Attributes:
       submit: The request.
-      latest_start: When starting it would be too late for its target.
-      cost_s: Decode slot time it is expected to take.
-      size_worth: Seconds of waiting that a second of `cost_s` outweighs.
-      slots: Slots of a decode engine that it takes.
-      late: Whether its target is missed and its answer only of some use.
+      start_deadline: Latest start that meets its TTFT target. For a late
+        request, the latest start at which its response is of use.
+      cost_s: Expected time in seconds for which it holds its slots, scaled by
+        their number relative to the mean request and divided by its value.
+      cost_weight: Seconds by which each second of `cost_s` moves the request
+        back in the queue.
+      slots: Decode slots that it takes.
+      late: Whether it misses its TTFT target but its response is of use.
     """
 
     submit: messages.Submit
-    latest_start: float
+    start_deadline: float
     cost_s: float
-    size_worth: float = 0.0
+    cost_weight: float = 0.0
     slots: int = 1
     late: bool = False
 
     def key(self) -> _Key:
-        """Returns its place in the order, small first.
+        """Returns the sort key, smallest first.
 
-        Those that can still meet their targets go before those that can't,
-        whose answers are worth a part of it.
+        Late requests come last, as their responses have less value.
         """
-        priority = self.submit.priority * PRIORITY_WORTH_S
+        priority = self.submit.priority * PRIORITY_LEVEL_S
         return (self.late, self.urgency() - priority, self.submit.request_id)
 
     def urgency(self) -> float:
-        """Returns the latest start, put off for long requests."""
-        return self.latest_start + self.cost_s * self.size_worth
+        """Returns the start deadline plus a penalty for expensive requests."""
+        return self.start_deadline + self.cost_s * self.cost_weight
 
 
 class WaitingQueue:
-    """Waiting requests of one pool, by customer."""
+    """Queued requests of one pool, sorted for each customer."""
 
     def __init__(self) -> None:
         self._waiting_by_id: dict[int, Waiting] = {}
@@ -74,7 +76,7 @@
         bisect.insort(keys, waiting.key())
 
     def remove(self, request_id: int) -> Waiting | None:
-        """Removes a request, and returns it if it was waiting."""
+        """Removes a request and returns it, or None if it isn't queued."""
         waiting = self._waiting_by_id.pop(request_id, None)
         if waiting is None:
             return None
@@ -86,24 +88,26 @@
         return waiting
 
     def wants(self) -> tuple[tuple[str, int], ...]:
-        """Returns the number of waiting requests of each customer."""
+        """Returns pairs of a customer and its number of queued requests."""
         return tuple(
             (customer, len(keys))
             for customer, keys in self._keys_by_customer.items()
         )
 
     def customers(self) -> list[str]:
-        """Returns the customers with waiting requests."""
+        """Returns the customers with queued requests."""
         return list(self._keys_by_customer)
 
     def first(self, over_share: Callable[[str], float]) -> Waiting | None:
         """Returns the request to place next.
 
         Args:
-          over_share: How far a customer is above its fair share, 0 if it isn't.
+          over_share: Returns how far a customer is above its fair share, 0 if
+            it isn't.
 
         Returns:
-          The first request of the customer that comes first, None if empty.
+          The first request of the customer that comes first, or None if the
+          queue is empty.
         """
         customer = min(
             self._keys_by_customer,
@@ -116,7 +120,14 @@
         return None if customer is None else self._at(customer, 0)
 
     def last(self, over_share: Callable[[str], float]) -> Waiting | None:
-        """Returns the request to give up first, the opposite of `first`."""
+        """Returns the request to shed first, the last in the order of `first`.
+
+        Args:
+          over_share: As for `first`.
+
+        Returns:
+          The request, or None if the queue is empty.
+        """
         customer = max(
             self._keys_by_customer,
             key=lambda name: (
@@ -127,19 +138,19 @@
         )
         return None if customer is None else self._at(customer, -1)
 
-    def soonest_latest_start(self) -> float:
-        """Returns when the next request becomes too late."""
+    def earliest_start_deadline(self) -> float:
+        """Returns the earliest start deadline, infinite for an empty queue."""
         return min(
-            (item.latest_start for item in self._waiting_by_id.values()),
+            (item.start_deadline for item in self._waiting_by_id.values()),
             default=float("inf"),
         )
 
-    def too_late(self, now: float) -> list[Waiting]:
-        """Returns the requests whose targets can't be met any more."""
+    def past_deadline(self, now: float) -> list[Waiting]:
+        """Returns the requests whose start deadline has passed."""
         return [
             item
             for item in self._waiting_by_id.values()
-            if item.latest_start <= now
+            if item.start_deadline <= now
         ]
 
     def _at(self, customer: str, index: int) -> Waiting:
--- a/src/cowsliprill/decisions/requests.py
+++ b/src/cowsliprill/decisions/requests.py
@@ -1,4 +1,4 @@
-"""What a scheduler remembers of a request."""
+"""State that a scheduler keeps of each request, and the retry decision."""
 
 import dataclasses
 
@@ -7,53 +7,60 @@
 from cowsliprill.decisions import pool as pools
 from cowsliprill.decisions import retry
 
-# Each of these waits for a new grant, so that this many are no matter of a
-# lapsed lease any more.
-_UNSENT_MAX = 8
+# Attempts that were never sent and don't count as retries. Each waits for a new
+# lease, so more of them have another cause than an expired lease.
+_MAX_FREE_UNSENT_ATTEMPTS = 8
 
-# Requests start late enough to miss their targets when others are before them
-# at the prefill engine or on the link. This multiple of the mean delay that
-# this costs is kept in hand.
-_DELAY_MARGIN = 2.0
+# Queueing at the prefill engine and on the link delays first tokens. Start
+# deadlines are earlier by this multiple of the mean delay, or requests would
+# start too late to meet their targets.
+_DELAY_MARGIN_FACTOR = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
     """A request from its arrival to its end.
 
+    All times are in seconds on the scheduler's clock.
+
     Attributes:
-      submit: The request.
-      unhindered_start: When starting it would be too late if nobody else
-        were there.
-      latest_start: When starting it would be too late.
-      last_start: When starting it would be too late for any use.
-      first_token_s: Least time to its first token.
-      cost_s: Decode slot time that it is expected to cost.
-      worth: What its answer is worth, about 1 for a usual one.
+      submit: The request as submitted.
+      unloaded_start_deadline: Latest start that meets the TTFT target on idle
+        engines.
+      start_deadline: Latest start that is expected to meet the TTFT target,
+        bounded by the service's `may_wait_s`.
+      useful_start_deadline: Latest start at which the response is still of use
+        to the client.
+      min_ttft_s: Expected TTFT on idle engines.
+      cost_s: Expected time for which it holds its decode slots, plus a penalty
+        for the risk of a wasted prefill.
+      value: Value of its response, about 1 for a request of average size.
       pool: Its pool.
-      slots: Slots of a decode engine that it takes.
-      stage: Where it is.
-      attempt: Number of the newest attempt.
-      unsent: Attempts that no engine has heard of.
+      slots: Decode slots that it takes.
+      stage: Its present stage.
+      attempt: Number of the newest attempt, -1 before the first.
+      unsent: Number of attempts that failed before they reached an engine.
       prefill: Prefill engine of the newest attempt.
       decode: Decode engine of the newest attempt.
       started_at: When the newest attempt began.
-      expected_s: Time that its prefill takes at the engine's usual speed.
-      uncached: Tokens of its prompt that had to be read.
-      alone_number: Number of its prompt at the prefill engine, None if another
-        one was there when it began.
+      expected_prefill_s: Expected duration of its prefill, without the
+        slowdown recorded for the engine.
+      uncached_tokens: Prompt tokens that were not in the engine's prefix cache.
+      solo_prompt_number: Sequence number of its prompt at the prefill engine,
+        None if the engine had other prompts when it began.
       stage_at: When its present stage began.
-      kept_until: Until when a finished prefill of it waits at `prefill`.
-      probed: Endpoints that its newest attempt tries again.
+      export_expires_at: Until when `prefill` keeps the exported KV cache of a
+        finished prefill, 0 if there is none.
+      probed_ids: Ids of ejected endpoints that the newest attempt probes.
     """
 
     submit: messages.Submit
-    unhindered_start: float
-    latest_start: float
-    last_start: float
-    first_token_s: float
+    unloaded_start_deadline: float
+    start_deadline: float
+    useful_start_deadline: float
+    min_ttft_s: float
     cost_s: float
-    worth: float
+    value: float
     pool: pools.Pool
     slots: int = 1
     stage: messages.Stage = messages.Stage.QUEUED
@@ -62,66 +69,69 @@
     prefill: model.Endpoint | None = None
     decode: model.Endpoint | None = None
     started_at: float = 0.0
-    expected_s: float = 1.0
-    uncached: int = 0
-    alone_number: int | None = None
+    expected_prefill_s: float = 1.0
+    uncached_tokens: int = 0
+    solo_prompt_number: int | None = None
     stage_at: float = 0.0
-    kept_until: float = 0.0
-    probed: tuple[str, ...] = ()
+    export_expires_at: float = 0.0
+    probed_ids: tuple[str, ...] = ()
 
 
-def arrived(submit: messages.Submit, pool: pools.Pool, now: float) -> Request:
-    """Makes a request of what has arrived, and learns its size.
+def from_submit(
+    submit: messages.Submit, pool: pools.Pool, now: float
+) -> Request:
+    """Creates the state of a new request and records its size in its pool.
 
     Args:
-      submit: What has arrived.
+      submit: The submitted request.
       pool: Its pool.
-      now: Time, seconds.
+      now: Current time in seconds.
 
     Returns:
-      The request.
+      The request, not yet queued.
     """
-    times = pool.best_times(submit)
-    first_token_s = times.first_token_s()
-    unhindered_start = submit.deadline - first_token_s
-    latest_start = min(
-        unhindered_start - pool.start_delay_s * _DELAY_MARGIN,
+    times = pool.unloaded_latency(submit)
+    min_ttft_s = times.min_ttft_s()
+    unloaded_start_deadline = submit.deadline - min_ttft_s
+    start_deadline = min(
+        unloaded_start_deadline
+        - pool.first_token_delay_s * _DELAY_MARGIN_FACTOR,
         now + submit.service.may_wait_s,
     )
-    last_start = latest_start
+    useful_start_deadline = start_deadline
     if submit.useful_until:
-        last_start = submit.useful_until - first_token_s
+        useful_start_deadline = submit.useful_until - min_ttft_s
     slots = pool.slots_for(submit)
-    pool.learn_slots(slots)
-    pool.learn_work(submit, slots, first_token_s, now)
-    pool.learn_prompt(submit.prompt_tokens)
-    tokens = pool.lengths.expected_tokens(submit)
-    pool.worths.learn(submit, tokens)
+    pool.record_slots(slots)
+    pool.record_work(submit, slots, min_ttft_s, now)
+    pool.record_prompt_tokens(submit.prompt_tokens)
+    tokens = pool.output_lengths.expected_tokens(submit)
+    pool.request_values.record(submit, tokens)
     return Request(
         submit=submit,
-        unhindered_start=unhindered_start,
-        latest_start=latest_start,
-        last_start=last_start,
-        first_token_s=first_token_s,
+        unloaded_start_deadline=unloaded_start_deadline,
+        start_deadline=start_deadline,
+        useful_start_deadline=useful_start_deadline,
+        min_ttft_s=min_ttft_s,
         cost_s=_cost_s(pool, submit, times),
-        worth=pool.worths.of(submit, tokens),
+        value=pool.request_values.of(submit, tokens),
         pool=pool,
         slots=slots,
     )
 
 
-def adopted(
+def from_adopt(
     event: messages.Adopt, pool: pools.Pool, now: float
 ) -> Request | None:
-    """Makes a request of one that another scheduler has placed.
+    """Creates the state of a running request that another scheduler placed.
 
     Args:
-      event: What its entry says of it.
+      event: The request and its placement, as the entry process reports them.
       pool: Its pool.
-      now: Time, seconds.
+      now: Current time in seconds.
 
     Returns:
-      The request, None if its decode engine isn't in use any more.
+      The request, or None if its decode engine is no longer in use.
     """
     submit, start = event.submit, event.start
     decode = pool.endpoints_by_id.get(start.decode_id)
@@ -129,18 +139,19 @@
         return None
     return Request(
         submit=submit,
-        unhindered_start=now,
-        latest_start=now,
-        last_start=submit.useful_until or now,
-        first_token_s=pool.best_times(submit).first_token_s(),
+        unloaded_start_deadline=now,
+        start_deadline=now,
+        useful_start_deadline=submit.useful_until or now,
+        min_ttft_s=pool.unloaded_latency(submit).min_ttft_s(),
         cost_s=0.0,
-        worth=1.0,
+        value=1.0,
         pool=pool,
         slots=start.slots,
         stage=event.stage,
         attempt=start.attempt,
-        # The prefill engine may have left since; its part is done. Without
-        # one the memory that the answer takes would not be counted.
+        # The prefill engine may be gone after its work is done. The decode
+        # engine stands in for it, or the memory that the output takes would
+        # not be counted.
         prefill=pool.endpoints_by_id.get(start.prefill_id, decode),
         decode=decode,
         started_at=now,
@@ -148,56 +159,56 @@
     )
 
 
-def why_not_again(
+def check_retry(
     request: Request,
     event: messages.AttemptFailed,
     budgets: retry.RetryBudgets,
     now: float,
 ) -> messages.RefusalCode | None:
-    """Decides whether a failed request is tried again.
+    """Decides whether a failed request is retried.
 
     Args:
       request: The request.
-      event: How its newest attempt failed.
-      budgets: Budgets of retries; one is spent if it is tried again.
-      now: Time, seconds.
+      event: Failure of its newest attempt.
+      budgets: Retry budgets; a retry is deducted from the service's budget.
+      now: Current time in seconds.
 
     Returns:
-      Why it is refused, None if it is tried again.
+      The code with which it must be refused, or None if it may be retried.
     """
     service = request.submit.service
     repeatable = service.idempotency is model.Idempotency.REPEATABLE
     if not repeatable and not (event.refused or event.not_run):
         return messages.RefusalCode.ENDPOINT_FAILED
-    # An attempt that no engine has heard of adds no load. Counted as a retry,
-    # a busy moment in which leases lapse would spend the budget and refuse
-    # callers whose engines are well.
-    if event.unsent and request.unsent < _UNSENT_MAX:
+    # An attempt that never reached an engine adds no load. If it counted as a
+    # retry, a load spike in which leases expire would use up the budget and
+    # refuse requests although the engines are healthy.
+    if event.unsent and request.unsent < _MAX_FREE_UNSENT_ATTEMPTS:
         request.unsent += 1
-        late = request.last_start <= now
+        late = request.useful_start_deadline <= now
         return messages.RefusalCode.WAITED_TOO_LONG if late else None
-    made = request.attempt + 1 - request.unsent
-    if made >= service.retries.attempts:
+    attempts_made = request.attempt + 1 - request.unsent
+    if attempts_made >= service.retries.attempts:
         return messages.RefusalCode.ENDPOINT_FAILED
-    if request.last_start <= now:
+    if request.useful_start_deadline <= now:
         return messages.RefusalCode.ENDPOINT_FAILED
-    if not budgets.of(service).spend(made):
+    if not budgets.of(service).spend(attempts_made):
         return messages.RefusalCode.RETRY_BUDGET_SPENT
     return None
 
 
 def _cost_s(
-    pool: pools.Pool, submit: messages.Submit, times: pools.BestTimes
+    pool: pools.Pool, submit: messages.Submit, times: pools.UnloadedLatency
 ) -> float:
-    """Returns the decode slot time that a request is expected to cost.
+    """Returns the expected decode slot time of a request, in seconds.
 
-    Its slot is held from the start of the prefill on. A transfer that
-    takes much of the time for which its prefill is kept may come too
-    late, the more so the more links are shared; the service says how much
-    an unused prefill matters.
+    The slots are held from the start of the prefill. A transfer that takes
+    much of the time for which the prefill engine keeps the KV cache may miss
+    it, the more so the more transfers share a link. The cost grows with this
+    risk, weighted by the service's `wasted_prefill_weight`.
     """
-    tokens = pool.lengths.expected_tokens(submit)
-    held_s = times.first_token_s() + tokens * times.token_s
+    tokens = pool.output_lengths.expected_tokens(submit)
+    hold_s = times.min_ttft_s() + tokens * times.token_interval_s
     risk = times.transfer_s / times.export_ttl_s
     weight = submit.service.wasted_prefill_weight
-    return held_s * (1 + weight * risk)
+    return hold_s * (1 + weight * risk)
--- a/src/cowsliprill/decisions/scheduler.py
+++ b/src/cowsliprill/decisions/scheduler.py
@@ -1,9 +1,10 @@
-"""The entry's scheduler of model requests.
+"""Scheduler that places model requests on prefill and decode engines.
 
-Pure state machine: `messages.Event` in, `messages.Action` out. A request is
-started only while a decode slot and a prefill slot are leased for it; it is
-refused as soon as its target can't be met. Each submitted request ends in
-exactly one of: `Refuse`, or the shell's `Finished` or `Cancel`.
+Pure state machine without I/O: takes `messages.Event`, returns
+`messages.Action`. A request is started only while slots of a decode engine and
+of a prefill engine are leased for it, and is refused as soon as its TTFT target
+can't be met. Each submitted request ends in exactly one of: the action
+`Refuse`, the event `Finished` or the event `Cancel`.
 """
 
 import random
@@ -24,35 +25,36 @@
 from cowsliprill.decisions import retry
 from cowsliprill.decisions import slot_asks
 
-_IDLE_WAKEUP_S = 0.5
+_MAX_WAKEUP_INTERVAL_S = 0.5
 
-# A caller waits in the queue only if the backlog is expected to drain within
-# this multiple of the time it has.
-_ADMIT_FACTOR = 1.0
+# A request stays in the queue only if the backlog is expected to drain within
+# this multiple of the time left to its start deadline.
+_ADMISSION_WAIT_FACTOR = 1.0
 
-# How many seconds of waiting a second of expected decode time outweighs.
-_SIZE_WORTH = 3.0
+# Seconds by which each second of expected decode slot time moves a request
+# back in the queue.
+_COST_WEIGHT = 3.0
 
-# A caller whose stream stands still gives it up after about this time, so a
-# stream that can't go on elsewhere by then is better ended.
-_RESUME_WITHIN_S = 2.0
+# Clients drop a stalled stream after about this time, so a stream that can't
+# be resumed on another engine by then is ended.
+_RESUME_TIMEOUT_S = 2.0
 
 
-# How long an engine that said it was full isn't asked again, unless one of its
-# requests ends before. Answers there have grown beyond what was expected. Asked
-# with each request that waits, it would turn one after the other away, and
-# their prefills would be wasted.
-_FULL_S = 0.5
+# Time for which an engine that reported itself full gets no new requests,
+# unless one of its requests ends earlier. Outputs there have grown longer than
+# expected; if each waiting request were tried on it, all would be rejected and
+# their prefills wasted.
+_FULL_ENGINE_BACKOFF_S = 0.5
 
 
 class Scheduler:
-    """Places the model requests of one entry process.
+    """Places model requests on the engines of all pools.
 
     Args:
-      availability_zone: Where this process runs.
-      seed: Seed of its random numbers.
-      owns_slots: Whether all slots of the engines are its own to use, so that
-        none are asked for.
+      availability_zone: Availability zone in which this process runs.
+      seed: Seed of the random number generator.
+      owns_slots: Whether this scheduler alone uses the engines, so that it
+        needs no slot leases.
     """
 
     def __init__(
@@ -67,20 +69,20 @@
         self._owns_slots = owns_slots
         self._learning = learning.Learning(self._health)
         self._chooser = chooser.Chooser(availability_zone, self._health)
-        self._budgets = retry.RetryBudgets()
+        self._retry_budgets = retry.RetryBudgets()
         self._sequence = 0
 
     def handle(
         self, event: messages.Event, now: float
     ) -> list[messages.Action]:
-        """Takes one event.
+        """Handles one event.
 
         Args:
-          event: What happened.
-          now: Time, seconds, on the clock of all other times here.
+          event: The event.
+          now: Current time in seconds, on the clock of all times in events.
 
         Returns:
-          What the shell has to do, in order.
+          Actions that the I/O layer must perform, in order.
         """
         match event:
             case messages.Submit():
@@ -98,45 +100,51 @@
             case messages.Finished():
                 return self._finished(event, now)
             case messages.AttemptFailed():
-                return self._failed(event, now)
+                return self._attempt_failed(event, now)
             case messages.SlotGrant():
-                return self._granted(event, now)
+                return self._slots_granted(event, now)
             case messages.HomeUnreachable(endpoint_ids):
                 return self._home_unreachable(endpoint_ids, now)
             case messages.WorldChanged(snapshot, fleet):
                 return self._world_changed(snapshot, fleet, now)
             case messages.Tick():
-                return self._advance_all(now)
+                return self._schedule_all(now)
 
     def engines(self, pool: str) -> int:
-        """Returns how many engines of a pool are in use."""
-        known = self._pools.by_name.get(pool)
-        return len(known.endpoints_by_id) if known else 0
+        """Returns the number of engines of a pool in use."""
+        pool_state = self._pools.pools_by_name.get(pool)
+        return len(pool_state.endpoints_by_id) if pool_state else 0
 
     def standing(self, pool: str) -> pools.Standing | None:
-        """Returns how full a pool is, None if it isn't known."""
-        known = self._pools.by_name.get(pool)
-        return known.standing() if known else None
+        """Returns the load of a pool, or None if the pool is unknown."""
+        pool_state = self._pools.pools_by_name.get(pool)
+        return pool_state.standing() if pool_state else None
 
     def prompt_part(self, pool: str) -> float | None:
-        """Returns the part of a pool's work that prompts are, if known."""
-        known = self._pools.by_name.get(pool)
-        return known.prompt_part() if known else None
+        """Returns the fraction of a pool's engine time spent on prefills.
+
+        Returns:
+          The fraction, or None if the pool is unknown or too few requests
+          were recorded.
+        """
+        pool_state = self._pools.pools_by_name.get(pool)
+        return pool_state.prompt_part() if pool_state else None
 
     def asks(self, now: float) -> list[messages.SlotAsk]:
-        """States this entry's standing with every endpoint it uses.
+        """Returns this process's slot demand at each endpoint it uses.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          One ask per endpoint; the shell sends them to the homes, at each
-          renewal and whenever `handle` returns some.
+          One request for slots per endpoint. The I/O layer sends them to the
+          endpoints' coordinators at each lease renewal, as it does with those
+          that `handle` returns.
         """
         self._sequence += 1
         return [
             ask
-            for pool in self._pools.by_name.values()
+            for pool in self._pools.pools_by_name.values()
             for ask in self._asks_of(pool, now, only_urgent=False)
         ]
 
@@ -147,83 +155,90 @@
         return stated.state(now, self._sequence, only_urgent=only_urgent)
 
     def next_wakeup(self, now: float) -> float:
-        """Returns the time at which the shell must send `Tick`."""
-        soonest = min(
+        """Returns the time at which the I/O layer must send `Tick`."""
+        earliest = min(
             (
-                pool.queue.soonest_latest_start()
-                for pool in self._pools.by_name.values()
+                pool.queue.earliest_start_deadline()
+                for pool in self._pools.pools_by_name.values()
             ),
-            default=now + _IDLE_WAKEUP_S,
+            default=now + _MAX_WAKEUP_INTERVAL_S,
         )
-        return min(soonest, now + _IDLE_WAKEUP_S)
+        return min(earliest, now + _MAX_WAKEUP_INTERVAL_S)
 
     # Events of one request.
 
     def _submit(
         self, event: messages.Submit, now: float
     ) -> list[messages.Action]:
-        pool = self._pools.by_name.get(event.service.pool)
-        if pool is None or not pool.decodes or not pool.can_read_prompts():
+        pool = self._pools.pools_by_name.get(event.service.pool)
+        if pool is None or not pool.decodes or not pool.can_prefill():
             code = messages.RefusalCode.NO_ENDPOINT
             return [
                 messages.Refuse(
                     request_id=event.request_id,
                     code=code,
-                    retry_after_s=_IDLE_WAKEUP_S,
+                    retry_after_s=_MAX_WAKEUP_INTERVAL_S,
                 )
             ]
-        self._budgets.of(event.service).earn()
-        request = requests.arrived(event, pool, now)
+        self._retry_budgets.of(event.service).earn()
+        request = requests.from_submit(event, pool, now)
         self._requests_by_id[event.request_id] = request
-        if max(request.unhindered_start, request.last_start) < now:
+        if (
+            max(request.unloaded_start_deadline, request.useful_start_deadline)
+            < now
+        ):
             code = messages.RefusalCode.TARGET_UNREACHABLE
             return [self._refuse(request, code, now)]
-        item = prospects.demand_item(request, now)
+        item = prospects.request_demand(request, now)
         pool.demand.add(item)
         self._enqueue(request, now)
         starts = self._place_all(pool, now)
-        waits = request.stage is messages.Stage.QUEUED
-        in_time = request.latest_start > now
-        entries = self._pools.entries
+        is_queued = request.stage is messages.Stage.QUEUED
+        can_meet_target = request.start_deadline > now
+        entry_count = self._pools.entry_count
         if (
-            waits
-            and in_time
-            and not prospects.fits(request, item, now, entries)
+            is_queued
+            and can_meet_target
+            and not prospects.fits(request, item, now, entry_count)
         ):
-            starts.extend(self._step_back(request, now))
-        return starts + self._advance(pool, now)
+            starts.extend(self._demote(request, now))
+        return starts + self._schedule(pool, now)
 
-    def _step_back(
+    def _demote(
         self, request: requests.Request, now: float
     ) -> list[messages.Action]:
-        """Has a request wait behind those that can meet their targets.
+        """Queues a request behind those that can still meet their targets.
+
+        A late response is worth less to the client than one in time, but more
+        than none. If the request is late already, or a late response would be
+        of no use, the request is refused.
 
-        Late, its answer is worth less to its caller, but more than none; where
-        it is of no use then, it is refused.
+        Returns:
+          The refusal, if any.
         """
         request.pool.queue.remove(request.submit.request_id)
-        late = request.latest_start <= now
-        if late or request.last_start <= request.latest_start:
+        late = request.start_deadline <= now
+        if late or request.useful_start_deadline <= request.start_deadline:
             code = messages.RefusalCode.OVERLOADED
             return [self._refuse(request, code, now)]
-        request.latest_start = now
+        request.start_deadline = now
         self._enqueue(request, now)
         return []
 
     def _adopt(
         self, event: messages.Adopt, now: float
     ) -> list[messages.Action]:
-        """Takes over a request that another scheduler has placed."""
-        pool = self._pools.by_name.get(event.submit.service.pool)
-        request = pool and requests.adopted(event, pool, now)
+        """Takes over a running request that another scheduler has placed."""
+        pool = self._pools.pools_by_name.get(event.submit.service.pool)
+        request = pool and requests.from_adopt(event, pool, now)
         if request is None:
             return []
         self._requests_by_id[event.submit.request_id] = request
-        self._take(request)
+        self._acquire_slots(request)
         return []
 
-    def _take(self, request: requests.Request) -> None:
-        """Takes the slots of a request that runs."""
+    def _acquire_slots(self, request: requests.Request) -> None:
+        """Marks the slots of a running request as in use."""
         pool, customer = request.pool, request.submit.customer
         assert request.prefill is not None and request.decode is not None
         if request.stage is messages.Stage.PREFILL:
@@ -233,18 +248,20 @@
 
     def _enqueue(self, request: requests.Request, now: float) -> None:
         request.stage = messages.Stage.QUEUED
-        late = request.latest_start <= now < request.last_start
+        late = request.start_deadline <= now < request.useful_start_deadline
         request.pool.queue.add(
             queue.Waiting(
                 submit=request.submit,
                 late=late,
-                latest_start=(
-                    request.last_start if late else request.latest_start
+                start_deadline=(
+                    request.useful_start_deadline
+                    if late
+                    else request.start_deadline
                 ),
                 cost_s=request.cost_s
-                * (request.slots / request.pool.usual_slots)
-                / request.worth,
-                size_worth=_SIZE_WORTH,
+                * (request.slots / request.pool.mean_slots_per_request)
+                / request.value,
+                cost_weight=_COST_WEIGHT,
                 slots=request.slots,
             )
         )
@@ -259,7 +276,7 @@
         else:
             actions.append(self._cancel_attempt(request))
             self._release(request)
-        return actions + self._advance(request.pool, now)
+        return actions + self._schedule(request.pool, now)
 
     def _prefill_finished(
         self, request_id: int, now: float
@@ -270,18 +287,20 @@
         self._release_prefill(request)
         assert request.prefill is not None
         self._health.answered(request.prefill.id, request.started_at)
-        read_s = now - request.started_at
-        request.pool.learn_prefill_speed(
-            request.prefill.id, read_s / request.expected_s
+        prefill_duration_s = now - request.started_at
+        request.pool.record_prefill_slowdown(
+            request.prefill.id, prefill_duration_s / request.expected_prefill_s
         )
-        # Another prompt beside it makes it slower, the more so the busier the
-        # engine; its time would be taken for the engine's own.
+        # Concurrent prompts slow each other down, the more so the busier the
+        # engine is. Only a prefill that ran alone shows the engine's speed.
         prompts = request.pool.holding(request.prefill.id).prompts
-        if request.alone_number == prompts:
-            request.pool.learn_reading(request.uncached, read_s)
+        if request.solo_prompt_number == prompts:
+            request.pool.record_prefill_speed(
+                request.uncached_tokens, prefill_duration_s
+            )
         request.stage = messages.Stage.TRANSFER
         request.stage_at = now
-        return self._advance(request.pool, now)
+        return self._schedule(request.pool, now)
 
     def _first_token(
         self, request_id: int, now: float
@@ -292,8 +311,8 @@
         self._learning.first_token(request, now)
         request.stage = messages.Stage.DECODE
         request.stage_at = now
-        request.pool.learn_start_delay(
-            now - request.started_at - request.first_token_s
+        request.pool.record_first_token_delay(
+            now - request.started_at - request.min_ttft_s
         )
         return []
 
@@ -316,12 +335,14 @@
             return []
         if request.stage is messages.Stage.DECODE:
             self._learning.pace(request, event.output_tokens, now)
-            request.pool.lengths.learn(request.submit, event.output_tokens)
-            request.pool.learn_hold(now - request.started_at)
+            request.pool.output_lengths.record(
+                request.submit, event.output_tokens
+            )
+            request.pool.record_hold(now - request.started_at)
         self._release(request)
-        return self._advance(request.pool, now)
+        return self._schedule(request.pool, now)
 
-    def _failed(
+    def _attempt_failed(
         self, event: messages.AttemptFailed, now: float
     ) -> list[messages.Action]:
         request = self._requests_by_id.get(event.request_id)
@@ -332,28 +353,28 @@
         streaming = request.stage is messages.Stage.DECODE
         self._release(request)
         if event.refused:
-            # Only now, without the slots of this very request: left free, they
-            # would draw its next attempt to the engine that has no room.
-            until = now + _FULL_S if self._owns_slots else 0.0
+            # This comes after the release of the request's own slots. If they
+            # counted as free, the retry would go to the same full engine.
+            until = now + _FULL_ENGINE_BACKOFF_S if self._owns_slots else 0.0
             request.pool.holding(event.endpoint_id).drop_free(until)
         if streaming and not event.resumable:
-            # Tokens have reached the caller; what becomes of its stream is
-            # the shell's to decide, not ours to start anew.
+            # Tokens have reached the client, so the request can't be retried
+            # from the start. The I/O layer decides how the stream ends.
             del self._requests_by_id[event.request_id]
-            return [cancel, *self._advance(request.pool, now)]
+            return [cancel, *self._schedule(request.pool, now)]
         if event.resumable:
-            request.latest_start = now + _RESUME_WITHIN_S
-            request.last_start = request.latest_start
-        code = requests.why_not_again(request, event, self._budgets, now)
+            request.start_deadline = now + _RESUME_TIMEOUT_S
+            request.useful_start_deadline = request.start_deadline
+        code = requests.check_retry(request, event, self._retry_budgets, now)
         if code is not None:
             return [
                 cancel,
                 self._refuse(request, code, now),
-                *self._advance(request.pool, now),
+                *self._schedule(request.pool, now),
             ]
-        request.kept_until = now + event.kept_s if event.kept_s else 0.0
+        request.export_expires_at = now + event.kept_s if event.kept_s else 0.0
         self._enqueue(request, now)
-        return [cancel, *self._advance(request.pool, now)]
+        return [cancel, *self._schedule(request.pool, now)]
 
     def _cancel_attempt(
         self, request: requests.Request
@@ -370,9 +391,9 @@
         if request.stage is messages.Stage.PREFILL:
             self._release_prefill(request)
         assert request.decode is not None
-        for endpoint_id in request.probed:
+        for endpoint_id in request.probed_ids:
             self._health.probe_ended(endpoint_id)
-        request.probed = ()
+        request.probed_ids = ()
         customer = request.submit.customer
         holding = request.pool.holding(request.decode.id)
         holding.release(customer, request.slots)
@@ -390,68 +411,82 @@
         request_id = request.submit.request_id
         pool.queue.remove(request_id)
         del self._requests_by_id[request_id]
-        entries = self._pools.entries
-        # Whoever comes back is late by then and has what those in time leave.
-        # Told the time in which the whole pool drains, callers of a burst
-        # would come back while it lasts and be refused for good.
-        room = prospects.room(pool, now, entries)
-        slots = max(pool.slots(), 1) / pool.usual_slots
-        part = room.for_returning
-        step_s = pool.hold_s / slots * entries / part
-        wait_s = pool.backlog(request.submit.priority).wait_s() / part
-        away_s = max(wait_s, room.overload_s)
+        entry_count = self._pools.entry_count
+        # A retried request is late and gets only the capacity that requests in
+        # time leave. A retry-after from the drain time of the whole pool would
+        # bring clients back during the same burst, to be refused for good.
+        spare_capacity = prospects.spare_capacity(pool, now, entry_count)
+        slots = max(pool.slots(), 1) / pool.mean_slots_per_request
+        capacity_fraction = spare_capacity.for_retries
+        interval_s = pool.mean_hold_s / slots * entry_count / capacity_fraction
+        wait_s = (
+            pool.backlog(request.submit.priority).wait_s() / capacity_fraction
+        )
+        backoff_s = max(wait_s, spare_capacity.overload_backoff_s)
         return messages.Refuse(
             request_id=request_id,
             code=code,
-            retry_after_s=pool.returns.retry_after_s(now, away_s, step_s),
+            retry_after_s=pool.retry_schedule.retry_after_s(
+                now, backoff_s, interval_s
+            ),
             wait_s=wait_s,
             waiting=len(pool.queue),
         )
 
-    # Events of the world.
+    # Events of leases, configuration and the VM list.
 
-    def _granted(
+    def _slots_granted(
         self, event: messages.SlotGrant, now: float
     ) -> list[messages.Action]:
-        pool = self._pools.by_endpoint.get(event.endpoint_id)
+        pool = self._pools.pools_by_endpoint.get(event.endpoint_id)
         if pool is None:
             return []
         pool.holding(event.endpoint_id).grant(event)
-        return self._advance(pool, now)
+        return self._schedule(pool, now)
 
     def _home_unreachable(
         self, endpoint_ids: tuple[str, ...], now: float
     ) -> list[messages.Action]:
         self._pools.use_fallback(endpoint_ids)
-        return self._advance_all(now)
+        return self._schedule_all(now)
 
     def _world_changed(
         self, snapshot: model.Snapshot, fleet: model.Fleet, now: float
     ) -> list[messages.Action]:
         self._pools.update(snapshot, fleet)
-        return self._advance_all(now)
+        return self._schedule_all(now)
 
     # Placement.
 
-    def set_share(self, share: float, now: float) -> list[messages.Action]:
-        """Sets the part of each engine's slots that is its own to use."""
-        self._pools.set_share(share)
-        return self._advance_all(now)
+    def set_slot_fraction(
+        self, slot_fraction: float, now: float
+    ) -> list[messages.Action]:
+        """Sets the fraction of each engine's slots that it may use.
+
+        Args:
+          slot_fraction: Fraction of the slots, from 0 to 1.
+          now: Current time in seconds.
+
+        Returns:
+          Actions that the I/O layer must perform, in order.
+        """
+        self._pools.set_slot_fraction(slot_fraction)
+        return self._schedule_all(now)
 
-    def _advance_all(self, now: float) -> list[messages.Action]:
+    def _schedule_all(self, now: float) -> list[messages.Action]:
         if self._owns_slots:
-            # An engine that said it was full may have room again.
-            self._pools.set_share(self._pools.share)
+            # An engine that reported itself full may have free slots again.
+            self._pools.set_slot_fraction(self._pools.slot_fraction)
         return [
             action
-            for pool in self._pools.by_name.values()
-            for action in self._advance(pool, now)
+            for pool in self._pools.pools_by_name.values()
+            for action in self._schedule(pool, now)
         ]
 
-    def _advance(self, pool: pools.Pool, now: float) -> list[messages.Action]:
-        """Does all that is possible now for a pool's waiting requests."""
+    def _schedule(self, pool: pools.Pool, now: float) -> list[messages.Action]:
+        """Starts, sheds and requests slots for a pool's waiting requests."""
         actions = self._place_all(pool, now)
-        actions.extend(self._give_up(pool, now))
+        actions.extend(self._shed_requests(pool, now))
         if not self._owns_slots:
             self._sequence += 1
             actions.extend(self._asks_of(pool, now, only_urgent=True))
@@ -466,12 +501,14 @@
             starts.append(start)
         return starts
 
-    def _give_up(self, pool: pools.Pool, now: float) -> list[messages.Action]:
-        """Refuses at once what is too late or will be."""
+    def _shed_requests(
+        self, pool: pools.Pool, now: float
+    ) -> list[messages.Action]:
+        """Demotes or refuses requests that miss or will miss their deadline."""
         refusals: list[messages.Action] = []
-        for waiting in pool.queue.too_late(now):
+        for waiting in pool.queue.past_deadline(now):
             request = self._requests_by_id[waiting.submit.request_id]
-            if not waiting.late and request.last_start > now:
+            if not waiting.late and request.useful_start_deadline > now:
                 pool.queue.remove(waiting.submit.request_id)
                 self._enqueue(request, now)
                 continue
@@ -480,12 +517,12 @@
         while len(pool.queue):
             last = pool.queue.last(pool.over_share)
             assert last is not None
-            time_left = last.latest_start - now
-            wait_s = prospects.wait_s(pool, last, now, self._pools.entries)
-            if wait_s <= time_left * _ADMIT_FACTOR:
+            time_left = last.start_deadline - now
+            wait_s = prospects.wait_s(pool, last, now, self._pools.entry_count)
+            if wait_s <= time_left * _ADMISSION_WAIT_FACTOR:
                 break
             request = self._requests_by_id[last.submit.request_id]
-            refusals.extend(self._step_back(request, now))
+            refusals.extend(self._demote(request, now))
         return refusals
 
     def _place_first(
@@ -495,8 +532,10 @@
         assert waiting is not None
         submit = waiting.submit
         request = self._requests_by_id[submit.request_id]
-        kept = request.kept_until > now and request.prefill is not None
-        if kept:
+        reuse_prefill = (
+            request.export_expires_at > now and request.prefill is not None
+        )
+        if reuse_prefill:
             pair = self._chooser.choose_decode(
                 pool, submit, request.slots, request.prefill, now
             )
@@ -505,7 +544,7 @@
         if pair is None:
             return None
         pool.queue.remove(submit.request_id)
-        return self._start(pool, submit, pair, now, kept=kept)
+        return self._start(pool, submit, pair, now, reuse_prefill=reuse_prefill)
 
     def _start(
         self,
@@ -514,13 +553,13 @@
         pair: placement.Pair,
         now: float,
         *,
-        kept: bool,
+        reuse_prefill: bool,
     ) -> messages.Start:
         request = self._requests_by_id[submit.request_id]
-        if not kept:
+        if not reuse_prefill:
             request.prefill = pool.endpoints_by_id[pair.prefill_id]
         request.decode = pool.endpoints_by_id[pair.decode_id]
-        prefills = not kept and pair.prefill_id != pair.decode_id
+        prefills = not reuse_prefill and pair.prefill_id != pair.decode_id
         request.stage = (
             messages.Stage.PREFILL if prefills else messages.Stage.TRANSFER
         )
@@ -529,8 +568,8 @@
         request.stage_at = now
         if prefills:
             self._expect_prefill(request)
-        self._take(request)
-        request.probed = tuple(
+        self._acquire_slots(request)
+        request.probed_ids = tuple(
             endpoint_id
             for endpoint_id in (pair.prefill_id, pair.decode_id)
             if self._health.placed(endpoint_id, now)
@@ -543,20 +582,24 @@
             slots=request.slots,
             used=pool.holding(pair.decode_id).used - request.slots,
             waiting=len(pool.queue),
-            reuses_prefill=kept,
+            reuses_prefill=reuse_prefill,
         )
 
     def _expect_prefill(self, request: requests.Request) -> None:
         pool, submit = request.pool, request.submit
         assert request.prefill is not None
-        request.expected_s = pool.prefill_wait_s(
-            request.prefill, submit, usual=True
+        request.expected_prefill_s = pool.prefill_wait_s(
+            request.prefill, submit, ignore_slowdown=True
         )
         holding = pool.holding(request.prefill.id)
         cached = holding.cached
-        known = cached.cached_tokens(submit.prefix_hashes)
+        pool_state = cached.cached_tokens(submit.prefix_hashes)
         holding.prompts += 1
-        request.alone_number = None if holding.running else holding.prompts
-        request.uncached = submit.prompt_tokens - known
-        pool.learn_prefill(estimates.prefill_s(request.prefill, submit, known))
+        request.solo_prompt_number = (
+            None if holding.running else holding.prompts
+        )
+        request.uncached_tokens = submit.prompt_tokens - pool_state
+        pool.record_prefill_estimate(
+            estimates.prefill_s(request.prefill, submit, pool_state)
+        )
         cached.add(submit.prefix_hashes)
--- a/src/cowsliprill/decisions/worth.py
+++ b/src/cowsliprill/decisions/worth.py
@@ -1,45 +1,54 @@
-"""What the answer to a request is worth beside others of its service."""
+"""Value of a request by its size, relative to others of its service."""
 
 from cowsliprill.decisions import messages
 
-# A token of an answer counts as so many of a prompt: it takes an engine's
-# memory for a step of the whole batch, a prompt's tokens are read thousands
-# at a time. Customers weigh their answers by the same figure.
-ANSWER_TOKEN_WORTH = 10.0
+# Prompt tokens that one output token counts as. An output token takes an
+# engine's memory for a step of the whole batch, while prompt tokens are
+# processed thousands at a time. Customers value responses by the same factor.
+OUTPUT_TOKEN_WEIGHT = 10.0
 
-# Beyond this multiple of the mean, size adds nothing.
-_WORTH_MAX = 4.0
+# Upper bound of a request's value; the value of the mean request is 1.
+_MAX_VALUE = 4.0
 
-_LEARNING_RATE = 0.02
+_EMA_WEIGHT = 0.02
 
 
-class Worths:
-    """Learns the usual size of each service's requests."""
+class RequestValues:
+    """Tracks the mean request size of each service and values requests by it.
+
+    The mean is an exponential moving average.
+    """
 
     def __init__(self) -> None:
         self._mean_size_by_service: dict[str, float] = {}
 
-    def of(self, submit: messages.Submit, answer_tokens: float) -> float:
-        """Returns a request's worth, about 1 for a usual one.
+    def of(
+        self, submit: messages.Submit, expected_output_tokens: float
+    ) -> float:
+        """Returns the value of a request, about 1 for one of average size.
 
         Args:
           submit: The request.
-          answer_tokens: Expected length of its answer.
+          expected_output_tokens: Expected number of output tokens.
         """
-        share = submit.service.worth_by_size
+        size_fraction = submit.service.worth_by_size
         mean = self._mean_size_by_service.get(submit.service.id)
-        if not share or not mean:
+        if not size_fraction or not mean:
             return 1.0
-        size = _size(submit, answer_tokens)
-        return min(1.0 - share + share * size / mean, _WORTH_MAX)
-
-    def learn(self, submit: messages.Submit, answer_tokens: float) -> None:
-        """Takes in the size of a request that arrived."""
-        size = _size(submit, answer_tokens)
+        size = _size(submit, expected_output_tokens)
+        return min(
+            1.0 - size_fraction + size_fraction * size / mean, _MAX_VALUE
+        )
+
+    def record(
+        self, submit: messages.Submit, expected_output_tokens: float
+    ) -> None:
+        """Records the size of a new request."""
+        size = _size(submit, expected_output_tokens)
         mean = self._mean_size_by_service.get(submit.service.id, size)
-        mean += (size - mean) * _LEARNING_RATE
+        mean += (size - mean) * _EMA_WEIGHT
         self._mean_size_by_service[submit.service.id] = mean
 
 
-def _size(submit: messages.Submit, answer_tokens: float) -> float:
-    return submit.prompt_tokens + ANSWER_TOKEN_WORTH * answer_tokens
+def _size(submit: messages.Submit, expected_output_tokens: float) -> float:
+    return submit.prompt_tokens + OUTPUT_TOKEN_WEIGHT * expected_output_tokens
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -351,7 +351,7 @@
         while site.cell.next_wakeup(site.now) <= site.now + 0.1:
             site.now += 0.1
             site.cell.tick(site.now)
-            if site.now >= 10.0 + cell_lib.SETTLED_S:
+            if site.now >= 10.0 + cell_lib.TAKEOVER_S:
                 break
         begun += len(_starts(site.decisions("vm-0")))
         assert begun == 4
@@ -365,7 +365,7 @@
         site.cell.set_home(False, site.now)
         for number in range(6):
             site.send("vm-0", _submit(number, site.now))
-        site.now += 2 * cell_lib.SETTLED_S
+        site.now += 2 * cell_lib.TAKEOVER_S
         site.send("vm-0")
         site.cell.tick(site.now)
         assert len(_starts(site.decisions("vm-0"))) == 1
@@ -377,7 +377,7 @@
         """
         site = _Site()
         site.hear_all()
-        site.now += 10 * cell_lib.SILENCE_S
+        site.now += 10 * cell_lib.ENTRY_TIMEOUT_S
         site.cell.tick(site.now)
         assert site.cell.knows("vm-0", 1)
 
@@ -387,7 +387,7 @@
         site.hear_all()
         for number in range(4):
             site.send("vm-1", _submit(number, site.now))
-        site.now += cell_lib.SILENCE_S - 0.5
+        site.now += cell_lib.ENTRY_TIMEOUT_S - 0.5
         site.send("vm-0", _submit(0, site.now))
         assert site.decisions("vm-0") == []
         site.now += 0.6
--- a/tests/test_cell_loads.py
+++ b/tests/test_cell_loads.py
@@ -271,14 +271,14 @@
             for name, engine in site.engines.items()
         }
         site.settings(**guessed)
-        pool = site.cell._scheduler._pools.by_name["brief"]
+        pool = site.cell._scheduler._pools.pools_by_name["brief"]
         parts = []
-        for first_token_s in (0.0, 0.5):
-            pool._work = workload.Workload()
+        for min_ttft_s in (0.0, 0.5):
+            pool._workload = workload.Workload()
             pool._speeds._prompt.told_s = 1 / 50_000
             pool._speeds._answer.told_s = 0.001
             for number in range(40):
                 submit = test_cell._submit(number, site.now, 5_000)
-                pool.learn_work(submit, 500, first_token_s, site.now)
+                pool.record_work(submit, 500, min_ttft_s, site.now)
             parts.append(pool.prompt_part())
         assert parts[1] < parts[0]
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -42,15 +42,15 @@
             )
 
 
-def _item(at: float, **changes) -> demand.Item:
-    fields = {"at": at, "customer": "a", "priority": 0, "cost_s": 1.0}
-    return demand.Item(**(fields | changes))
+def _item(at: float, **changes) -> demand.RequestDemand:
+    fields = {"arrived_at": at, "customer": "a", "priority": 0, "cost_s": 1.0}
+    return demand.RequestDemand(**(fields | changes))
 
 
 class TestDemandWindow:
     """What fits into an entry's part of the slots."""
 
-    def _window(self, items: list[demand.Item]) -> demand.DemandWindow:
+    def _window(self, items: list[demand.RequestDemand]) -> demand.DemandWindow:
         window = demand.DemandWindow()
         for item in items:
             window.add(item)
@@ -113,9 +113,9 @@
 
         Told the same time, they would come together and be refused together.
         """
-        returns = admission.ReturnTimes(random.Random(1))
+        retry_schedule = admission.RetryAfterSchedule(random.Random(1))
         times = sorted(
-            returns.retry_after_s(0.0, wait_s=1.0, step_s=0.1)
+            retry_schedule.retry_after_s(0.0, wait_s=1.0, interval_s=0.1)
             for _ in range(200)
         )
         assert times[0] >= admission.RETRY_AFTER_MIN_S
@@ -134,7 +134,7 @@
             waiting=10,
             free_slots=0,
             slots=20,
-            hold_s=4.0,
+            mean_hold_s=4.0,
             prefills=1,
             prefill_s=0.1,
         )
@@ -145,7 +145,7 @@
             waiting=1,
             free_slots=0,
             slots=0,
-            hold_s=4.0,
+            mean_hold_s=4.0,
             prefills=0,
             prefill_s=0.1,
         )
--- a/tests/test_prospects.py
+++ b/tests/test_prospects.py
@@ -33,12 +33,12 @@
     for engine in engines:
         pool.holding(engine.id).own(_SLOTS)
         pool.holding(engine.id).take("", _SLOTS)
-    pool.learn_slots(_SLOTS_A_REQUEST)
+    pool.record_slots(_SLOTS_A_REQUEST)
     count = int(requests_per_s * 10)
     for number in range(count):
         pool.demand.add(
-            demand.Item(
-                at=_NOW - (count - number) / requests_per_s,
+            demand.RequestDemand(
+                arrived_at=_NOW - (count - number) / requests_per_s,
                 customer="",
                 priority=0,
                 cost_s=_ANSWER_S * _SLOTS_A_REQUEST,
@@ -52,7 +52,7 @@
 def _waiting(number: int, *, late: bool) -> queue.Waiting:
     return queue.Waiting(
         submit=test_cell._submit(number, _NOW),
-        latest_start=_NOW + _USEFUL_S,
+        start_deadline=_NOW + _USEFUL_S,
         cost_s=_ANSWER_S,
         slots=_SLOTS_A_REQUEST,
         late=late,
@@ -78,5 +78,15 @@
 
     def test_callers_stay_away_for_as_long_as_a_burst_lasts(self):
         """Guards against callers who are refused twice in one burst."""
-        assert prospects.room(_pool(110.0, late=0), _NOW, 1).overload_s > 5.0
-        assert prospects.room(_pool(20.0, late=0), _NOW, 1).overload_s == 0.0
+        assert (
+            prospects.spare_capacity(
+                _pool(110.0, late=0), _NOW, 1
+            ).overload_backoff_s
+            > 5.0
+        )
+        assert (
+            prospects.spare_capacity(
+                _pool(20.0, late=0), _NOW, 1
+            ).overload_backoff_s
+            == 0.0
+        )
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -17,7 +17,7 @@
     *,
     customer: str = "u",
     priority: int = 0,
-    latest_start: float = 1.0,
+    start_deadline: float = 1.0,
 ) -> queue.Waiting:
     submit = messages.Submit(
         request_id=request_id,
@@ -27,7 +27,9 @@
         output_tokens=10,
         priority=priority,
     )
-    return queue.Waiting(submit=submit, latest_start=latest_start, cost_s=1.0)
+    return queue.Waiting(
+        submit=submit, start_deadline=start_deadline, cost_s=1.0
+    )
 
 
 def _equal(_: str) -> float:
@@ -54,7 +56,7 @@
     def test_equals_a_sorted_list(self, steps) -> None:
         waiting_queue = queue.WaitingQueue()
         plain: list[queue.Waiting] = []
-        for number, (customer, priority, latest_start, removes) in enumerate(
+        for number, (customer, priority, start_deadline, removes) in enumerate(
             steps
         ):
             if removes and plain:
@@ -64,7 +66,7 @@
                 number,
                 customer=customer,
                 priority=priority,
-                latest_start=latest_start,
+                start_deadline=start_deadline,
             )
             plain.append(item)
             waiting_queue.add(item)
@@ -83,9 +85,9 @@
         Were priority strict, the common one would never run; its caller
         would see only refusals for as long as urgent work comes.
         """
-        old = _waiting(1, priority=0, latest_start=1.0)
-        late = 2.0 + queue.PRIORITY_WORTH_S
-        fresh = _waiting(2, priority=1, latest_start=late)
+        old = _waiting(1, priority=0, start_deadline=1.0)
+        late = 2.0 + queue.PRIORITY_LEVEL_S
+        fresh = _waiting(2, priority=1, start_deadline=late)
         waiting_queue = queue.WaitingQueue()
         waiting_queue.add(fresh)
         waiting_queue.add(old)
@@ -93,8 +95,8 @@
 
     def test_a_customer_above_its_share_stands_back(self) -> None:
         waiting_queue = queue.WaitingQueue()
-        waiting_queue.add(_waiting(1, customer="greedy", latest_start=1.0))
-        waiting_queue.add(_waiting(2, customer="modest", latest_start=2.0))
+        waiting_queue.add(_waiting(1, customer="greedy", start_deadline=1.0))
+        waiting_queue.add(_waiting(2, customer="modest", start_deadline=2.0))
         over = {"greedy": 3.0, "modest": 0.0}
         first = waiting_queue.first(over.__getitem__)
         last = waiting_queue.last(over.__getitem__)
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -27,17 +27,17 @@
     """Worth beside the service's usual requests."""
 
     def test_usual_one_is_worth_one(self):
-        worths = worth.Worths()
-        worths.learn(_submit(3_000), 300)
-        assert worths.of(_submit(3_000), 300) == 1.0
+        request_values = worth.RequestValues()
+        request_values.record(_submit(3_000), 300)
+        assert request_values.of(_submit(3_000), 300) == 1.0
 
     def test_twice_the_size_adds_its_part(self):
-        worths = worth.Worths()
-        worths.learn(_submit(3_000), 300)
-        assert abs(worths.of(_submit(6_000), 600) - 1.7) < 1e-9
+        request_values = worth.RequestValues()
+        request_values.record(_submit(3_000), 300)
+        assert abs(request_values.of(_submit(6_000), 600) - 1.7) < 1e-9
 
     def test_bounded_and_off_without_a_part(self):
-        worths = worth.Worths()
-        worths.learn(_submit(100), 10)
-        assert worths.of(_submit(100_000), 1_000) == 4.0
-        assert worths.of(_submit(100_000, 0.0), 1_000) == 1.0
+        request_values = worth.RequestValues()
+        request_values.record(_submit(100), 10)
+        assert request_values.of(_submit(100_000), 1_000) == 4.0
+        assert request_values.of(_submit(100_000, 0.0), 1_000) == 1.0
