--- a/src/cowsliprill/decisions/admission.py
+++ b/src/cowsliprill/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Backlog of a pool, and retry-after times of refused requests."""
+"""Backlog estimate of a pool, and retry-after times of refused requests."""
 
 import dataclasses
 import random
--- a/src/cowsliprill/decisions/cell.py
+++ b/src/cowsliprill/decisions/cell.py
@@ -1,17 +1,17 @@
 """Central scheduler of one engine pool, shared by all entry processes.
 
-Pure. One VM, the pool's coordinator, runs the cell. Its scheduler knows each
+Sans-I/O: the pool's coordinator VM runs the pool scheduler. It knows each
 request that waits or runs at any entry process, so it accounts for the engines'
 memory exactly and orders all requests in one queue. Entry processes send it
 their events and receive its decisions.
 
 Entry processes that have not connected yet may have requests at the engines
-that the cell doesn't know of. After a coordinator failover all entry processes
-with running requests report them within `TAKEOVER_S`, so the fraction of each
-engine's slots that a new coordinator uses rises to 1 in that time. A VM that is
-not the coordinator serves entry processes that can't reach the coordinator,
-while others still use it. It uses the same fraction of each engine's slots as
-the fraction of live entry processes connected to it.
+that the pool scheduler doesn't know of. After a coordinator failover all entry
+processes with running requests report them within `TAKEOVER_S`, so the fraction
+of each engine's slots that a new coordinator uses rises to 1 in that time. An
+acting coordinator serves entry processes that can't reach the coordinator,
+while others still use the coordinator. It uses the same fraction of each
+engine's slots as the fraction of live entry processes connected to it.
 """
 
 import dataclasses
@@ -37,7 +37,7 @@
 # long so that the next request needs no new session.
 _IDLE_ENTRY_TIMEOUT_S = 60.0
 
-# Fraction of the retry bursts of all entry processes that one cell may use.
+# Fraction of the retry bursts of all entry processes that may be used here.
 _RETRY_BUDGET_FRACTION = 0.5
 
 Decision = messages.Decision
@@ -46,7 +46,7 @@
 @dataclasses.dataclass(slots=True)
 class _EntrySession:
     epoch: int
-    last_seen_at: float
+    last_received_at: float
     inbox: channel.Inbox = dataclasses.field(default_factory=channel.Inbox)
     outbox: channel.Outbox[Decision] = dataclasses.field(
         default_factory=channel.Outbox
@@ -79,8 +79,8 @@
         """Sets whether this VM is the pool's coordinator in its own VM list.
 
         Args:
-          is_home: Whether this VM is the coordinator. If not, it serves entry
-            processes that can't reach the coordinator.
+          is_home: Whether this VM is the coordinator. If not, it is an acting
+            coordinator.
           now: Current time in seconds.
         """
         if not is_home:
@@ -92,7 +92,7 @@
     def update(
         self, snapshot: model.Snapshot, fleet: model.Fleet, now: float
     ) -> None:
-        """Applies new settings or a new VM list.
+        """Applies a new cluster state.
 
         Args:
           snapshot: Settings in force.
@@ -156,7 +156,7 @@
             session = _EntrySession(epoch, now)
             self._sessions_by_entry[entry] = session
             self._update_slot_fraction(now)
-        session.last_seen_at = now
+        session.last_received_at = now
         for event in session.inbox.take(first, events):
             translated = self._translate(entry, session, event)
             if translated is not None:
@@ -216,7 +216,7 @@
         timed_out = [
             name
             for name, session in self._sessions_by_entry.items()
-            if now - session.last_seen_at
+            if now - session.last_received_at
             > (
                 ENTRY_TIMEOUT_S
                 if session.request_ids_by_number
@@ -262,7 +262,7 @@
 
     def _reachable_fraction(self, now: float) -> float:
         reachable = sum(
-            now - session.last_seen_at <= ENTRY_TIMEOUT_S
+            now - session.last_received_at <= ENTRY_TIMEOUT_S
             for session in self._sessions_by_entry.values()
         )
         return reachable / max(self._live_entry_count, 1)
@@ -297,8 +297,8 @@
     def _with_pooled_retry_budget(
         self, service: model.Service
     ) -> model.Service:
-        # The retry burst in the settings is per entry process, and this cell
-        # serves all of them. It uses only a fraction of the sum, since the
+        # The retry burst in the settings is per entry process, and this budget
+        # serves all of them. Only a fraction of the sum is used, since the
         # budget starts full again after each coordinator failover.
         burst = (
             service.retries.burst
--- a/src/cowsliprill/decisions/demand.py
+++ b/src/cowsliprill/decisions/demand.py
@@ -2,8 +2,8 @@
 
 In an overload each customer gets its max-min fair share of the decode slots.
 Within it, requests of higher priority go first, then those with the most
-goodput for their slot time. The others are refused at once, as they would
-otherwise wait in vain for a slot.
+goodput for their slot time. The others are refused at once, as they would only
+wait for slots that they won't get.
 """
 
 import collections
@@ -73,14 +73,18 @@
         demand_by_customer,
         key=lambda customer: demand_by_customer[customer] / weights[customer],
     )
-    left = total
-    weight_left = sum(weights.values())
+    remaining = total
+    remaining_weight = sum(weights.values())
     allocated = {}
     for customer in by_level:
-        share = left * weights[customer] / weight_left if weight_left else 0.0
+        share = (
+            remaining * weights[customer] / remaining_weight
+            if remaining_weight
+            else 0.0
+        )
         allocated[customer] = min(demand_by_customer[customer], share)
-        left -= allocated[customer]
-        weight_left -= weights[customer]
+        remaining -= allocated[customer]
+        remaining_weight -= weights[customer]
     return allocated
 
 
--- a/src/cowsliprill/decisions/pool.py
+++ b/src/cowsliprill/decisions/pool.py
@@ -323,9 +323,9 @@
 
     def release(self, customer: str) -> None:
         """Counts a request that has ended or failed, for fair sharing."""
-        left = self.in_use_by_customer[customer] - 1
-        if left:
-            self.in_use_by_customer[customer] = left
+        remaining = self.in_use_by_customer[customer] - 1
+        if remaining:
+            self.in_use_by_customer[customer] = remaining
         else:
             del self.in_use_by_customer[customer]
 
--- a/src/cowsliprill/decisions/pool_set.py
+++ b/src/cowsliprill/decisions/pool_set.py
@@ -1,4 +1,4 @@
-"""Pools of one scheduler, built from the settings and the VM list."""
+"""Pools of one scheduler, built from the cluster state."""
 
 import random
 
@@ -54,7 +54,7 @@
         self._health = engine_health
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
-        """Applies new settings or a new VM list.
+        """Applies a new cluster state.
 
         Args:
           snapshot: Settings in force.
--- a/src/cowsliprill/decisions/prospects.py
+++ b/src/cowsliprill/decisions/prospects.py
@@ -101,7 +101,7 @@
     """Returns the expected wait of the last request of a queue, in seconds.
 
     Late requests get only the capacity that new requests in time leave. An
-    estimate from the whole capacity would let them wait in vain.
+    estimate from the whole capacity would let them wait without a chance.
 
     Args:
       pool: The pool.
--- a/src/cowsliprill/decisions/scheduler.py
+++ b/src/cowsliprill/decisions/scheduler.py
@@ -1,10 +1,10 @@
 """Scheduler that places model requests on prefill and decode engines.
 
-Pure state machine without I/O: takes `messages.Event`, returns
-`messages.Action`. A request is started only while slots of a decode engine and
-of a prefill engine are leased for it, and is refused as soon as its TTFT target
-can't be met. Each submitted request ends in exactly one of: the action
-`Refuse`, the event `Finished` or the event `Cancel`.
+Sans-I/O: takes `messages.Event`, returns `messages.Action`. A request is
+started only while slots of a decode engine and of a prefill engine are leased
+for it, and is refused as soon as its TTFT target can't be met. Each submitted
+request ends in exactly one of: the action `Refuse`, the event `Finished` or the
+event `Cancel`.
 """
 
 import random
@@ -137,9 +137,9 @@
           now: Current time in seconds.
 
         Returns:
-          One request for slots per endpoint. The I/O layer sends them to the
-          endpoints' coordinators at each lease renewal, as it does with those
-          that `handle` returns.
+          One slot demand per endpoint. The I/O layer sends them to the
+          endpoints' coordinators at each lease renewal, and at once those that
+          `handle` returns.
         """
         self._sequence += 1
         return [
@@ -433,7 +433,7 @@
             waiting=len(pool.queue),
         )
 
-    # Events of leases, configuration and the VM list.
+    # Events of leases and the cluster state.
 
     def _slots_granted(
         self, event: messages.SlotGrant, now: float
@@ -484,7 +484,7 @@
         ]
 
     def _schedule(self, pool: pools.Pool, now: float) -> list[messages.Action]:
-        """Starts, sheds and requests slots for a pool's waiting requests."""
+        """Starts or sheds a pool's queued requests and reports slot demand."""
         actions = self._place_all(pool, now)
         actions.extend(self._shed_requests(pool, now))
         if not self._owns_slots:
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.cell`: one home places the requests of a pool."""
+"""Tests of `decisions.cell`: the central scheduler of a pool."""
 
 import random
 
@@ -67,7 +67,7 @@
 
 
 class _Site:
-    """A cell with two decode engines and some entries."""
+    """A pool scheduler with two decode engines and some entry processes."""
 
     def __init__(self, entries: int = 2, decodes: int = 2) -> None:
         self.now = 10.0
@@ -92,7 +92,7 @@
         self.sent[name] += len(events)
         self.cell.receive(name, epoch, first, events, self.now)
 
-    def hear_all(self) -> None:
+    def send_heartbeats(self) -> None:
         for name in self.names:
             self.send(name)
 
@@ -107,11 +107,11 @@
 
 
 class TestPlacement:
-    """Memory is promised once, whichever entry asks."""
+    """Engine memory is reserved once, whichever entry process uses it."""
 
-    def test_memory_is_counted_over_all_entries(self):
+    def test_memory_is_accounted_for_all_entries(self):
         site = _Site()
-        site.hear_all()
+        site.send_heartbeats()
         for number in range(10):
             site.send("vm-0", _submit(number, site.now))
             site.send("vm-1", _submit(number, site.now))
@@ -128,9 +128,9 @@
         assert min(used.values()) > _BLOCKS - starts[0].slots
 
     def test_all_engines_of_a_large_pool_are_used(self):
-        """Guards against engines that stand idle while requests wait."""
+        """Guards against idle engines while requests wait."""
         site = _Site(decodes=40)
-        site.hear_all()
+        site.send_heartbeats()
         used = set()
         for number in range(40):
             site.send("vm-0", _submit(number, site.now))
@@ -139,15 +139,15 @@
             site.send("vm-0", messages.PrefillFinished(number))
         assert len(used) == 40
 
-    def test_what_ends_makes_room_for_the_next(self):
+    def test_finished_request_frees_slots_for_the_next(self):
         site = _Site(decodes=1)
-        site.hear_all()
-        patient = site.now + 30.0
+        site.send_heartbeats()
+        distant_deadline = site.now + 30.0
         for number in range(6):
-            submit = _submit(number, site.now, useful_until=patient)
+            submit = _submit(number, site.now, useful_until=distant_deadline)
             site.send("vm-0", submit)
-        begun = site.decisions("vm-0")
-        assert len(begun) == 4
+        started = site.decisions("vm-0")
+        assert len(started) == 4
         site.now += 0.2
         site.send(
             "vm-0",
@@ -157,25 +157,26 @@
         )
         assert [item.request_id for item in site.decisions("vm-0")] == [4]
 
-    def test_a_repeated_message_takes_no_memory_twice(self):
+    def test_repeated_message_reserves_memory_once(self):
         site = _Site(decodes=1)
-        site.hear_all()
+        site.send_heartbeats()
         submit = _submit(0, site.now)
         for _ in range(5):
             site.cell.receive("vm-0", 1, 1, (submit,), site.now)
         assert len(site.decisions("vm-0")) == 1
 
-    def test_late_ones_wait_behind_those_in_time(self):
-        """Callers of a burst waited beyond their target.
+    def test_late_requests_wait_behind_those_in_time(self):
+        """Guards against late requests that make all later ones late.
 
-        Their answers are worth a fifth now. Served first, they would make the
-        next ones late as well, and so on for as long as the load lasts.
+        Requests of a burst have missed their TTFT target, and their value is
+        down to a fifth. Served first, they would make the next ones late as
+        well, for as long as the load lasts.
         """
         site = _Site(decodes=1)
-        site.hear_all()
-        patient = site.now + 30.0
+        site.send_heartbeats()
+        distant_deadline = site.now + 30.0
         for number in range(5):
-            submit = _submit(number, site.now, useful_until=patient)
+            submit = _submit(number, site.now, useful_until=distant_deadline)
             site.send("vm-0", submit)
         assert len(site.decisions("vm-0")) == 4
         site.now += 1.0
@@ -186,36 +187,36 @@
         site.send("vm-0", messages.Finished(1, 10))
         assert [item.request_id for item in site.decisions("vm-0")] == [4]
 
-    def test_what_is_of_no_use_any_more_is_refused_at_once(self):
+    def test_request_past_its_useful_time_is_refused_at_once(self):
         site = _Site(decodes=1)
-        site.hear_all()
-        patient = site.now + 30.0
+        site.send_heartbeats()
+        distant_deadline = site.now + 30.0
         for number in range(5):
-            submit = _submit(number, site.now, useful_until=patient)
+            submit = _submit(number, site.now, useful_until=distant_deadline)
             site.send("vm-0", submit)
         assert len(site.decisions("vm-0")) == 4
         for _ in range(31):
             site.now += 1.0
-            site.hear_all()
+            site.send_heartbeats()
             site.cell.tick(site.now)
         (refusal,) = site.decisions("vm-0")
         assert isinstance(refusal, messages.Refuse)
         assert refusal.request_id == 4
         assert refusal.retry_after_s > 0
 
-    def test_late_ones_that_would_wait_for_nothing_are_refused(self):
-        """More arrives than the engines serve, for as long as anyone knows.
+    def test_late_requests_without_a_chance_are_refused(self):
+        """Guards against late requests that wait without a chance to start.
 
-        What is late then has no turn any more. Its caller would wait until it
-        gives up, and could have asked again after the burst.
+        More requests arrive than the engines can serve. A late request would
+        wait until its client gives up, instead of retrying after the burst.
         """
         site = _Site(decodes=1)
-        site.hear_all()
+        site.send_heartbeats()
         refused: list[int] = []
         for number in range(40):
             site.now += 0.1
             site.send("vm-0", _submit(number, site.now))
-            site.hear_all()
+            site.send_heartbeats()
             site.cell.tick(site.now)
             refused += [
                 item.request_id
@@ -227,13 +228,13 @@
         assert waited_s > 3.0
 
 
-class TestKeptPrefill:
-    """A decode engine has no room for a prompt that was read already."""
+class TestExportedKvCache:
+    """A decode engine has no memory for a request after its prefill."""
 
     def test_another_engine_fetches_it(self):
-        """Read anew, the prompt would cost another prefill for nothing."""
+        """Guards against a second prefill of the same prompt."""
         site = _Site()
-        site.hear_all()
+        site.send_heartbeats()
         site.send("vm-0", _submit(0, site.now))
         (start,) = site.decisions("vm-0")
         site.now += 0.15
@@ -256,11 +257,11 @@
 
 
 class TestFullEngine:
-    """An engine has less room than this home believes."""
+    """An engine has less free memory than the pool scheduler assumes."""
 
     @staticmethod
-    def _turn_away(site: _Site) -> None:
-        """Has the engine say that it has no room for the third request."""
+    def _reject_third(site: _Site) -> None:
+        """Lets the engine reject the third request for lack of memory."""
         site.send(
             "vm-0",
             messages.PrefillFinished(2),
@@ -274,56 +275,58 @@
             ),
         )
 
-    def test_it_isnt_asked_again_at_once(self):
-        """It holds what nobody here knows of, and refuses one after another.
+    def test_full_engine_is_not_retried_at_once(self):
+        """Guards against wasted prefills on an engine that rejects requests.
 
-        The prompt was read and is kept for half a second. Asked again, the
-        engine refuses again, and the prompt has been read for nothing.
+        The engine's memory is taken by work unknown to the scheduler. The
+        exported KV cache is kept for half a second. If the request is retried
+        on the engine at once, it is rejected again and the prefill is wasted.
         """
         site = _Site(decodes=1)
-        site.hear_all()
+        site.send_heartbeats()
         for number in range(3):
             site.send("vm-0", _submit(number, site.now))
         starts = _starts(site.decisions("vm-0"))
         assert len(starts) == 3
-        self._turn_away(site)
+        self._reject_third(site)
         assert site.decisions("vm-0") == []
         site.send("vm-0", messages.Finished(0, 10))
         (start,) = _starts(site.decisions("vm-0"))
         assert start.request_id == 2
 
-    def test_the_mark_outlasts_a_look(self):
-        """Several callers wait while an engine is fuller than expected.
+    def test_backoff_outlasts_a_tick(self):
+        """Guards against one wasted prefill for each tick.
 
-        A home looks at its queue many times a second. Were the engine asked
-        at each look, each of them would have a wasted prefill, and be
-        turned away, one after the other.
+        Several requests wait while an engine is fuller than expected. The
+        queue is checked many times a second. If the engine were used at each
+        tick, the requests would be rejected one after the other.
         """
         site = _Site(decodes=1)
-        site.hear_all()
+        site.send_heartbeats()
         for number in range(3):
             site.send("vm-0", _submit(number, site.now))
         site.decisions("vm-0")
-        self._turn_away(site)
+        self._reject_third(site)
         for _ in range(4):
             site.now += 0.1
-            site.hear_all()
+            site.send_heartbeats()
             site.cell.tick(site.now)
             assert site.decisions("vm-0") == []
         site.now += 0.2
-        site.hear_all()
+        site.send_heartbeats()
         site.cell.tick(site.now)
         assert len(_starts(site.decisions("vm-0"))) == 1
 
 
 class TestEntries:
-    """Entries die, fall silent, or begin anew."""
+    """Entry processes crash, time out or restart."""
 
-    def test_a_part_of_the_entries_may_use_a_part_of_the_memory(self):
-        """A partition hides half of the entries from this home.
+    def test_memory_in_use_is_limited_to_the_fraction_of_entries(self):
+        """Guards against memory that two coordinators reserve in a partition.
 
-        They use the same engines by a home of their own. Were all memory
-        promised here as well, engines would turn prompts away after reading.
+        Half of the entry processes can't reach this VM and use the same engines
+        through another. If both reserved all memory, engines would reject
+        requests after their prefill.
         """
         site = _Site(entries=2, decodes=1)
         for number in range(6):
@@ -334,32 +337,34 @@
         starts += _starts(site.decisions("vm-0"))
         assert sum(start.slots for start in starts) > _BLOCKS / 2
 
-    def test_a_new_home_has_the_whole_once_all_had_time_to_state(self):
-        """A home dies and the next takes over, for two hundred entries.
+    def test_new_coordinator_uses_all_slots_after_the_takeover_time(self):
+        """Guards against refusals after a coordinator failover.
 
-        Few of them have requests. Did it wait until all were heard, it would
-        use a sliver of the engines, and callers be refused.
+        There are 200 entry processes and few have requests. If the new
+        coordinator waited until all had connected, it would use only a small
+        fraction of the engines.
         """
         site = _Site(entries=200, decodes=1)
         site.cell.set_home(True, site.now)
-        patient = site.now + 30.0
+        distant_deadline = site.now + 30.0
         for number in range(6):
-            submit = _submit(number, site.now, useful_until=patient)
+            submit = _submit(number, site.now, useful_until=distant_deadline)
             site.send("vm-0", submit)
-        begun = len(_starts(site.decisions("vm-0")))
-        assert begun < 4
+        started = len(_starts(site.decisions("vm-0")))
+        assert started < 4
         while site.cell.next_wakeup(site.now) <= site.now + 0.1:
             site.now += 0.1
             site.cell.tick(site.now)
             if site.now >= 10.0 + cell_lib.TAKEOVER_S:
                 break
-        begun += len(_starts(site.decisions("vm-0")))
-        assert begun == 4
+        started += len(_starts(site.decisions("vm-0")))
+        assert started == 4
 
-    def test_one_that_stands_in_never_has_the_whole(self):
-        """An entry can't reach the home, which serves all others.
+    def test_acting_coordinator_never_uses_all_slots(self):
+        """Guards against double reservation by an acting coordinator.
 
-        One request an engine is placed all the same, or it would have none.
+        One entry process can't reach the coordinator, which serves all others.
+        One request per engine is placed all the same, or it could run none.
         """
         site = _Site(entries=200, decodes=1)
         site.cell.set_home(False, site.now)
@@ -370,21 +375,24 @@
         site.cell.tick(site.now)
         assert len(_starts(site.decisions("vm-0"))) == 1
 
-    def test_an_entry_without_requests_is_remembered(self):
-        """Its next request comes after seconds of silence.
+    def test_idle_entry_keeps_its_session(self):
+        """Guards against a new session for each request of an idle entry.
 
-        Forgotten, the entry would have to begin anew, at each of its requests.
+        The next request comes after seconds without messages.
         """
         site = _Site()
-        site.hear_all()
+        site.send_heartbeats()
         site.now += 10 * cell_lib.ENTRY_TIMEOUT_S
         site.cell.tick(site.now)
         assert site.cell.knows("vm-0", 1)
 
-    def test_the_slots_of_a_silent_entry_come_free(self):
-        """A VM lost its power; engines dropped its requests."""
+    def test_slots_of_a_timed_out_entry_are_freed(self):
+        """Guards against slots that a crashed VM holds for ever.
+
+        The VM lost power, and the engines dropped its requests.
+        """
         site = _Site(decodes=1)
-        site.hear_all()
+        site.send_heartbeats()
         for number in range(4):
             site.send("vm-1", _submit(number, site.now))
         site.now += cell_lib.ENTRY_TIMEOUT_S - 0.5
@@ -396,8 +404,11 @@
         site.cell.tick(site.now)
         assert len(site.decisions("vm-0")) == 1
 
-    def test_a_new_home_counts_what_runs(self):
-        """The old home has left; its successor hears what entries run."""
+    def test_new_coordinator_accounts_for_running_requests(self):
+        """Guards against double reservation after a coordinator failover.
+
+        Entry processes report their running requests to the new coordinator.
+        """
         site = _Site(entries=1, decodes=1)
         start = messages.Start(
             request_id=0,
@@ -419,9 +430,9 @@
         site.send("vm-0", messages.Finished(0, 100))
         assert [item.request_id for item in site.decisions("vm-0")] == [1]
 
-    def test_an_entry_that_begins_anew_leaves_nothing_behind(self):
+    def test_new_session_frees_the_slots_of_the_old_one(self):
         site = _Site(decodes=1)
-        site.hear_all()
+        site.send_heartbeats()
         for number in range(6):
             site.send("vm-0", _submit(number, site.now))
         site.sent["vm-0"] = 0
@@ -431,17 +442,17 @@
         assert len(site.decisions("vm-1")) == 3
 
 
-class TestRandomLife:
-    """Whatever happens to entries and requests, no block is promised twice."""
+class TestRandomEvents:
+    """No KV cache block is reserved twice under random events."""
 
-    def test_never_more_than_the_engines_have(self):
+    def test_reserved_blocks_never_exceed_the_engines_memory(self):
         for seed in range(30):
-            _live(random.Random(seed))
+            _run_random_events(random.Random(seed))
 
 
-def _live(rng: random.Random) -> None:
+def _run_random_events(rng: random.Random) -> None:
     site = _Site(entries=3)
-    site.hear_all()
+    site.send_heartbeats()
     running: dict[tuple[str, int], messages.Start] = {}
     number = 0
     for _ in range(120):
@@ -451,13 +462,16 @@
         if own and rng.random() < 0.4:
             key = rng.choice(own)
             del running[key]
-            ends = (messages.Finished(key[1], 50), messages.Cancel(key[1]))
-            site.send(name, rng.choice(ends))
+            end_events = (
+                messages.Finished(key[1], 50),
+                messages.Cancel(key[1]),
+            )
+            site.send(name, rng.choice(end_events))
         else:
             number += 1
             tokens = rng.randint(200, 6_000)
             site.send(name, _submit(number, site.now, tokens))
-        site.hear_all()
+        site.send_heartbeats()
         site.cell.tick(site.now)
         for entry in site.names:
             for decision in site.decisions(entry):
--- a/tests/test_cell_loads.py
+++ b/tests/test_cell_loads.py
@@ -1,4 +1,4 @@
-"""Loads and faults that a pool's home answers, played without a network."""
+"""Tests of `decisions.cell` under load and engine faults, without a network."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 _BLOCKS = 5_000
 _TOKEN_S = 0.0005
 
-# Bursts last up to so long.
+# Longest duration of a burst.
 _BURST_S = 5.0
 
 
@@ -25,7 +25,7 @@
 
 
 class _Site(test_cell._Site):
-    """One prefill engine, and decode engines with places as well as memory."""
+    """One prefill engine, and decode engines limited in requests and memory."""
 
     def __init__(self, decodes: int = 1) -> None:
         super().__init__(entries=1, decodes=decodes)
@@ -33,10 +33,10 @@
             name: _engine(name, engine.kind)
             for name, engine in self.snapshot.endpoints_by_id.items()
         }
-        self.settings()
-        self.hear_all()
+        self.update_settings()
+        self.send_heartbeats()
 
-    def settings(self, **engines: model.Endpoint) -> None:
+    def update_settings(self, **engines: model.Endpoint) -> None:
         self.engines.update(engines)
         self.snapshot = dataclasses.replace(
             self.snapshot, endpoints_by_id=dict(self.engines)
@@ -45,10 +45,12 @@
 
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
-        self.hear_all()
+        self.send_heartbeats()
         self.cell.tick(self.now)
 
-    def ask(self, *numbers: int, tokens: int = 5_000, answer: int = 6_000):
+    def submit_requests(
+        self, *numbers: int, tokens: int = 5_000, answer: int = 6_000
+    ):
         for number in numbers:
             submit = test_cell._submit(
                 number,
@@ -64,66 +66,68 @@
         return test_cell._starts(self.decisions("vm-0"))
 
 
-class TestPlaces:
-    """Short requests leave memory when all places are taken."""
+class TestMaxConcurrentRequests:
+    """Short requests leave memory free at an engine's request limit."""
 
-    def test_no_more_than_an_engine_runs_at_once(self):
-        """A dozen short questions run, and memory for a hundred is left.
+    def test_request_limit_is_respected(self):
+        """Guards against requests that are rejected after their prefill.
 
-        An engine turns the thirteenth away after its prompt was read.
+        12 short requests run and leave memory for 100 more, but the engine
+        rejects the 13th after its prefill.
         """
         site = _Site()
-        site.ask(*range(20), tokens=100, answer=50)
+        site.submit_requests(*range(20), tokens=100, answer=50)
         assert len(site.starts()) == 12
         site.send("vm-0", messages.Finished(0, 50))
         assert len(site.starts()) == 1
 
 
 class TestBursts:
-    """Many callers come at once."""
+    """Many requests arrive at once."""
 
-    def test_those_that_come_in_turn_share_what_is_free(self):
+    def test_steady_requests_use_all_free_memory(self):
         site = _Site()
-        at_once = 0
+        concurrent = 0
         running: set[int] = set()
         for number in range(60):
-            site.ask(number)
+            site.submit_requests(number)
             running |= {start.request_id for start in site.starts()}
-            at_once = max(at_once, len(running))
+            concurrent = max(concurrent, len(running))
             if len(running) > 7:
                 done = min(running)
                 running.remove(done)
                 site.send("vm-0", messages.Finished(done, 6_000))
                 running |= {start.request_id for start in site.starts()}
             site.pass_time(0.35)
-        assert at_once == 8
+        assert concurrent == 8
 
-    def test_callers_are_told_to_come_back_after_it(self):
-        """Nearly twice as many ask as can be served, for some seconds.
+    def test_retry_after_exceeds_the_duration_of_a_burst(self):
+        """Guards against clients that retry during the same burst.
 
-        Told the time in which one answer ends, callers come back while it
-        lasts and are refused for good.
+        For some seconds nearly twice as many requests arrive as can be served.
+        With the time of one response as retry-after, clients return during the
+        burst and are refused for good.
         """
         site = _Site()
         refused: list[messages.Refuse] = []
         for number in range(40):
-            site.ask(number)
+            site.submit_requests(number)
             site.pass_time(0.2)
             refused += [
                 item
                 for item in site.decisions("vm-0")
                 if isinstance(item, messages.Refuse)
             ]
-        # Of the first ones; the times of those after them are further apart.
+        # Only the first refusals; later ones have ever longer times.
         assert min(item.retry_after_s for item in refused[1:5]) > _BURST_S
 
 
-class TestLeftAlone:
-    """An engine that failed is tried again, whatever callers ask."""
+class TestEjection:
+    """An ejected engine is probed, whatever requests arrive."""
 
     def _failed_once(self):
         site = _Site(decodes=2)
-        site.ask(0)
+        site.submit_requests(0)
         (start,) = site.starts()
         site.send(
             "vm-0",
@@ -135,24 +139,24 @@
         )
         return site, start.decode_id
 
-    def _used(self, site, numbers):
+    def _engines_used(self, site, numbers):
         used = set()
         for number in numbers:
-            site.ask(number)
+            site.submit_requests(number)
             used |= {start.decode_id for start in site.starts()}
             site.send("vm-0", messages.Finished(number, 6_000))
             site.pass_time(0.3)
         return used
 
-    def test_one_that_fails_all_new_work_gets_little_of_it(self):
-        """Guards against prompts read for an engine that answers with 500.
+    def test_engine_that_fails_new_requests_gets_few_of_them(self):
+        """Guards against prefills wasted on an engine that returns HTTP 500.
 
-        The pattern: its health is good, and streams from before go on well.
+        Its health check passes, and streams from before the fault continue.
         """
         site = _Site(decodes=2)
-        site.ask(*range(8))
+        site.submit_requests(*range(8))
         running = {start.request_id: start.decode_id for start in site.starts()}
-        bad = running[0]
+        failing_id = running[0]
         for number in running:
             site.send(
                 "vm-0",
@@ -163,13 +167,13 @@
         for number in range(100, 140):
             site.pass_time(0.05)
             older = number % len(running)
-            # Its streams come at their usual pace.
+            # Streams from before the fault keep their normal speed.
             tokens = int((number - 99) * 0.05 / _TOKEN_S)
             site.send("vm-0", messages.Progress(older, tokens))
-            site.ask(number)
+            site.submit_requests(number)
             for start in site.starts():
                 site.send("vm-0", messages.PrefillFinished(start.request_id))
-                if start.decode_id != bad:
+                if start.decode_id != failing_id:
                     site.send(
                         "vm-0",
                         messages.FirstToken(start.request_id),
@@ -181,54 +185,56 @@
                     "vm-0",
                     messages.AttemptFailed(
                         request_id=start.request_id,
-                        endpoint_id=bad,
+                        endpoint_id=failing_id,
                         stage=messages.Stage.TRANSFER,
                         answered=True,
                     ),
                 )
         assert 1 <= failed <= 2
 
-    def test_where_all_prompts_are_long(self):
-        """An engine lost one answer; all prompts here have 5,000 tokens.
+    def test_ejected_engine_is_probed_when_all_prompts_are_long(self):
+        """Guards against an engine that stays ejected for good.
 
-        Tried again with short prompts only, it would stand idle for the rest
-        of its life while the others are full and callers are refused.
+        An engine lost one response, and all prompts have 5,000 tokens. If only
+        short prompts were used as probes, it would stay idle while the others
+        are full and requests are refused.
         """
         site, failed = self._failed_once()
-        assert failed not in self._used(site, range(1, 4))
+        assert failed not in self._engines_used(site, range(1, 4))
         site.pass_time(2.0)
-        assert failed in self._used(site, range(4, 20))
+        assert failed in self._engines_used(site, range(4, 20))
 
     @pytest.mark.parametrize("change", ["life", "kind"])
-    def test_not_for_what_it_was_before(self, change):
-        """A prefill engine turns a prompt away while it changes to answers.
+    def test_restart_or_role_change_ends_the_ejection(self, change):
+        """Guards against an engine that stays ejected after a role change.
 
-        What it did before its change says nothing of its work now.
+        A prefill engine rejects a prompt while it changes to the decode role.
+        Failures from before the change or a restart no longer apply.
         """
         site, failed = self._failed_once()
         if change == "life":
-            site.settings(
+            site.update_settings(
                 **{failed: dataclasses.replace(site.engines[failed], life="2")}
             )
         else:
             engine = site.engines[failed]
             kind = model.EndpointKind.PREFILL
-            site.settings(**{failed: _engine(failed, kind)})
-            site.settings(**{failed: engine})
-        assert failed in self._used(site, range(1, 5))
+            site.update_settings(**{failed: _engine(failed, kind)})
+            site.update_settings(**{failed: engine})
+        assert failed in self._engines_used(site, range(1, 5))
 
 
 class TestSpeeds:
-    """What busy engines tell of their speed."""
+    """Speed estimates from the requests of busy engines."""
 
-    def _read(self, site, number, tokens, seconds):
-        site.ask(number, tokens=tokens)
+    def _run_prefill(self, site, number, tokens, seconds):
+        site.submit_requests(number, tokens=tokens)
         (start,) = site.starts()
         site.pass_time(seconds)
         site.send("vm-0", messages.PrefillFinished(number))
         return start
 
-    def _end(self, site, *numbers):
+    def _finish(self, site, *numbers):
         for number in numbers:
             site.send(
                 "vm-0",
@@ -236,41 +242,44 @@
                 messages.Finished(number, 6_000),
             )
 
-    def test_prompts_that_share_an_engine_say_nothing_of_its_speed(self):
-        """Guards against more prefill engines the busier they are."""
+    def test_concurrent_prefills_do_not_count(self):
+        """Guards against speed estimates that drop as engines get busier.
+
+        Too low a speed would lead to too many prefill engines.
+        """
         site = _Site()
         guessed = {
             name: dataclasses.replace(engine, speeds_guessed=True)
             for name, engine in site.engines.items()
         }
-        site.settings(**guessed)
+        site.update_settings(**guessed)
         for number in range(0, 120, 3):
             tokens = 3_000 + 60 * number
-            self._read(site, number, tokens, tokens / 50_000)
-            # Two at once take nearly twice as long, the first one as well.
-            site.ask(number + 1, tokens=tokens)
+            self._run_prefill(site, number, tokens, tokens / 50_000)
+            # Two concurrent prefills take nearly twice as long, both of them.
+            site.submit_requests(number + 1, tokens=tokens)
             site.pass_time(0.01)
-            site.ask(number + 2, tokens=tokens)
+            site.submit_requests(number + 2, tokens=tokens)
             site.starts()
             site.pass_time(1.8 * tokens / 50_000)
             for shared in (number + 1, number + 2):
                 site.send("vm-0", messages.PrefillFinished(shared))
-            self._end(site, number, number + 1, number + 2)
+            self._finish(site, number, number + 1, number + 2)
         standing = site.cell.standing("brief")
         assert 45_000 < standing.prompt_tokens_per_s < 55_000
 
 
-class TestWork:
-    """What answers take of the engines that write them."""
+class TestWorkload:
+    """Fraction of engine time that prefills take."""
 
-    def test_memory_kept_while_a_prompt_is_read_counts(self):
-        """Guards against too few engines for answers to long prompts."""
+    def test_memory_reserved_during_the_prefill_counts_as_decode(self):
+        """Guards against too few decode engines for long prompts."""
         site = _Site()
         guessed = {
             name: dataclasses.replace(engine, speeds_guessed=True)
             for name, engine in site.engines.items()
         }
-        site.settings(**guessed)
+        site.update_settings(**guessed)
         pool = site.cell._scheduler._pools.pools_by_name["brief"]
         parts = []
         for min_ttft_s in (0.0, 0.5):
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -9,11 +9,11 @@
 from cowsliprill.decisions import admission
 from cowsliprill.decisions import demand
 
-_USERS = ("a", "b", "c")
+_CUSTOMERS = ("a", "b", "c")
 
 
 class TestFairShares:
-    """Max-min fair splitting."""
+    """Max-min fair allocation."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=100
@@ -23,22 +23,24 @@
         strategies.lists(strategies.floats(0, 100), min_size=3, max_size=3),
         strategies.lists(strategies.floats(0.5, 4), min_size=3, max_size=3),
     )
-    def test_no_customer_is_below_its_share_while_it_asks(
-        self, total, wants, weights
+    def test_no_customer_gets_less_than_its_share_of_its_demand(
+        self, total, demands, weights
     ) -> None:
-        demand_by_customer = dict(zip(_USERS, wants, strict=True))
-        weight_by_customer = dict(zip(_USERS, weights, strict=True))
+        demand_by_customer = dict(zip(_CUSTOMERS, demands, strict=True))
+        weight_by_customer = dict(zip(_CUSTOMERS, weights, strict=True))
         given = demand.fair_shares(
             total, demand_by_customer, weight_by_customer
         )
         assert sum(given.values()) == pytest.approx(
-            min(total, sum(wants)), abs=1e-6
+            min(total, sum(demands)), abs=1e-6
         )
-        for customer in _USERS:
+        for customer in _CUSTOMERS:
             part = total * weight_by_customer[customer] / sum(weights)
-            least = min(part, demand_by_customer[customer])
+            min_allocation = min(part, demand_by_customer[customer])
             assert (
-                least - 1e-6 <= given[customer] <= demand_by_customer[customer]
+                min_allocation - 1e-6
+                <= given[customer]
+                <= demand_by_customer[customer]
             )
 
 
@@ -48,7 +50,7 @@
 
 
 class TestDemandWindow:
-    """What fits into an entry's part of the slots."""
+    """Requests that fit the slots of one process."""
 
     def _window(self, items: list[demand.RequestDemand]) -> demand.DemandWindow:
         window = demand.DemandWindow()
@@ -56,12 +58,12 @@
             window.add(item)
         return window
 
-    def test_everything_fits_while_there_is_room(self) -> None:
+    def test_all_requests_fit_below_the_capacity(self) -> None:
         items = [_item(float(number)) for number in range(10)]
         window = self._window(items)
         assert window.fits(items[-1], 2.0, {})
 
-    def test_long_requests_give_way_to_many_short_ones(self) -> None:
+    def test_short_requests_go_before_long_ones(self) -> None:
         items = [
             _item(number * 0.5, cost_s=1.0 if number % 2 else 5.0)
             for number in range(20)
@@ -70,10 +72,10 @@
         assert window.fits(items[-1], 1.0, {})
         assert not window.fits(items[-2], 1.0, {})
 
-    def test_a_burst_counts_whole(self) -> None:
-        """Guards against a burst that seems small because it is fast.
+    def test_window_covers_a_whole_burst(self) -> None:
+        """Guards against a burst that is underestimated for its high rate.
 
-        The pattern: hundreds of requests a second, twice what can be served.
+        Hundreds of requests a second arrive, twice what can be served.
         """
         items = [
             _item(number * 0.01, cost_s=1.0 if number % 2 else 3.0)
@@ -93,25 +95,25 @@
         window = self._window([*items, urgent])
         assert window.fits(urgent, 1.0, {})
 
-    def test_one_customers_flood_does_not_cost_another(self) -> None:
-        """One firm sends twenty times its share.
+    def test_overload_by_one_customer_does_not_affect_another(self) -> None:
+        """Guards against refusals caused by another customer's overload.
 
-        Without shares the other firm's long request would be refused though
-        that firm asks for little.
+        One customer sends twenty times its share. Without fair shares the long
+        request of another customer with little demand would be refused.
         """
-        flood = [_item(number * 0.1, cost_s=1.0) for number in range(100)]
-        modest = _item(10.0, customer="b", cost_s=4.0)
-        window = self._window([*flood, modest])
-        assert window.fits(modest, 1.0, {})
+        overload = [_item(number * 0.1, cost_s=1.0) for number in range(100)]
+        other = _item(10.0, customer="b", cost_s=4.0)
+        window = self._window([*overload, other])
+        assert window.fits(other, 1.0, {})
 
 
-class TestReturnTimes:
-    """When refused callers come back."""
+class TestRetryAfterSchedule:
+    """Retry-after times of refused requests."""
 
     def test_they_are_spread_and_bounded(self) -> None:
-        """Many callers are refused within a moment.
+        """Guards against clients that return together and are refused again.
 
-        Told the same time, they would come together and be refused together.
+        Many requests are refused at the same time.
         """
         retry_schedule = admission.RetryAfterSchedule(random.Random(1))
         times = sorted(
@@ -127,9 +129,9 @@
 
 
 class TestBacklog:
-    """How long the last waiting request will wait."""
+    """Expected wait of the last queued request."""
 
-    def test_the_slower_of_decode_and_prefill_counts(self) -> None:
+    def test_wait_is_that_of_the_slower_of_decode_and_prefill(self) -> None:
         backlog = admission.Backlog(
             waiting=10,
             free_slots=0,
@@ -140,7 +142,7 @@
         )
         assert backlog.wait_s() == pytest.approx(2.0)
 
-    def test_nothing_drains_without_engines(self) -> None:
+    def test_wait_is_infinite_without_engines(self) -> None:
         backlog = admission.Backlog(
             waiting=1,
             free_slots=0,
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -32,12 +32,12 @@
     )
 
 
-def _equal(_: str) -> float:
+def _no_excess(_: str) -> float:
     return 0.0
 
 
 class TestWaitingQueue:
-    """Order of waiting requests."""
+    """Order of queued requests."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=100
@@ -53,47 +53,49 @@
             max_size=25,
         )
     )
-    def test_equals_a_sorted_list(self, steps) -> None:
+    def test_order_equals_a_sorted_list(self, steps) -> None:
         waiting_queue = queue.WaitingQueue()
-        plain: list[queue.Waiting] = []
+        expected: list[queue.Waiting] = []
         for number, (customer, priority, start_deadline, removes) in enumerate(
             steps
         ):
-            if removes and plain:
-                gone = plain.pop(number % len(plain))
-                assert waiting_queue.remove(gone.submit.request_id) == gone
+            if removes and expected:
+                removed = expected.pop(number % len(expected))
+                assert (
+                    waiting_queue.remove(removed.submit.request_id) == removed
+                )
             item = _waiting(
                 number,
                 customer=customer,
                 priority=priority,
                 start_deadline=start_deadline,
             )
-            plain.append(item)
+            expected.append(item)
             waiting_queue.add(item)
-            plain.sort(key=queue.Waiting.key)
-            assert waiting_queue.last(_equal) == plain[-1]
-        while plain:
-            first = waiting_queue.first(_equal)
-            assert first == plain.pop(0)
+            expected.sort(key=queue.Waiting.key)
+            assert waiting_queue.last(_no_excess) == expected[-1]
+        while expected:
+            first = waiting_queue.first(_no_excess)
+            assert first == expected.pop(0)
             waiting_queue.remove(first.submit.request_id)
         assert len(waiting_queue) == 0
-        assert waiting_queue.first(_equal) is None
+        assert waiting_queue.first(_no_excess) is None
 
     def test_low_priority_does_not_starve(self) -> None:
-        """Urgent requests keep coming while a common one waits.
+        """Guards against starvation of low-priority requests.
 
-        Were priority strict, the common one would never run; its caller
-        would see only refusals for as long as urgent work comes.
+        High-priority requests keep arriving. With strict priorities a request
+        of low priority would be refused for as long as they do.
         """
-        old = _waiting(1, priority=0, start_deadline=1.0)
+        low = _waiting(1, priority=0, start_deadline=1.0)
         late = 2.0 + queue.PRIORITY_LEVEL_S
-        fresh = _waiting(2, priority=1, start_deadline=late)
+        high = _waiting(2, priority=1, start_deadline=late)
         waiting_queue = queue.WaitingQueue()
-        waiting_queue.add(fresh)
-        waiting_queue.add(old)
-        assert waiting_queue.first(_equal) == old
+        waiting_queue.add(high)
+        waiting_queue.add(low)
+        assert waiting_queue.first(_no_excess) == low
 
-    def test_a_customer_above_its_share_stands_back(self) -> None:
+    def test_customer_above_its_share_goes_last(self) -> None:
         waiting_queue = queue.WaitingQueue()
         waiting_queue.add(_waiting(1, customer="greedy", start_deadline=1.0))
         waiting_queue.add(_waiting(2, customer="modest", start_deadline=2.0))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -63,9 +63,9 @@
 
 
 def _scheduler() -> scheduler.Scheduler:
-    found = scheduler.Scheduler("gasabo", 1)
-    found.handle(messages.WorldChanged(_SNAPSHOT, model.Fleet()), 0.0)
-    return found
+    subject = scheduler.Scheduler("gasabo", 1)
+    subject.handle(messages.WorldChanged(_SNAPSHOT, model.Fleet()), 0.0)
+    return subject
 
 
 def _grant(
@@ -81,19 +81,19 @@
     )
 
 
-def _with_slots(slots: int = 2) -> scheduler.Scheduler:
-    found = _scheduler()
+def _scheduler_with_slots(slots: int = 2) -> scheduler.Scheduler:
+    subject = _scheduler()
     for endpoint_id in _SNAPSHOT.endpoints_by_id:
-        found.handle(_grant(endpoint_id, slots), 0.0)
-    return found
+        subject.handle(_grant(endpoint_id, slots), 0.0)
+    return subject
 
 
-def _of(actions: list[messages.Action], kind: type) -> list:
+def _actions_of(actions: list[messages.Action], kind: type) -> list:
     return [action for action in actions if isinstance(action, kind)]
 
 
 class TestOneFinalAction:
-    """Every submitted request comes to exactly one end."""
+    """Each submitted request ends exactly once."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=150
@@ -108,12 +108,13 @@
         )
     )
     def test_any_order_of_events(self, steps) -> None:
-        """Requests come, fail, end and are given up in any order.
+        """Guards against a second end or a refusal of a running request.
 
-        A second final answer would reach another caller or none; a refusal of
-        a request that runs would have its caller do the work again.
+        Requests arrive, fail, finish and are cancelled in random order. A
+        second end could reach another client; a refusal of a running request
+        would make its client repeat the work.
         """
-        subject = _with_slots()
+        subject = _scheduler_with_slots()
         now = 0.0
         running: dict[int, messages.Start] = {}
         waiting: set[int] = set()
@@ -136,9 +137,9 @@
                     case messages.CancelAttempt(request_id=request_id):
                         assert request_id not in running
 
-        for number, (act, pick) in enumerate(steps):
+        for number, (action_number, pick) in enumerate(steps):
             chosen = sorted(running)[pick % len(running)] if running else None
-            match act:
+            match action_number:
                 case 0 | 1 | 2:
                     waiting.add(number)
                     perform(_submit(number, now, priority=pick % 2))
@@ -168,10 +169,10 @@
                         )
                     )
                 case 6 if waiting:
-                    gone = sorted(waiting)[pick % len(waiting)]
-                    waiting.remove(gone)
-                    ended[gone] += 1
-                    perform(messages.Cancel(gone))
+                    cancelled = sorted(waiting)[pick % len(waiting)]
+                    waiting.remove(cancelled)
+                    ended[cancelled] += 1
+                    perform(messages.Cancel(cancelled))
                 case 7:
                     now += pick / 30
                     perform(messages.Tick())
@@ -187,35 +188,34 @@
         assert not ended.keys() & running.keys()
 
 
-class TestPromise:
-    """A prefill starts only once its decode slot is promised."""
+class TestSlotReservation:
+    """A prefill starts only once its decode slots are leased."""
 
     def test_no_start_without_a_decode_slot(self) -> None:
-        """The prefill engine is free, the decode engines are full.
+        """Guards against prefills evicted before a decode slot is free.
 
-        A prefill started now would be evicted before a decode slot is free.
+        The prefill engine is idle and the decode engines are full.
         """
         subject = _scheduler()
         subject.handle(_grant("prefill-0", 4), 0.0)
         actions = subject.handle(_submit(1), 0.0)
-        assert not _of(actions, messages.Start)
-        assert _of(actions, messages.SlotAsk)
+        assert not _actions_of(actions, messages.Start)
+        assert _actions_of(actions, messages.SlotAsk)
         actions = subject.handle(_grant("decode-1", 1), 0.1)
-        assert [start.decode_id for start in _of(actions, messages.Start)] == [
-            "decode-1"
-        ]
+        assert [
+            start.decode_id for start in _actions_of(actions, messages.Start)
+        ] == ["decode-1"]
 
-    def test_idle_slots_go_back_at_once_when_others_wait(self) -> None:
-        subject = _with_slots(2)
+    def test_idle_slots_are_released_at_once_when_others_wait(self) -> None:
+        subject = _scheduler_with_slots(2)
         actions = subject.handle(_grant("decode-0", 2, waiting=1), 0.1)
-        (ask,) = _of(actions, messages.SlotAsk)
+        (ask,) = _actions_of(actions, messages.SlotAsk)
         assert (ask.endpoint_id, ask.held) == ("decode-0", 0)
 
-    def test_a_lost_home_leaves_a_small_share(self) -> None:
-        """The homes can't be reached and no lease is left.
+    def test_some_slots_are_usable_without_a_coordinator(self) -> None:
+        """Guards against refusal of all requests although engines are healthy.
 
-        Without a share of its own the entry would refuse everything, though
-        the engines are well.
+        No coordinator can be reached and all leases have expired.
         """
         subject = _scheduler()
         everything = tuple(_SNAPSHOT.endpoints_by_id)
@@ -223,7 +223,7 @@
         starts = [
             start
             for number in range(20)
-            for start in _of(
+            for start in _actions_of(
                 subject.handle(_submit(number), 0.0), messages.Start
             )
         ]
@@ -231,44 +231,47 @@
 
 
 class TestRefusals:
-    """Refusals come at once and say when to come back."""
+    """Requests are refused at once, with a retry-after."""
 
-    def test_an_unreachable_target(self) -> None:
-        subject = _with_slots()
+    def test_unreachable_ttft_target_is_refused(self) -> None:
+        subject = _scheduler_with_slots()
         slow = _submit(1, prompt_tokens=5_000, deadline=1.0)
-        (refusal,) = _of(subject.handle(slow, 0.0), messages.Refuse)
+        (refusal,) = _actions_of(subject.handle(slow, 0.0), messages.Refuse)
         assert refusal.code is messages.RefusalCode.TARGET_UNREACHABLE
 
-    def test_a_queue_that_will_not_drain(self) -> None:
-        """Every slot is busy and many requests of other entries wait.
+    def test_queue_that_will_not_drain_in_time_is_refused(self) -> None:
+        """Guards against requests that wait only to be refused at the deadline.
 
-        Its caller would wait for nothing until its target has passed.
+        All slots are busy and many requests of other entry processes wait.
         """
         subject = _scheduler()
         for endpoint in _DECODES:
             subject.handle(_grant(endpoint.id, 0, waiting=99, used=4), 0.0)
         actions = subject.handle(_submit(1), 0.0)
-        (refusal,) = _of(actions, messages.Refuse)
+        (refusal,) = _actions_of(actions, messages.Refuse)
         assert refusal.code is messages.RefusalCode.OVERLOADED
 
-    def test_callers_do_not_return_together(self) -> None:
+    def test_retry_after_times_are_spread(self) -> None:
         subject = _scheduler()
         for endpoint in _DECODES:
             subject.handle(_grant(endpoint.id, 0, waiting=99, used=4), 0.0)
         times = {
             round(refusal.retry_after_s, 3)
             for number in range(20)
-            for refusal in _of(
+            for refusal in _actions_of(
                 subject.handle(_submit(number), 0.0), messages.Refuse
             )
         }
         assert len(times) == 20
 
-    def test_an_unrepeatable_request_is_not_started_again(self) -> None:
-        """An unrepeatable request fails and may have been run."""
-        subject = _with_slots()
+    def test_non_idempotent_request_is_not_retried(self) -> None:
+        """Guards against a second run of a request that isn't idempotent.
+
+        The request fails and may have run.
+        """
+        subject = _scheduler_with_slots()
         service = _service(idempotency=model.Idempotency.UNREPEATABLE)
-        start = _of(
+        start = _actions_of(
             subject.handle(_submit(1, service=service), 0.0), messages.Start
         )[0]
         failed = messages.AttemptFailed(
@@ -277,37 +280,37 @@
             stage=messages.Stage.PREFILL,
         )
         actions = subject.handle(failed, 0.1)
-        assert not _of(actions, messages.Start)
-        assert len(_of(actions, messages.Refuse)) == 1
+        assert not _actions_of(actions, messages.Start)
+        assert len(_actions_of(actions, messages.Refuse)) == 1
 
 
-class TestSickEngines:
-    """Engines that fail or are slow, judged by their own answers."""
+class TestEjection:
+    """Engines that fail or are slow get no requests, except for probes."""
 
     def _start(
         self, subject: scheduler.Scheduler, request_id: int, now: float
     ) -> messages.Start:
         submit = _submit(request_id, now)
-        return _of(subject.handle(submit, now), messages.Start)[0]
+        return _actions_of(subject.handle(submit, now), messages.Start)[0]
 
-    def test_a_failed_engine_is_left_alone_and_tried_again(self) -> None:
-        """A prefill engine dies; callers would meet it with each request."""
-        subject = _with_slots(4)
+    def test_failed_engine_is_ejected_and_probed(self) -> None:
+        """Guards against requests that are sent to a dead prefill engine."""
+        subject = _scheduler_with_slots(4)
         first = self._start(subject, 1, 0.0)
         failed = messages.AttemptFailed(
             request_id=1,
             endpoint_id=first.prefill_id,
             stage=messages.Stage.PREFILL,
         )
-        (again,) = _of(subject.handle(failed, 0.0), messages.Start)
-        assert again.prefill_id != first.prefill_id
+        (retry,) = _actions_of(subject.handle(failed, 0.0), messages.Start)
+        assert retry.prefill_id != first.prefill_id
         assert self._start(subject, 2, 0.1).prefill_id != first.prefill_id
         later = [self._start(subject, n, 10.0).prefill_id for n in (3, 4)]
         assert later.count(first.prefill_id) == 1
 
-    def test_a_slow_decode_engine_is_left_alone(self) -> None:
-        """Its streams are too slow, so every answer there misses its target."""
-        subject = _with_slots(4)
+    def test_slow_decode_engine_is_ejected(self) -> None:
+        """Guards against streams that miss their TPOT target."""
+        subject = _scheduler_with_slots(4)
         slow_id = ""
         for number in range(8):
             start = self._start(subject, number, 0.0)
@@ -318,37 +321,39 @@
             at = 0.12 + 15 * pace
             subject.handle(messages.Progress(number, 16), at)
             subject.handle(messages.Finished(number, 16), at)
-        found = {self._start(subject, 20 + n, 1.0).decode_id for n in range(4)}
-        assert slow_id not in found
+        used_ids = {
+            self._start(subject, 20 + n, 1.0).decode_id for n in range(4)
+        }
+        assert slow_id not in used_ids
 
 
 class TestCancel:
-    """A caller that is gone holds nothing."""
+    """A cancelled request holds no slots."""
 
-    def test_queued_work_leaves_at_once(self) -> None:
+    def test_queued_request_is_removed_at_once(self) -> None:
         subject = _scheduler()
         subject.handle(_submit(1), 0.0)
         actions = subject.handle(messages.Cancel(1), 0.1)
-        asks = _of(actions, messages.SlotAsk)
+        asks = _actions_of(actions, messages.SlotAsk)
         assert asks
         assert all(not ask.customer_wants for ask in asks)
-        assert not _of(
+        assert not _actions_of(
             subject.handle(_grant("decode-0", 4), 0.2), messages.Start
         )
 
-    def test_running_work_is_cancelled_and_frees_its_slots(self) -> None:
-        subject = _with_slots(1)
-        start = _of(subject.handle(_submit(1), 0.0), messages.Start)[0]
+    def test_running_request_is_cancelled_and_frees_its_slots(self) -> None:
+        subject = _scheduler_with_slots(1)
+        start = _actions_of(subject.handle(_submit(1), 0.0), messages.Start)[0]
         actions = subject.handle(messages.Cancel(1), 0.1)
-        (cancel,) = _of(actions, messages.CancelAttempt)
+        (cancel,) = _actions_of(actions, messages.CancelAttempt)
         assert cancel.endpoint_ids == (start.prefill_id, start.decode_id)
         assert all(ask.in_use == 0 for ask in subject.asks(0.2))
 
 
 class TestManyEngines:
-    """Cost and reach of an entry when the fleet is large."""
+    """Number of engines that one entry process uses in a large fleet."""
 
-    def test_an_entry_uses_a_bounded_part(self) -> None:
+    def test_entry_process_uses_a_bounded_subset(self) -> None:
         engines = [
             _endpoint(kind, number)
             for kind in (model.EndpointKind.PREFILL, model.EndpointKind.DECODE)
@@ -367,62 +372,62 @@
 
 
 class TestUnsentAttempts:
-    """The entry's own lease had run out before the engine was called."""
+    """Attempts whose lease expired before the engine was called."""
 
     def test_they_cost_no_retry(self) -> None:
-        """A burst keeps the entry busy and its leases lapse.
+        """Guards against refusals with `retry_budget_spent` on an idle pool.
 
-        Counted as retries, five of 200 callers got `retry_budget_spent` on
-        an idle pool.
+        A burst keeps the entry process busy, so that its leases expire. When
+        this counted as retries, 5 of 200 requests were refused.
         """
-        found = _with_slots()
+        subject = _scheduler_with_slots()
         submit = _submit(1)
         retries = model.RetryRules(ratio=0.0, burst=0, attempts=1)
         service = dataclasses.replace(submit.service, retries=retries)
         submit = dataclasses.replace(submit, service=service)
-        actions = found.handle(submit, 0.0)
+        actions = subject.handle(submit, 0.0)
         for attempt in range(3):
-            (start,) = _of(actions, messages.Start)
+            (start,) = _actions_of(actions, messages.Start)
             assert start.attempt == attempt
-            lost = messages.AttemptFailed(
+            failed = messages.AttemptFailed(
                 request_id=1,
                 endpoint_id=start.prefill_id,
                 stage=messages.Stage.PREFILL,
                 refused=True,
                 unsent=True,
             )
-            actions = found.handle(lost, 0.0)
-            assert not _of(actions, messages.Refuse)
-            actions += found.handle(_grant(start.prefill_id, 2), 0.0)
-
-    def test_they_end(self) -> None:
-        """Leases that lapse for ever must not keep a caller for ever."""
-        found = _with_slots()
-        actions = found.handle(_submit(1), 0.0)
+            actions = subject.handle(failed, 0.0)
+            assert not _actions_of(actions, messages.Refuse)
+            actions += subject.handle(_grant(start.prefill_id, 2), 0.0)
+
+    def test_their_number_is_bounded(self) -> None:
+        """Guards against endless attempts while leases keep expiring."""
+        subject = _scheduler_with_slots()
+        actions = subject.handle(_submit(1), 0.0)
         for _ in range(20):
-            starts = _of(actions, messages.Start)
+            starts = _actions_of(actions, messages.Start)
             if not starts:
                 break
-            lost = messages.AttemptFailed(
+            failed = messages.AttemptFailed(
                 request_id=1,
                 endpoint_id=starts[0].prefill_id,
                 stage=messages.Stage.PREFILL,
                 refused=True,
                 unsent=True,
             )
-            actions = found.handle(lost, 0.0)
-            actions += found.handle(_grant(starts[0].prefill_id, 2), 0.0)
-        assert _of(actions, messages.Refuse)
+            actions = subject.handle(failed, 0.0)
+            actions += subject.handle(_grant(starts[0].prefill_id, 2), 0.0)
+        assert _actions_of(actions, messages.Refuse)
 
 
-def _lose_answers(subject: scheduler.Scheduler) -> int:
-    """Has each prefill engine fail one request; returns how many it took."""
+def _fail_all_prefill_engines(subject: scheduler.Scheduler) -> int:
+    """Fails a request on each prefill engine; returns the requests it took."""
     failed: set[str] = set()
     number = 0
-    once = _service(idempotency=model.Idempotency.UNREPEATABLE)
+    non_idempotent = _service(idempotency=model.Idempotency.UNREPEATABLE)
     while len(failed) < len(_PREFILLS):
-        submit = _submit(number, service=once)
-        (start,) = _of(subject.handle(submit, 0.0), messages.Start)
+        submit = _submit(number, service=non_idempotent)
+        (start,) = _actions_of(subject.handle(submit, 0.0), messages.Start)
         subject.handle(
             messages.AttemptFailed(
                 request_id=number,
@@ -436,114 +441,122 @@
     return number
 
 
-class TestAllOfAKindFailed:
-    """Each prefill engine of a pool has failed a request lately."""
+class TestAllPrefillEnginesEjected:
+    """Each prefill engine of a pool has recently failed a request."""
 
     def _pool(self) -> scheduler.Scheduler:
         subject = scheduler.Scheduler("gasabo", 1, owns_slots=True)
         subject.handle(messages.WorldChanged(_SNAPSHOT, model.Fleet()), 0.0)
         return subject
 
-    def test_a_request_is_tried_within_its_time(self) -> None:
-        """Answers are lost on the way for some seconds, at all engines.
+    def test_request_starts_before_its_deadline(self) -> None:
+        """Guards against refusals that outlast a short fault of all engines.
 
-        Callers were refused for as long as the engines were left alone, which
-        was ten times as long as the trouble.
+        Responses of all engines are lost for some seconds. Requests were
+        refused while the engines were ejected, ten times as long as the fault.
         """
         subject = self._pool()
-        number = _lose_answers(subject)
+        number = _fail_all_prefill_engines(subject)
         actions = subject.handle(
             _submit(number, 0.1, prompt_tokens=100, deadline=2.0), 0.1
         )
-        assert not _of(actions, messages.Refuse)
+        assert not _actions_of(actions, messages.Refuse)
         actions = subject.handle(messages.Tick(), 0.7)
-        (start,) = _of(actions, messages.Start)
+        (start,) = _actions_of(actions, messages.Start)
         assert start.request_id == number
 
-    def test_one_good_prefill_brings_the_engine_back(self) -> None:
+    def test_successful_probe_ends_the_ejection(self) -> None:
         subject = self._pool()
-        number = _lose_answers(subject)
+        number = _fail_all_prefill_engines(subject)
         subject.handle(_submit(number, 0.1, deadline=2.0), 0.1)
-        (probe,) = _of(subject.handle(messages.Tick(), 0.7), messages.Start)
+        (probe,) = _actions_of(
+            subject.handle(messages.Tick(), 0.7), messages.Start
+        )
         subject.handle(messages.PrefillFinished(probe.request_id), 0.8)
         for later in range(number + 1, number + 4):
             actions = subject.handle(_submit(later, 0.8, deadline=2.0), 0.8)
-            (start,) = _of(actions, messages.Start)
+            (start,) = _actions_of(actions, messages.Start)
             assert start.prefill_id == probe.prefill_id
 
 
-def _reading_itself(endpoint: model.Endpoint) -> model.Endpoint:
+def _with_local_prefill(endpoint: model.Endpoint) -> model.Endpoint:
     if endpoint.kind is not model.EndpointKind.DECODE:
         return endpoint
     return dataclasses.replace(endpoint, own_prefill_tokens_per_s=500.0)
 
 
-class TestDecodeEnginesThatPrefill:
-    """A decode engine reads a prompt itself, slower than a prefill engine."""
+class TestLocalPrefill:
+    """A decode engine runs a prefill itself, slower than a prefill engine."""
 
     def _pool(self, engines: list[model.Endpoint]) -> scheduler.Scheduler:
         subject = scheduler.Scheduler("gasabo", 1, owns_slots=True)
-        self._list(subject, engines, 0.0)
+        self._set_engines(subject, engines, 0.0)
         return subject
 
     @staticmethod
-    def _list(
+    def _set_engines(
         subject: scheduler.Scheduler, engines: list[model.Endpoint], now: float
     ) -> None:
-        by_id = {item.id: _reading_itself(item) for item in engines}
+        by_id = {item.id: _with_local_prefill(item) for item in engines}
         snapshot = model.Snapshot(revision=1, endpoints_by_id=by_id)
         subject.handle(messages.WorldChanged(snapshot, model.Fleet()), now)
 
-    def test_not_while_prefill_engines_have_places(self) -> None:
+    def test_not_while_prefill_engines_have_free_slots(self) -> None:
         subject = self._pool(_PREFILLS + _DECODES)
-        (start,) = _of(subject.handle(_submit(0), 0.0), messages.Start)
+        (start,) = _actions_of(subject.handle(_submit(0), 0.0), messages.Start)
         assert start.has_prefill()
 
-    def test_where_all_prefill_engines_are_gone(self) -> None:
-        """The only prefill engine crashes; its entry is removed.
+    def test_without_prefill_engines(self) -> None:
+        """Guards against `no_endpoint` while decode engines have free slots.
 
-        Callers got `no_endpoint` until another had started, while decode
-        engines had room and could have read their prompts.
+        The only prefill engine crashes and is removed from the settings.
+        Requests were refused until another had started.
         """
         subject = self._pool(_DECODES)
-        (start,) = _of(subject.handle(_submit(0), 0.0), messages.Start)
+        (start,) = _actions_of(subject.handle(_submit(0), 0.0), messages.Start)
         assert not start.has_prefill()
         subject.handle(messages.FirstToken(0), 0.3)
         subject.handle(messages.Finished(0, 100), 1.3)
-        (start,) = _of(subject.handle(_submit(1, 1.4), 1.4), messages.Start)
+        (start,) = _actions_of(
+            subject.handle(_submit(1, 1.4), 1.4), messages.Start
+        )
         assert not start.has_prefill()
 
-    def test_where_all_prefill_engines_fail(self) -> None:
+    def test_with_all_prefill_engines_ejected(self) -> None:
         subject = self._pool(_PREFILLS + _DECODES)
-        number = _lose_answers(subject)
-        (start,) = _of(
+        number = _fail_all_prefill_engines(subject)
+        (start,) = _actions_of(
             subject.handle(_submit(number, 0.1), 0.1), messages.Start
         )
         assert not start.has_prefill()
 
-    def test_where_prefill_engines_are_long_busy(self) -> None:
-        """Long prompts fill the prefill engines, short answers end at once.
+    def test_with_prefill_engines_full_for_long(self) -> None:
+        """Guards against requests that wait while decode engines are idle.
 
-        Requests waited for a place there though decode engines stood idle.
+        Long prompts fill the prefill engines, and outputs are short.
         """
         subject = self._pool(_PREFILLS[:1] + _DECODES)
         for number in range(4):
             subject.handle(_submit(number, deadline=3.0), 0.0)
-        waits = _submit(4, deadline=3.0)
-        assert not _of(subject.handle(waits, 0.0), messages.Start)
-        assert not _of(subject.handle(messages.Tick(), 0.05), messages.Start)
-        (start,) = _of(subject.handle(messages.Tick(), 0.2), messages.Start)
+        queued = _submit(4, deadline=3.0)
+        assert not _actions_of(subject.handle(queued, 0.0), messages.Start)
+        assert not _actions_of(
+            subject.handle(messages.Tick(), 0.05), messages.Start
+        )
+        (start,) = _actions_of(
+            subject.handle(messages.Tick(), 0.2), messages.Start
+        )
         assert start.request_id == 4
         assert not start.has_prefill()
 
-    def test_one_that_fails_so_is_tried_with_a_prefill_engine(self) -> None:
+    def test_failed_local_prefill_is_retried_on_a_prefill_engine(self) -> None:
         subject = self._pool(_DECODES)
-        (start,) = _of(subject.handle(_submit(0), 0.0), messages.Start)
-        self._list(subject, _PREFILLS + _DECODES, 0.1)
+        (start,) = _actions_of(subject.handle(_submit(0), 0.0), messages.Start)
+        self._set_engines(subject, _PREFILLS + _DECODES, 0.1)
         failed = messages.AttemptFailed(
             request_id=0,
             stage=messages.Stage.TRANSFER,
             endpoint_id=start.decode_id,
         )
-        (start,) = _of(subject.handle(failed, 0.1), messages.Start)
+        (start,) = _actions_of(subject.handle(failed, 0.1), messages.Start)
         assert start.has_prefill()
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -23,20 +23,20 @@
     )
 
 
-class TestWorths:
-    """Worth beside the service's usual requests."""
+class TestRequestValues:
+    """Value relative to the mean request of a service."""
 
-    def test_usual_one_is_worth_one(self):
+    def test_value_of_a_mean_request_is_one(self):
         request_values = worth.RequestValues()
         request_values.record(_submit(3_000), 300)
         assert request_values.of(_submit(3_000), 300) == 1.0
 
-    def test_twice_the_size_adds_its_part(self):
+    def test_value_grows_with_size_by_the_configured_fraction(self):
         request_values = worth.RequestValues()
         request_values.record(_submit(3_000), 300)
         assert abs(request_values.of(_submit(6_000), 600) - 1.7) < 1e-9
 
-    def test_bounded_and_off_without_a_part(self):
+    def test_value_is_bounded_and_one_without_a_fraction(self):
         request_values = worth.RequestValues()
         request_values.record(_submit(100), 10)
         assert request_values.of(_submit(100_000), 1_000) == 4.0
