--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.cell`: the central scheduler of a pool."""
+"""Tests of the central scheduler of a pool."""
 
 import random
 
--- a/tests/test_cell_loads.py
+++ b/tests/test_cell_loads.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.cell` under load and engine faults, without a network."""
+"""Tests of the pool scheduler under load and engine faults, no network."""
 
 import dataclasses
 
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.demand` and `decisions.admission`."""
+"""Tests of fair shares of demand, backlog estimates and retry-after times."""
 
 import random
 
--- a/tests/test_prospects.py
+++ b/tests/test_prospects.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.prospects`."""
+"""Tests of wait estimates."""
 
 import random
 
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.queue`."""
+"""Tests of the request queue."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.worth`."""
+"""Tests of request values."""
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
