--- a/src/cowsliprill/decisions/cell.py
+++ b/src/cowsliprill/decisions/cell.py
@@ -79,7 +79,7 @@
         """Sets whether this VM is the pool's coordinator in its own VM list.
 
         Args:
-          is_home: Whether this VM is the coordinator. If not, it is an acting
+          is_home: Whether it is the coordinator; else it is an acting
             coordinator.
           now: Current time in seconds.
         """
