--- a/src/cowsliprill/decisions/prospects.py
+++ b/src/cowsliprill/decisions/prospects.py
@@ -67,7 +67,7 @@
     )
 
 
-def fits(
+def should_queue(
     request: requests.Request,
     item: demand.RequestDemand,
     now: float,
--- a/src/cowsliprill/decisions/scheduler.py
+++ b/src/cowsliprill/decisions/scheduler.py
@@ -199,7 +199,7 @@
         if (
             is_queued
             and can_meet_target
-            and not prospects.fits(request, item, now, entry_count)
+            and not prospects.should_queue(request, item, now, entry_count)
         ):
             starts.extend(self._demote(request, now))
         return starts + self._schedule(pool, now)
--- a/tests/test_cell_loads.py
+++ b/tests/test_cell_loads.py
@@ -118,7 +118,7 @@
                 for item in site.decisions("vm-0")
                 if isinstance(item, messages.Refuse)
             ]
-        # Only the first refusals; later ones have ever longer times.
+        # Only the first refusals; the times of later ones are further apart.
         assert min(item.retry_after_s for item in refused[1:5]) > _BURST_S
 
 
@@ -281,7 +281,7 @@
         }
         site.update_settings(**guessed)
         pool = site.cell._scheduler._pools.pools_by_name["brief"]
-        parts = []
+        fractions = []
         for min_ttft_s in (0.0, 0.5):
             pool._workload = workload.Workload()
             pool._speeds._prompt.told_s = 1 / 50_000
@@ -289,5 +289,5 @@
             for number in range(40):
                 submit = test_cell._submit(number, site.now, 5_000)
                 pool.record_work(submit, 500, min_ttft_s, site.now)
-            parts.append(pool.prompt_part())
-        assert parts[1] < parts[0]
+            fractions.append(pool.prompt_part())
+        assert fractions[1] < fractions[0]
