--- a/src/cowsliprill/decisions/chooser.py
+++ b/src/cowsliprill/decisions/chooser.py
@@ -1,4 +1,4 @@
-"""Which engines a request may use now, and what each would cost it."""
+"""Selects the engines for a request by their estimated time to first token."""
 
 import math
 
@@ -9,54 +9,53 @@
 from cowsliprill.decisions import placement
 from cowsliprill.decisions import pool as pools
 
-# While no prefill engine has a place but a decode engine has room, prompts are
-# the bottleneck. A place is free again after the time of one prompt, 0.1 s;
-# beyond that a decode engine reads the prompt itself, at half the speed and
-# between the tokens of its streams, which come late by as much.
-_PREFILLS_SHORT_S = 0.1
+# While all prefill slots are taken and a decode engine has free slots, prefill
+# is the bottleneck. A prefill slot is free again after the time of one prompt,
+# 0.1 s. If none is by then, a decode engine runs the prefill itself. It does so
+# at half the speed and between the tokens of its streams, which delays those
+# tokens by as much.
+_PREFILL_BUSY_GRACE_S = 0.1
 
-# What a request loses at an engine whose memory is full over an empty one:
-# each request beside it makes every token of an answer come some hundredths
-# later, and answers that grow beyond what was expected push others out.
-_FULL_S = 0.1
+# Cost of an engine with full KV cache memory relative to an empty one. Each
+# concurrent request delays every token of a stream by some hundredths of a
+# second, and completions that grow longer than expected preempt others.
+_FULL_MEMORY_COST_S = 0.1
 
 
 class Chooser:
-    """Chooses engines for the requests of one entry.
+    """Selects engines for the requests of one scheduler.
 
     Args:
-      availability_zone: Where the entry is.
-      engine_health: What it has learnt of the engines.
+      availability_zone: Availability zone of the entry process.
+      breakers: Circuit breakers of the engines.
     """
 
-    def __init__(
-        self, availability_zone: str, engine_health: health.Health
-    ) -> None:
+    def __init__(self, availability_zone: str, breakers: health.Health) -> None:
         self._availability_zone = availability_zone
-        self._health = engine_health
+        self._breakers = breakers
 
     def choose(
         self, pool: pools.Pool, submit: messages.Submit, slots: int, now: float
     ) -> placement.Pair | None:
-        """Finds the best engines with free leased slots.
+        """Selects the best pair of engines with free leased slots.
 
         Args:
           pool: The request's pool.
           submit: The request.
-          slots: Slots of a decode engine that it takes.
-          now: Time, seconds.
+          slots: Number of decode slots that the request takes.
+          now: Current time in seconds.
 
         Returns:
-          The best pair, None if it has to wait.
+          The best pair, None if the request has to wait.
         """
-        prefills = self._prefills(pool, submit, now)
+        prefills = self._prefill_candidates(pool, submit, now)
         if not prefills:
-            return self._without_prefill(pool, submit, slots, now)
+            return self._choose_without_prefill(pool, submit, slots, now)
         pool.prefills_short_since = math.inf
         endpoints_by_id = pool.endpoints_by_id
         return placement.choose(
             prefills,
-            self._decodes(pool, submit, slots, now),
+            self._decode_candidates(pool, submit, slots, now),
             lambda prefill_id, decode_id: estimates.transfer_s(
                 endpoints_by_id[prefill_id],
                 endpoints_by_id[decode_id],
@@ -64,7 +63,7 @@
             ),
         )
 
-    def _without_prefill(
+    def _choose_without_prefill(
         self,
         pool: pools.Pool,
         submit: messages.Submit,
@@ -73,20 +72,22 @@
     ) -> placement.Pair | None:
         if not pool.decodes_read_prompts():
             return None
-        readers = [
+        local_prefill_engines = [
             (candidate.cost_s, candidate.id)
-            for candidate in self._decodes(pool, submit, slots, now)
+            for candidate in self._decode_candidates(pool, submit, slots, now)
             if pool.endpoints_by_id[candidate.id].own_prefill_tokens_per_s
         ]
-        if not readers:
+        if not local_prefill_engines:
             return None
         pool.prefills_short_since = min(pool.prefills_short_since, now)
-        short_s = now - pool.prefills_short_since
-        if pool.has_sound_prefill() and short_s < _PREFILLS_SHORT_S:
+        prefills_busy_s = now - pool.prefills_short_since
+        if pool.has_sound_prefill() and prefills_busy_s < _PREFILL_BUSY_GRACE_S:
             return None
-        cost_s, engine = min(readers)
-        cost_s += estimates.own_prefill_s(pool.endpoints_by_id[engine], submit)
-        return placement.Pair(engine, engine, cost_s)
+        cost_s, engine_id = min(local_prefill_engines)
+        cost_s += estimates.own_prefill_s(
+            pool.endpoints_by_id[engine_id], submit
+        )
+        return placement.Pair(engine_id, engine_id, cost_s)
 
     def choose_decode(
         self,
@@ -96,70 +97,71 @@
         prefill: model.Endpoint,
         now: float,
     ) -> placement.Pair | None:
-        """Finds a decode engine for a prefill that is already done.
+        """Selects a decode engine for a completed prefill.
 
         Args:
           pool: The request's pool.
           submit: The request.
-          slots: Slots of a decode engine that it takes.
-          prefill: The engine that keeps the prefill.
-          now: Time, seconds.
+          slots: Number of decode slots that the request takes.
+          prefill: The engine that holds the KV cache of the prompt.
+          now: Current time in seconds.
 
         Returns:
-          The best pair, None if it has to wait.
+          The best pair, None if the request has to wait.
         """
         return placement.choose(
             [placement.Candidate(prefill.id, 0.0)],
-            self._decodes(pool, submit, slots, now),
+            self._decode_candidates(pool, submit, slots, now),
             lambda _, decode_id: estimates.transfer_s(
                 prefill, pool.endpoints_by_id[decode_id], submit.prompt_tokens
             ),
         )
 
-    def _prefills(
+    def _prefill_candidates(
         self, pool: pools.Pool, submit: messages.Submit, now: float
     ) -> list[placement.Candidate]:
-        found = []
-        left_alone = self._health.left_alone(pool.prefills)
-        no_other = len(left_alone) == len(pool.prefills)
+        candidates = []
+        left_alone = self._breakers.left_alone(pool.prefills)
+        all_open = len(left_alone) == len(pool.prefills)
         for endpoint in pool.prefills:
             if not pool.holding(endpoint.id).fits(1, now):
                 continue
-            probes = endpoint.id in left_alone
-            if probes and not self._may_probe(
-                pool, endpoint, submit, now, no_other
+            is_probe = endpoint.id in left_alone
+            if is_probe and not self._may_probe(
+                pool, endpoint, submit, now, all_open
             ):
                 continue
             cost_s = pool.prefill_wait_s(endpoint, submit)
-            cost_s += self._hop_s(endpoint)
-            found.append(placement.Candidate(endpoint.id, cost_s))
-        return found
+            cost_s += self._cross_zone_s(endpoint)
+            candidates.append(placement.Candidate(endpoint.id, cost_s))
+        return candidates
 
-    def _decodes(
+    def _decode_candidates(
         self, pool: pools.Pool, submit: messages.Submit, slots: int, now: float
     ) -> list[placement.Candidate]:
-        found = []
-        left_alone = self._health.left_alone(pool.decodes)
-        no_other = len(left_alone) == len(pool.decodes)
+        candidates = []
+        left_alone = self._breakers.left_alone(pool.decodes)
+        all_open = len(left_alone) == len(pool.decodes)
         for endpoint in pool.decodes:
             holding = pool.holding(endpoint.id)
             if not holding.fits(slots, now):
                 continue
-            # Short requests leave memory when all places are taken. One more
-            # would be turned away after its prompt was read.
+            # Short requests leave KV cache memory free when the engine already
+            # runs its maximum number of requests. It would reject one more only
+            # after the prefill of the prompt.
             if endpoint.places and holding.running >= endpoint.places:
                 continue
-            probes = endpoint.id in left_alone
-            if probes and not self._may_probe(
-                pool, endpoint, submit, now, no_other
+            is_probe = endpoint.id in left_alone
+            if is_probe and not self._may_probe(
+                pool, endpoint, submit, now, all_open
             ):
                 continue
-            load = holding.used / max(endpoint.slots, 1)
-            cost_s = self._hop_s(endpoint) * (1 + load)
+            occupancy = holding.used / max(endpoint.slots, 1)
+            cost_s = self._cross_zone_s(endpoint) * (1 + occupancy)
             if endpoint.block_tokens:
-                cost_s += load * _FULL_S
-            found.append(placement.Candidate(endpoint.id, cost_s))
-        return found
+                cost_s += occupancy * _FULL_MEMORY_COST_S
+            candidates.append(placement.Candidate(endpoint.id, cost_s))
+        return candidates
 
     def _may_probe(
         self,
@@ -167,18 +169,20 @@
         endpoint: model.Endpoint,
         submit: messages.Submit,
         now: float,
-        no_other: bool,
+        all_open: bool,
     ) -> bool:
-        # A probe may well come to nothing. With a short prompt it costs less.
-        # What is short goes by the pool's own prompts: where all of them are
-        # longer than a fixed bound, no engine would ever be tried again.
-        is_short = submit.prompt_tokens <= pool.usual_prompt_tokens
-        # One that couldn't be reached is found out before the prefill.
-        cheap = is_short or self._health.was_unreachable(endpoint.id)
-        usable = self._health.usable(endpoint.id, now, urgently=no_other)
-        return usable and (cheap or no_other)
-
-    def _hop_s(self, endpoint: model.Endpoint) -> float:
+        # A probe is likely to fail and costs less with a short prompt. Prompts
+        # are compared with the pool's usual length: with a fixed limit, an
+        # engine of a pool whose prompts are all longer would never be probed.
+        is_short_prompt = submit.prompt_tokens <= pool.usual_prompt_tokens
+        # An engine that is still unreachable is detected before the prefill.
+        is_cheap = is_short_prompt or self._breakers.was_unreachable(
+            endpoint.id
+        )
+        usable = self._breakers.usable(endpoint.id, now, last_resort=all_open)
+        return usable and (is_cheap or all_open)
+
+    def _cross_zone_s(self, endpoint: model.Endpoint) -> float:
         if endpoint.availability_zone == self._availability_zone:
             return 0.0
         return estimates.CROSS_ZONE_S
--- a/src/cowsliprill/decisions/health.py
+++ b/src/cowsliprill/decisions/health.py
@@ -1,8 +1,8 @@
-"""What an entry has learnt of endpoints from their own answers.
+"""Circuit breakers for engines, driven by the outcomes of real requests.
 
-An endpoint that fails or is slow is left alone for a while that doubles each
-time, then one request tries it again. No health checks are sent: a probe that
-is answered says little of how an engine serves requests.
+An engine that fails or is slow gets no requests for an interval that doubles
+with each failure; then one request at a time probes it. No active health
+checks are sent: an engine that answers one may still fail to serve requests.
 """
 
 import dataclasses
@@ -11,174 +11,182 @@
 
 from cowsliprill.decisions import model
 
-# A stream this much slower than its settings say is slow for sure; batching
-# and bad luck stay below.
-_SLOW_RATIO = 1.5
+# Streams whose time per token exceeds the configured one by this ratio count as
+# slow. Batching and random variation stay below it.
+_SLOW_STREAM_RATIO = 1.5
 
-# A transfer shares its links with others, so only much slower ones count, and
-# of short ones only those that are late by more than processes and networks
-# are at times.
+# Transfers share their links, so a transfer only counts as slow at a much
+# higher ratio. For short transfers, the delay must also exceed the usual delays
+# of processes and networks.
 _SLOW_TRANSFER_RATIO = 5.0
 _SLOW_TRANSFER_MIN_S = 0.2
 
-_STRIKES_TO_AVOID = 2
-_AVOID_MIN_S = 2.0
-_AVOID_MAX_S = 30.0
+_SLOW_RESULTS_TO_OPEN = 2
+_OPEN_MIN_S = 2.0
+_OPEN_MAX_S = 30.0
 
-# One that takes no connection costs its next request some milliseconds and no
-# prefill, so it may be tried again sooner.
-_AVOID_UNREACHABLE_S = 0.5
+# A refused connection costs the next request a few milliseconds and no prefill,
+# so an unreachable engine is probed sooner.
+_OPEN_UNREACHABLE_MIN_S = 0.5
 
-# Beyond this nothing is saved by leaving it alone, and one that was cut off
-# and is back would stand idle.
-_AVOID_UNREACHABLE_MAX_S = 2.0
+# A longer interval saves nothing, and an engine that is reachable again would
+# stay idle.
+_OPEN_UNREACHABLE_MAX_S = 2.0
 
-# Where all engines of a kind are left alone, one request tries each again so
-# soon after its last failure. Left alone for longer they would have the pool
-# refuse its callers long after they are well again.
-_AVOID_ALL_S = 0.5
+# While the circuits of all engines of a kind are open, each is probed this long
+# after its last failure. With a longer interval, the pool would reject requests
+# long after its engines have recovered.
+_OPEN_ALL_S = 0.5
 
-# A probe whose outcome is never heard of must not keep an endpoint out.
+# A probe whose outcome is never reported must not exclude an engine for good.
 _PROBE_TIMEOUT_S = 30.0
 
 
 @dataclasses.dataclass(slots=True)
-class _State:
-    strikes: int = 0
-    avoid_s: float = 0.0
-    avoid_until: float = 0.0
-    failed_at: float = 0.0
-    probe_until: float = 0.0
-    avoided: bool = False
+class _Breaker:
+    slow_count: int = 0
+    open_s: float = 0.0
+    open_until: float = 0.0
+    last_failure_at: float = 0.0
+    probe_expires_at: float = 0.0
+    is_open: bool = False
     failing: bool = False
     unreachable: bool = False
-    moved_at: float = 0.0
+    last_good_transfer_at: float = 0.0
 
 
 class Health:
-    """Strikes against endpoints, and when each may be used again."""
+    """Circuit breakers of all engines that one scheduler uses, by engine id."""
 
     def __init__(self) -> None:
-        self._states_by_endpoint: dict[str, _State] = {}
-        self._avoided = 0
+        self._breakers_by_endpoint: dict[str, _Breaker] = {}
+        self._open_count = 0
 
     def usable(
-        self, endpoint_id: str, now: float, *, urgently: bool = False
+        self, endpoint_id: str, now: float, *, last_resort: bool = False
     ) -> bool:
-        """Returns whether an endpoint may get a request now.
+        """Returns whether an engine may get a request now.
 
         Args:
-          endpoint_id: The endpoint.
-          now: Time, seconds.
-          urgently: Whether there is no other.
+          endpoint_id: Id of the engine.
+          now: Current time in seconds.
+          last_resort: Whether the circuits of all engines of its kind are open.
         """
-        state = self._states_by_endpoint.get(endpoint_id)
-        if state is None or not state.avoided:
+        breaker = self._breakers_by_endpoint.get(endpoint_id)
+        if breaker is None or not breaker.is_open:
             return True
-        avoid_until = state.avoid_until
-        if urgently:
-            avoid_until = min(avoid_until, state.failed_at + _AVOID_ALL_S)
-        return now >= avoid_until and now >= state.probe_until
+        open_until = breaker.open_until
+        if last_resort:
+            open_until = min(open_until, breaker.last_failure_at + _OPEN_ALL_S)
+        return now >= open_until and now >= breaker.probe_expires_at
 
-    def _is_avoided(self, endpoint_id: str) -> bool:
-        state = self._states_by_endpoint.get(endpoint_id)
-        return state is not None and state.avoided
+    def _is_open(self, endpoint_id: str) -> bool:
+        breaker = self._breakers_by_endpoint.get(endpoint_id)
+        return breaker is not None and breaker.is_open
 
     def left_alone(self, endpoints: Collection[model.Endpoint]) -> set[str]:
-        """Tells which of the endpoints of one kind are left alone.
+        """Returns which engines of one kind have an open circuit.
 
-        Where all of them are, the merely slow ones are not: something common
-        to all makes them slow, and leaving all alone would refuse every
-        request while their slots are free.
+        If all of them do, those that are slow but don't fail are left out: the
+        slowness then has a common cause, and opening every circuit would
+        reject all requests while the engines have free slots.
 
         Args:
-          endpoints: The endpoints of one kind and pool.
+          endpoints: All engines of one kind in one pool.
 
         Returns:
-          Ids of those that only a probe may go to.
+          Ids of the engines that may only get probe requests.
         """
-        if not self._avoided:
+        if not self._open_count:
             return set()
-        avoided = {item.id for item in endpoints if self._is_avoided(item.id)}
-        if len(avoided) < len(endpoints):
-            return avoided
+        open_ids = {item.id for item in endpoints if self._is_open(item.id)}
+        if len(open_ids) < len(endpoints):
+            return open_ids
         return {
-            name for name in avoided if self._states_by_endpoint[name].failing
+            endpoint_id
+            for endpoint_id in open_ids
+            if self._breakers_by_endpoint[endpoint_id].failing
         }
 
     def placed(self, endpoint_id: str, now: float) -> bool:
-        """Notes a request placed: only one probes at a time.
+        """Records that a request was placed on an engine.
+
+        If the circuit is open, the request is a probe, and no other request is
+        placed on the engine until the probe ends or times out.
 
         Args:
-          endpoint_id: Where.
-          now: Time, seconds.
+          endpoint_id: Id of the engine.
+          now: Current time in seconds.
 
         Returns:
-          Whether the request probes.
+          Whether the request is a probe.
         """
-        state = self._states_by_endpoint.get(endpoint_id)
-        if state is None or not state.avoided:
+        breaker = self._breakers_by_endpoint.get(endpoint_id)
+        if breaker is None or not breaker.is_open:
             return False
-        state.probe_until = now + _PROBE_TIMEOUT_S
+        breaker.probe_expires_at = now + _PROBE_TIMEOUT_S
         return True
 
     def probe_ended(self, endpoint_id: str) -> None:
-        """Notes that a probe is over, whatever came of it."""
-        state = self._states_by_endpoint.get(endpoint_id)
-        if state is not None:
-            state.probe_until = 0.0
+        """Records the end of a probe, whatever its outcome."""
+        breaker = self._breakers_by_endpoint.get(endpoint_id)
+        if breaker is not None:
+            breaker.probe_expires_at = 0.0
+
+    def answered(self, endpoint_id: str, sent_at: float = math.inf) -> None:
+        """Records a successful response.
 
-    def answered(self, endpoint_id: str, begun_at: float = math.inf) -> None:
-        """Notes an answer of an endpoint that was left alone for failing.
+        Closes the circuit if it was opened by a failure. It stays open if it
+        was opened by slowness, on which a response alone has no bearing.
 
         Args:
-          endpoint_id: Whose it is.
-          begun_at: When its request was sent there, seconds.
+          endpoint_id: Id of the engine.
+          sent_at: When the request was sent to the engine, in seconds.
         """
-        state = self._states_by_endpoint.get(endpoint_id)
-        if state is not None and state.failing:
-            self._clear(state, begun_at)
+        breaker = self._breakers_by_endpoint.get(endpoint_id)
+        if breaker is not None and breaker.failing:
+            self._close(breaker, sent_at)
 
     def failed(
         self, endpoint_id: str, now: float, *, unreachable: bool = False
     ) -> None:
-        """Notes a failure: one is enough.
+        """Records a failure and opens the circuit at once.
 
         Args:
-          endpoint_id: Whose it is.
-          now: Time, seconds.
-          unreachable: Whether no connection came about.
+          endpoint_id: Id of the engine.
+          now: Current time in seconds.
+          unreachable: Whether no connection could be established.
         """
-        state = self._state(endpoint_id)
-        state.failing = True
-        state.unreachable = unreachable
-        self._avoid(state, now)
+        breaker = self._breaker(endpoint_id)
+        breaker.failing = True
+        breaker.unreachable = unreachable
+        self._open(breaker, now)
 
     def was_unreachable(self, endpoint_id: str) -> bool:
-        """Returns whether an endpoint failed by taking no connection."""
-        state = self._states_by_endpoint.get(endpoint_id)
-        return state is not None and state.unreachable
+        """Returns whether an engine's last failure was a failed connection."""
+        breaker = self._breakers_by_endpoint.get(endpoint_id)
+        return breaker is not None and breaker.unreachable
 
     def pace(
         self,
         endpoint_id: str,
         ratio: float,
         now: float,
-        begun_at: float = math.inf,
+        sent_at: float = math.inf,
     ) -> None:
-        """Notes a measured time over the expected one.
+        """Records the time per output token of a stream.
 
         Args:
-          endpoint_id: Whose it is.
-          ratio: Measured over expected.
-          now: Time, seconds.
-          begun_at: When its request was sent there, seconds.
+          endpoint_id: Id of the decode engine.
+          ratio: Measured time per token over the expected one.
+          now: Current time in seconds.
+          sent_at: When the request was sent to the engine, in seconds.
         """
-        state = self._state(endpoint_id)
-        if ratio > _SLOW_RATIO:
-            self._strike(state, now)
+        breaker = self._breaker(endpoint_id)
+        if ratio > _SLOW_STREAM_RATIO:
+            self._record_slow(breaker, now)
         else:
-            self._clear(state, begun_at)
+            self._close(breaker, sent_at)
 
     def transfer(
         self,
@@ -187,80 +195,85 @@
         measured_s: float,
         expected_s: float,
         now: float,
-        begun_at: float = math.inf,
+        sent_at: float = math.inf,
     ) -> None:
-        """Notes the time of a transfer between two engines.
+        """Records the duration of a KV cache transfer between two engines.
 
-        A slow transfer doesn't tell whose link is slow. The engine whose last
-        good transfer is longer ago is blamed: the other one has shown since
-        then, with another partner, that its link is well.
+        A slow transfer doesn't show which of the two links is slow. It is
+        attributed to the engine whose last good transfer is longer ago: the
+        other one has since completed a transfer with a different engine.
 
         Args:
-          prefill_id: One end.
-          decode_id: The other end.
-          measured_s: Its time; infinite if it was evicted first.
-          expected_s: The time by the settings.
-          now: Time, seconds.
-          begun_at: When its request was sent to the engines, seconds.
+          prefill_id: Id of the prefill engine.
+          decode_id: Id of the decode engine.
+          measured_s: Duration of the transfer; infinite if the KV cache was
+            evicted before the transfer ended.
+          expected_s: Duration expected from the configured link rates.
+          now: Current time in seconds.
+          sent_at: When the request was sent to the engines, in seconds.
         """
         slow = (
             measured_s > expected_s * _SLOW_TRANSFER_RATIO
             and measured_s - expected_s > _SLOW_TRANSFER_MIN_S
         )
-        ends = (self._state(decode_id), self._state(prefill_id))
+        engine_breakers = (self._breaker(decode_id), self._breaker(prefill_id))
         if not slow:
-            for state in ends:
-                state.moved_at = now
-                self._clear(state, begun_at)
+            for breaker in engine_breakers:
+                breaker.last_good_transfer_at = now
+                self._close(breaker, sent_at)
             return
-        blamed = min(ends, key=lambda state: state.moved_at)
-        self._strike(blamed, now)
+        blamed = min(
+            engine_breakers, key=lambda breaker: breaker.last_good_transfer_at
+        )
+        self._record_slow(blamed, now)
 
     def forget(self, endpoint_id: str) -> None:
-        """Drops what is known of an endpoint that has started anew."""
-        state = self._states_by_endpoint.pop(endpoint_id, None)
-        if state is not None:
-            self._avoided -= state.avoided
+        """Resets the circuit breaker of an engine that has restarted."""
+        breaker = self._breakers_by_endpoint.pop(endpoint_id, None)
+        if breaker is not None:
+            self._open_count -= breaker.is_open
 
     def forget_except(self, endpoint_ids: set[str]) -> None:
-        """Drops what is known of endpoints that are gone."""
-        for endpoint_id in self._states_by_endpoint.keys() - endpoint_ids:
-            self._avoided -= self._states_by_endpoint.pop(endpoint_id).avoided
-
-    def _state(self, endpoint_id: str) -> _State:
-        return self._states_by_endpoint.setdefault(endpoint_id, _State())
-
-    def _strike(self, state: _State, now: float) -> None:
-        state.strikes += 1
-        if state.strikes >= _STRIKES_TO_AVOID or state.avoided:
-            self._avoid(state, now)
-
-    def _clear(self, state: _State, begun_at: float) -> None:
-        # Streams that an engine took before it began to fail go on well. They
-        # say nothing of the requests that it would get now.
-        if state.failing and begun_at < state.failed_at:
+        """Drops the circuit breakers of engines that no longer exist."""
+        for endpoint_id in self._breakers_by_endpoint.keys() - endpoint_ids:
+            self._open_count -= self._breakers_by_endpoint.pop(
+                endpoint_id
+            ).is_open
+
+    def _breaker(self, endpoint_id: str) -> _Breaker:
+        return self._breakers_by_endpoint.setdefault(endpoint_id, _Breaker())
+
+    def _record_slow(self, breaker: _Breaker, now: float) -> None:
+        breaker.slow_count += 1
+        if breaker.slow_count >= _SLOW_RESULTS_TO_OPEN or breaker.is_open:
+            self._open(breaker, now)
+
+    def _close(self, breaker: _Breaker, sent_at: float) -> None:
+        # Streams that started before the engine began to fail may still
+        # succeed. They don't show that it can serve new requests.
+        if breaker.failing and sent_at < breaker.last_failure_at:
             return
-        state.strikes = 0
-        self._avoided -= state.avoided
-        state.avoided = False
-        state.failing = False
-        state.unreachable = False
-        # The time to leave it alone shrinks with each good answer, so that an
-        # endpoint which keeps changing between good and bad is soon left
-        # alone for long.
-        state.avoid_s /= 2
-
-    def _avoid(self, state: _State, now: float) -> None:
-        state.failed_at = now
-        # Requests placed before the first failure fail soon after it. They
-        # are the same piece of news and must not lengthen the time again.
-        if state.avoided and now < state.avoid_until:
+        breaker.slow_count = 0
+        self._open_count -= breaker.is_open
+        breaker.is_open = False
+        breaker.failing = False
+        breaker.unreachable = False
+        # The interval is halved with each success rather than reset, so that it
+        # soon gets long for an engine that alternates between success and
+        # failure.
+        breaker.open_s /= 2
+
+    def _open(self, breaker: _Breaker, now: float) -> None:
+        breaker.last_failure_at = now
+        # Requests placed before the first failure fail soon after it, for the
+        # same reason. They must not extend the interval.
+        if breaker.is_open and now < breaker.open_until:
             return
-        least_s, most_s = _AVOID_MIN_S, _AVOID_MAX_S
-        if state.unreachable:
-            least_s, most_s = _AVOID_UNREACHABLE_S, _AVOID_UNREACHABLE_MAX_S
-        state.avoid_s = min(max(state.avoid_s * 2, least_s), most_s)
-        self._avoided += not state.avoided
-        state.avoided = True
-        state.avoid_until = now + state.avoid_s
-        state.probe_until = 0.0
+        min_s, max_s = _OPEN_MIN_S, _OPEN_MAX_S
+        if breaker.unreachable:
+            min_s, max_s = _OPEN_UNREACHABLE_MIN_S, _OPEN_UNREACHABLE_MAX_S
+        breaker.open_s = min(max(breaker.open_s * 2, min_s), max_s)
+        self._open_count += not breaker.is_open
+        breaker.is_open = True
+        breaker.open_until = now + breaker.open_s
+        breaker.probe_expires_at = 0.0
--- a/src/cowsliprill/decisions/server_health.py
+++ b/src/cowsliprill/decisions/server_health.py
@@ -1,74 +1,83 @@
-"""Which servers of a plain service are better left alone for a while.
+"""Outlier ejection for the servers of plain services.
 
-Pure. Some services answer a part of all calls with a failure of their own: a
-lookup finds nothing, a rule forbids it. That says nothing of the server, so it
-is compared with its peers. What does say something at once is a call without
-any answer.
+Some services answer a fraction of all calls with an error by design, such as
+a lookup that finds nothing or a request that a rule forbids. Such errors say
+nothing about the server, so its failure rate is compared with those of its
+peers. A call that gets no response ejects the server at once.
 """
 
 import dataclasses
 from collections.abc import Collection
 
-# Weight of the newest call in a server's share of failures: twenty calls tell a
-# server that fails half of them from one that fails a seventh.
-_NEWEST = 0.05
+# Weight of the newest call in the moving average of a server's failure rate.
+# Twenty calls distinguish a failure rate of a half from one of a seventh.
+_NEWEST_WEIGHT = 0.05
 
-# A share so far above that of the peers is hardly chance, even where all of
-# them fail a good part of their calls.
-_WORSE = 0.2
+# Excess over the mean failure rate of the peers that is unlikely to be chance,
+# even if all servers fail many of their calls.
+_EXCESS_TO_EJECT = 0.2
 
-# A server that lost a call is left alone for so long, and the longer the more
-# it fails beside its peers. Others have room; a healthy one is missed little.
-_ALONE_S = 1.0
-_ALONE_MAX_S = 8.0
+# A server is ejected for a time between these bounds that grows with the excess
+# of its failure rate. Its peers have spare capacity, so ejecting a healthy
+# server costs little.
+_EJECTION_MIN_S = 1.0
+_EJECTION_MAX_S = 8.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Server:
-    failures: float = 0.0
-    alone_until: float = 0.0
+class _ServerState:
+    failure_rate: float = 0.0
+    ejected_until: float = 0.0
 
 
 class ServerHealth:
-    """What one process has seen of the servers of plain services."""
+    """Tracks the failure rates of servers, as seen by one process."""
 
     def __init__(self) -> None:
-        self._servers_by_id: dict[str, _Server] = {}
+        self._servers_by_id: dict[str, _ServerState] = {}
 
     def is_alone(self, server_id: str, now: float) -> bool:
-        """Returns whether a server is better left alone now."""
+        """Returns whether a server is ejected now."""
         server = self._servers_by_id.get(server_id)
-        return server is not None and now < server.alone_until
+        return server is not None and now < server.ejected_until
 
     def answered(self, server_id: str) -> None:
-        """Takes in an answer that is no failure."""
+        """Records a response that is not an error."""
         server = self._servers_by_id.get(server_id)
         if server is not None:
-            server.failures -= server.failures * _NEWEST
+            server.failure_rate -= server.failure_rate * _NEWEST_WEIGHT
 
     def answered_with_failure(
         self, server_id: str, peer_ids: Collection[str], now: float
     ) -> None:
-        """Takes in a server's own failure.
+        """Records an error response.
+
+        Ejects the server if its failure rate clearly exceeds that of its peers.
 
         Args:
-          server_id: The server.
-          peer_ids: The others of its service.
-          now: Time, seconds.
+          server_id: Id of the server.
+          peer_ids: Ids of the other servers of its service.
+          now: Current time in seconds.
         """
-        excess = self._count(server_id, peer_ids)
-        if excess > _WORSE:
-            self._leave_alone(server_id, excess, now)
+        excess = self._record_failure(server_id, peer_ids)
+        if excess > _EXCESS_TO_EJECT:
+            self._eject(server_id, excess, now)
 
     def lost(
         self, server_id: str, peer_ids: Collection[str], now: float
     ) -> None:
-        """Takes in a call without an answer; arguments as above."""
-        excess = self._count(server_id, peer_ids)
-        self._leave_alone(server_id, excess, now)
+        """Records a call without a response and ejects the server.
+
+        Args:
+          server_id: Id of the server.
+          peer_ids: Ids of the other servers of its service.
+          now: Current time in seconds.
+        """
+        excess = self._record_failure(server_id, peer_ids)
+        self._eject(server_id, excess, now)
 
     def forget_except(self, server_ids: Collection[str]) -> None:
-        """Forgets servers that are gone."""
+        """Drops the state of servers that no longer exist."""
         gone = [
             server_id
             for server_id in self._servers_by_id
@@ -77,34 +86,40 @@
         for server_id in gone:
             del self._servers_by_id[server_id]
 
-    def _count(self, server_id: str, peer_ids: Collection[str]) -> float:
-        """Counts a failure; returns the excess over the peers' share."""
-        server = self._servers_by_id.setdefault(server_id, _Server())
-        server.failures += (1.0 - server.failures) * _NEWEST
-        peers = [
-            known.failures
+    def _record_failure(
+        self, server_id: str, peer_ids: Collection[str]
+    ) -> float:
+        """Records a failure; returns the excess over the peers' mean rate."""
+        server = self._servers_by_id.setdefault(server_id, _ServerState())
+        server.failure_rate += (1.0 - server.failure_rate) * _NEWEST_WEIGHT
+        peer_rates = [
+            peer.failure_rate
             for peer_id in peer_ids
-            if (known := self._servers_by_id.get(peer_id)) is not None
+            if (peer := self._servers_by_id.get(peer_id)) is not None
         ]
-        usual = sum(peers) / len(peers) if peers else 0.0
-        return max(server.failures - usual, 0.0)
+        mean_peer_rate = (
+            sum(peer_rates) / len(peer_rates) if peer_rates else 0.0
+        )
+        return max(server.failure_rate - mean_peer_rate, 0.0)
 
-    def _leave_alone(self, server_id: str, excess: float, now: float) -> None:
-        alone_s = _ALONE_S + _ALONE_MAX_S * excess
+    def _eject(self, server_id: str, excess: float, now: float) -> None:
+        ejection_s = _EJECTION_MIN_S + _EJECTION_MAX_S * excess
         server = self._servers_by_id[server_id]
-        server.alone_until = now + min(alone_s, _ALONE_MAX_S)
+        server.ejected_until = now + min(ejection_s, _EJECTION_MAX_S)
 
 
 class Uncompared(ServerHealth):
-    """Leaves a server alone for the same short time after any failure."""
+    """Ejects a server for the same short time after any failure."""
 
-    def _count(self, server_id: str, peer_ids: Collection[str]) -> float:
+    def _record_failure(
+        self, server_id: str, peer_ids: Collection[str]
+    ) -> float:
         del peer_ids
-        self._servers_by_id.setdefault(server_id, _Server())
+        self._servers_by_id.setdefault(server_id, _ServerState())
         return 0.0
 
     def answered_with_failure(
         self, server_id: str, peer_ids: Collection[str], now: float
     ) -> None:
-        """Takes in a server's own failure as if it said something of it."""
+        """Records an error response like a call without a response."""
         self.lost(server_id, peer_ids, now)
