--- a/src/cowsliprill/decisions/call.py
+++ b/src/cowsliprill/decisions/call.py
@@ -1,7 +1,7 @@
-"""What is known of whether a call to an endpoint was run.
+"""Tracks whether a call to an endpoint may have been executed.
 
-Pure: the HTTP client reports how far a call got, and whoever must answer the
-caller reads off what may truthfully be said.
+The HTTP client records how far a call got. From this follows what the caller
+may be told: that the call was not executed, or that this is unknown.
 """
 
 import dataclasses
@@ -10,7 +10,7 @@
 from cowsliprill.decisions import messages
 
 
-class Reached(enum.IntEnum):
+class CallState(enum.IntEnum):
     """How far a call got."""
 
     NOTHING_WRITTEN = 0
@@ -20,56 +20,57 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far one call got; it can be read at any time, also after a cancel.
+    """State of one call; valid at any time, also after a cancellation.
 
     Attributes:
-      reached: The furthest point.
+      state: The furthest state reached.
     """
 
-    reached: Reached = Reached.NOTHING_WRITTEN
+    state: CallState = CallState.NOTHING_WRITTEN
 
     def writing(self) -> None:
-        """Notes that bytes are about to be written.
+        """Records that bytes are about to be written.
 
-        To be called right before the first write, not after it: a write that
-        fails may still have sent a part, and a cancel may come between.
+        Must be called right before the first write rather than after it: a
+        write that fails may have sent some bytes, and the task may be cancelled
+        in between.
         """
-        self.reached = Reached.WRITTEN
+        self.state = CallState.WRITTEN
 
     def refused(self) -> None:
-        """Notes a whole answer of the endpoint that says it ran nothing."""
-        self.reached = Reached.REFUSED
+        """Records a complete response that states that nothing was executed."""
+        self.state = CallState.REFUSED
 
     @property
     def run(self) -> messages.Run:
-        """What may be told to the caller."""
-        match self.reached:
-            case Reached.NOTHING_WRITTEN | Reached.REFUSED:
+        """Whether the endpoint may have executed the call."""
+        match self.state:
+            case CallState.NOTHING_WRITTEN | CallState.REFUSED:
                 return messages.Run.NO
             case _:
                 return messages.Run.UNKNOWN
 
 
 def is_refusal(
-    status: int, run: object, answer_id: str | None, request_id: str
+    status: int, run: object, echoed_request_id: str | None, request_id: str
 ) -> bool:
-    """Decides whether a whole answer proves that nothing was run.
+    """Returns whether a complete response proves that nothing was executed.
 
-    An answer that belongs to another request says nothing about this one, so
-    the echoed id must be this request's own.
+    The response must echo the id of this request: a response to another request
+    says nothing about this one.
 
     Args:
       status: HTTP status.
-      run: The field `error.run` of the answer's JSON, None if it has none.
-      answer_id: The request id that the answer carries.
-      request_id: The id of this request.
+      run: Field `error.run` of the response's JSON body, None if it has none.
+      echoed_request_id: Request id that the response carries.
+      request_id: Id of this request.
 
     Returns:
-      Whether the endpoint refused the request without running it.
+      Whether the endpoint refused the request without executing it.
     """
-    client_error = 400
+    min_error_status = 400
     return (
-        status >= client_error
+        status >= min_error_status
         and run == messages.Run.NO.value
-        and answer_id == request_id
+        and echoed_request_id == request_id
     )
--- a/src/cowsliprill/decisions/connections.py
+++ b/src/cowsliprill/decisions/connections.py
@@ -1,10 +1,10 @@
-"""How many connections this VM may have to an endpoint that bounds them.
+"""Shares an endpoint's connection limit among the VMs.
 
-Pure. An endpoint takes a number of connections from all VMs together and
-resets what comes beyond. A call that is cut like that may have run for all
-that anybody knows, so an unrepeatable one can't be made again. What fills the
-bound are idle connections rather than calls: unrepeatable calls open one each,
-and every VM that kept those for half a minute had a fifth of its bookings cut.
+An endpoint accepts a number of connections from all VMs together and resets
+those beyond. A call on a connection that was reset may have been executed, so
+a non-idempotent one can't be retried. The limit is reached by idle connections
+rather than by running calls: each non-idempotent call opens a connection, and
+with VMs that kept these open for 30 s, a fifth of such calls were cut off.
 """
 
 import dataclasses
@@ -13,25 +13,26 @@
 
 from cowsliprill.decisions import model
 
-# Part of an endpoint's connections that the VMs share out. The rest is for
-# those of VMs that have lost power, which the endpoint hasn't noticed yet, for
-# a VM that has just joined, and for an endpoint that takes fewer while busy.
-_SHARED_PART = 0.75
+# Fraction of an endpoint's connections that is divided among the VMs. The rest
+# covers connections of VMs that have lost power, which the endpoint hasn't
+# detected yet, VMs that have just joined, and endpoints that accept fewer
+# connections under load.
+_SHARED_FRACTION = 0.75
 
-# Part of a VM's connections that may be idle. Only repeatable calls use one
-# again, and those of one VM seldom overlap at one endpoint.
-_IDLE_PART = 1 / 3
+# Fraction of a VM's connections that may be idle. Only idempotent calls reuse
+# connections, and those of one VM rarely overlap at one endpoint.
+_IDLE_FRACTION = 1 / 3
 
-# A VM needs one for a call and one for the next, whatever its part is. Among so
-# many VMs each has few calls at a time, so that all of them stay below the
-# bound together.
-_LEAST = 2
+# A VM needs one connection for a call and one for the next, however small its
+# share. In a fleet so large, each VM has few concurrent calls, so that all VMs
+# together stay below the limit.
+_MIN_CONNECTIONS = 2
 
 Address = tuple[str, int]
 
 
 class Opening(enum.Enum):
-    """What has to be done for a new connection."""
+    """Action to take before a connection is opened."""
 
     OPEN = enum.auto()
     CLOSE_IDLE_FIRST = enum.auto()
@@ -40,60 +41,76 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Allowance:
-    """One VM's part of an endpoint's connections.
+    """Connection limits of one VM for one endpoint.
 
     Attributes:
-      connections: Connections at most, those being opened included.
-      idle: Idle ones at most.
+      connections: Maximum number of connections, including those being opened.
+      idle: Maximum number of idle connections.
     """
 
     connections: int
     idle: int
 
     def opening(self, connections: int, idle: int) -> Opening:
-        """Decides on a new connection.
+        """Decides on opening a connection.
 
         Args:
-          connections: Connections there are, those being opened included.
-          idle: How many of them no call uses.
+          connections: Current connections, including those being opened.
+          idle: Number of idle ones among them.
+
+        Returns:
+          The action to take.
         """
         if connections < self.connections:
             return Opening.OPEN
         return Opening.CLOSE_IDLE_FIRST if idle else Opening.REFUSE
 
     def keeps(self, connections: int, idle: int) -> bool:
-        """Returns whether a connection whose call has ended is kept.
+        """Returns whether to keep a connection whose call has ended.
 
         Args:
-          connections: Connections there are, this one included.
-          idle: How many others no call uses.
+          connections: Current connections, including this one.
+          idle: Number of other connections that are idle.
         """
         return idle < self.idle and connections <= self.connections
 
 
-def allowance(bound: int, vms: int) -> Allowance:
-    """Returns one VM's part.
+def limits_per_vm(endpoint_limit: int, vm_count: int) -> Allowance:
+    """Returns the connection limits of one VM.
 
     Args:
-      bound: Connections that the endpoint takes from all VMs.
-      vms: VMs that share them.
+      endpoint_limit: Number of connections that the endpoint accepts from all
+        VMs.
+      vm_count: Number of VMs that share them.
     """
-    part = max(int(bound * _SHARED_PART / max(vms, 1)), _LEAST)
-    return Allowance(connections=part, idle=max(int(part * _IDLE_PART), 1))
+    share = max(
+        int(endpoint_limit * _SHARED_FRACTION / max(vm_count, 1)),
+        _MIN_CONNECTIONS,
+    )
+    return Allowance(
+        connections=share, idle=max(int(share * _IDLE_FRACTION), 1)
+    )
 
 
 def allowances(
     snapshot: model.Snapshot, fleet: model.Fleet
 ) -> Mapping[Address, Allowance]:
-    """Returns this VM's part of each endpoint that bounds its connections.
+    """Returns this VM's limits for all endpoints that limit connections.
 
     Args:
-      snapshot: The settings in force.
+      snapshot: The current settings.
       fleet: The VM list.
+
+    Returns:
+      Limits by address of the endpoint.
     """
-    vms = sum(vm.role is model.VmRole.ENTRY for vm in fleet.vms_by_id.values())
+    vm_count = sum(
+        vm.role is model.VmRole.ENTRY for vm in fleet.vms_by_id.values()
+    )
     return {
-        (endpoint.host, endpoint.port): allowance(endpoint.connections_max, vms)
+        (endpoint.host, endpoint.port): limits_per_vm(
+            endpoint.connections_max, vm_count
+        )
         for endpoint in snapshot.endpoints_by_id.values()
         if endpoint.connections_max
     }
--- a/src/cowsliprill/decisions/tickets.py
+++ b/src/cowsliprill/decisions/tickets.py
@@ -1,18 +1,18 @@
-"""Which request with a ticket or an idempotency key may run.
+"""At-most-once execution of requests with tickets or idempotency keys.
 
 A ticket names its owner: one incarnation of one entry process. Only the owner
-runs a request with it, once. So nothing shared has to be written, and no view
-of the fleet, right or wrong, can make two processes both believe that they may
-run it. When the owner is gone, whether the request ran can't be known any
-more, and nobody runs it again.
-
-A caller's own idempotency key names no owner. For such a key exactly this is
-kept: of the calls with one key, customer and service that reach the same
-incarnation of one entry process within `KEEP_S` of the first, one runs at a
-time and none runs after one that ran or may have run; each later call gets
-the first's answer while that is stored. Calls that reach different processes
-both run. The oldest finished keys are forgotten early when more than
-`MAX_RECORDS` are met within that time.
+executes a request with it, once. No shared state has to be written, and no
+membership view, correct or not, can make two processes both believe that they
+may execute the request. Once the owner is gone, it is unknown whether the
+request was executed, and nobody executes it again.
+
+A caller's own idempotency key names no owner, so the guarantee is weaker. It
+covers the calls with the same key, customer and service that reach the same
+incarnation of one entry process within `KEEP_S` of the first. One of them is
+executed at a time, and none after one that was or may have been executed. Later
+calls get the response of that call while it is stored. Calls that reach
+different processes are all executed. If more than `MAX_RECORDS` keys arrive
+within that time, the oldest completed ones are evicted early.
 """
 
 import collections
@@ -29,7 +29,7 @@
 MAX_STORED_BYTES = 8_388_608
 
 _MAC_BYTES = 16
-_PARTS = 7
+_FIELD_COUNT = 7
 
 
 class TicketError(ValueError):
@@ -38,13 +38,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Ticket:
-    """A right to one run, `<incarnation>.<port>.<number>.<issued>.<mac>`.
+    """Permission to execute one request.
+
+    Its text form is `<incarnation>.<port>.<number>.<issued>.<mac>`.
 
     Attributes:
-      incarnation: The owner.
-      port: Its peer port.
+      incarnation: Incarnation of the entry process that owns the ticket.
+      port: The owner's peer port.
       number: Number of the ticket within the incarnation.
-      issued_at: Whole seconds on the owner's clock.
+      issued_at: Time of issue on the owner's clock, in whole seconds.
       mac: Hex message authentication code under the owner's secret.
     """
 
@@ -55,36 +57,36 @@
     mac: str
 
     def __str__(self) -> str:
-        return f"{self._signed()}.{self.mac}"
+        return f"{self._signed_text()}.{self.mac}"
 
-    def _signed(self) -> str:
+    def _signed_text(self) -> str:
         return f"{self.incarnation}.{self.port}.{self.number}.{self.issued_at}"
 
     def sign(self, secret: bytes, customer: str, service: str) -> str:
-        """Returns the code that the owner gives this ticket."""
-        text = f"{self._signed()}\0{customer}\0{service}"
+        """Returns the owner's message authentication code for this ticket."""
+        text = f"{self._signed_text()}\0{customer}\0{service}"
         digest = hmac.new(secret, text.encode(), hashlib.sha256).digest()
         return digest[:_MAC_BYTES].hex()
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Reads a ticket without checking its code.
+        """Parses a ticket without verifying its authentication code.
 
         Args:
-          text: What the caller sent.
+          text: Text sent by the caller.
 
         Returns:
           The ticket.
 
         Raises:
-          TicketError: The text has another form.
+          TicketError: The text is not in the format of a ticket.
         """
-        parts = text.split(".")
-        numbers = parts[3:6]
-        if len(parts) != _PARTS or not all(map(_is_number, numbers)):
+        fields = text.split(".")
+        numbers = fields[3:6]
+        if len(fields) != _FIELD_COUNT or not all(map(_is_number, numbers)):
             raise TicketError("not a ticket")
         try:
-            incarnation = identity.Incarnation.parse(".".join(parts[:3]))
+            incarnation = identity.Incarnation.parse(".".join(fields[:3]))
         except identity.IdentityError as error:
             raise TicketError("not a ticket") from error
         port, number, issued_at = map(int, numbers)
@@ -93,7 +95,7 @@
             port=port,
             number=number,
             issued_at=issued_at,
-            mac=parts[6],
+            mac=fields[6],
         )
 
 
@@ -103,12 +105,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """An answer as it can be given again.
+    """A response stored for replay.
 
     Attributes:
       status: HTTP status.
       headers: Pairs of name and value.
-      body: The whole body.
+      body: The complete body.
     """
 
     status: int
@@ -116,15 +118,15 @@
     body: bytes
 
 
-# --- What a claim comes to -------------------------------------------------
+# --- Results of a claim -----------------------------------------------------
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The caller's request may run now, under this record.
+    """The request may be executed now, under this record.
 
     Attributes:
-      record: Key to give to `finish` or `release`.
+      record: Key to pass to `finish` or `release`.
     """
 
     record: str
@@ -132,7 +134,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InProgress:
-    """An earlier request with this key runs."""
+    """An earlier request with this key is being executed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -140,30 +142,30 @@
     """An earlier request with this key has ended.
 
     Attributes:
-      answer: Its answer, None if that is no longer stored.
+      response: Its response, None if that is not stored.
     """
 
-    answer: Answer | None
+    response: Answer | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mismatch:
-    """An earlier request with this key was another one."""
+    """An earlier request with this key had another fingerprint."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invalid:
-    """The owner never gave this ticket to this customer for this service."""
+    """The owner didn't issue this ticket to this customer for this service."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expired:
-    """The ticket is too old; whether it was used is forgotten."""
+    """The ticket has expired; the record of its use may have been dropped."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Full:
-    """No more records can be kept, so nothing may run under a new one."""
+    """The store is full, so no request with a new key may be executed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -171,7 +173,7 @@
     """Another incarnation owns the ticket.
 
     Attributes:
-      ticket: The ticket, with its owner.
+      ticket: The ticket, which names its owner.
     """
 
     ticket: Ticket
@@ -194,19 +196,19 @@
     fingerprint: bytes
     expires_at: float
     finished: bool = False
-    answer: Answer | None = None
+    response: Answer | None = None
 
 
-class Records:
-    """Requests that run or have run, by key, bounded in number and bytes.
+class RecordStore:
+    """Records of started and completed requests, limited in number and bytes.
 
     Args:
-      max_records: Most records at once.
-      max_stored_bytes: Most bytes of answers at once; the oldest answers go
-        first, their records stay.
-      evict: Whether the oldest finished record makes room for a new one. If
-        not, new keys are refused while all records are younger than
-        `KEEP_S`: a forgotten ticket could run twice.
+      max_records: Maximum number of records.
+      max_stored_bytes: Maximum total size of response bodies. The oldest
+        responses are dropped first; their records stay.
+      evict: Whether to evict the oldest completed record for a new one. If not,
+        new keys are rejected until records expire, after `KEEP_S`: with its
+        record evicted, a ticket could be used twice.
     """
 
     def __init__(
@@ -216,7 +218,7 @@
         self._max_stored_bytes = max_stored_bytes
         self._evict = evict
         self._records_by_key: dict[str, _Record] = {}
-        self._answered_keys: collections.deque[str] = collections.deque()
+        self._keys_with_response: collections.deque[str] = collections.deque()
         self._stored_bytes = 0
 
     def __len__(self) -> int:
@@ -224,106 +226,108 @@
 
     @property
     def stored_bytes(self) -> int:
-        """Bytes of the answers that are stored."""
+        """Total size of the stored response bodies."""
         return self._stored_bytes
 
     def claim(
         self, key: str, fingerprint: bytes, expires_at: float, now: float
     ) -> Claim:
-        """Asks to run a request.
+        """Claims a key for the execution of a request.
 
         Args:
-          key: Its key, unique over customers and services.
+          key: The key, unique across customers and services.
           fingerprint: Digest of the request.
-          expires_at: When the record may be forgotten.
-          now: Time, seconds.
+          expires_at: When the record may be dropped, in seconds.
+          now: Current time in seconds.
 
         Returns:
-          What has to be done.
+          `Granted` if the request may be executed, else the reason why not.
         """
         self._expire(now)
         record = self._records_by_key.get(key)
         if record is not None:
-            return _repeat(record, fingerprint)
+            return _claim_existing(record, fingerprint)
         full = len(self._records_by_key) >= self._max_records
         if full and not (self._evict and self._evict_oldest()):
             return Full()
         self._records_by_key[key] = _Record(fingerprint, expires_at)
         return Granted(key)
 
-    def finish(self, key: str, answer: Answer | None) -> None:
-        """Ends a request that ran or may have run.
+    def finish(self, key: str, response: Answer | None) -> None:
+        """Completes a request that was or may have been executed.
 
         Args:
           key: Key of its record.
-          answer: What the caller was told; None if that can't be repeated.
+          response: The response sent to the caller, None if it can't be
+            replayed.
         """
         record = self._records_by_key.get(key)
         if record is None or record.finished:
             return
         record.finished = True
-        if answer is None or len(answer.body) > MAX_ANSWER_BYTES:
+        if response is None or len(response.body) > MAX_ANSWER_BYTES:
             return
-        record.answer = answer
-        self._stored_bytes += len(answer.body)
-        self._answered_keys.append(key)
+        record.response = response
+        self._stored_bytes += len(response.body)
+        self._keys_with_response.append(key)
         while self._stored_bytes > self._max_stored_bytes:
-            self._drop_answer(self._answered_keys.popleft())
+            self._drop_response(self._keys_with_response.popleft())
 
     def release(self, key: str) -> None:
-        """Ends a request that was provably not run; its key may run again."""
+        """Releases the key of a request that was certainly not executed."""
         record = self._records_by_key.get(key)
         if record is not None and not record.finished:
             del self._records_by_key[key]
 
-    def _drop_answer(self, key: str) -> None:
+    def _drop_response(self, key: str) -> None:
         record = self._records_by_key.get(key)
-        if record is not None and record.answer is not None:
-            self._stored_bytes -= len(record.answer.body)
-            record.answer = None
+        if record is not None and record.response is not None:
+            self._stored_bytes -= len(record.response.body)
+            record.response = None
 
-    def _forget(self, key: str) -> None:
-        self._drop_answer(key)
+    def _delete(self, key: str) -> None:
+        self._drop_response(key)
         del self._records_by_key[key]
 
     def _expire(self, now: float) -> None:
-        # Records stand nearly in order of expiry. One that stands behind a
-        # younger one, or that still runs, is only kept longer than needed.
+        # Records are nearly sorted by expiry. A record behind one that expires
+        # later, or behind one that is not completed, is merely kept longer than
+        # necessary.
         while self._records_by_key:
             key, record = next(iter(self._records_by_key.items()))
             if record.expires_at > now or not record.finished:
                 break
-            self._forget(key)
-        while self._answered_keys:
-            record = self._records_by_key.get(self._answered_keys[0])
-            if record is not None and record.answer is not None:
+            self._delete(key)
+        while self._keys_with_response:
+            record = self._records_by_key.get(self._keys_with_response[0])
+            if record is not None and record.response is not None:
                 break
-            self._answered_keys.popleft()
+            self._keys_with_response.popleft()
 
     def _evict_oldest(self) -> bool:
         for key, record in self._records_by_key.items():
             if record.finished:
-                self._forget(key)
+                self._delete(key)
                 return True
         return False
 
 
-def _repeat(record: _Record, fingerprint: bytes) -> Claim:
+def _claim_existing(record: _Record, fingerprint: bytes) -> Claim:
     if record.fingerprint != fingerprint:
         return Mismatch()
     if not record.finished:
         return InProgress()
-    return Replay(record.answer)
+    return Replay(record.response)
 
 
 class TicketBook:
     """Tickets and idempotency keys of one incarnation of an entry process.
 
     Args:
-      incarnation: The process, as owner of its tickets.
-      port: Its peer port.
-      secret: Random bytes that no other process has.
-      max_records: Most tickets, and most keys, remembered at once.
+      incarnation: The process, as the owner of its tickets.
+      port: The process's peer port.
+      secret: Random bytes known to this process only.
+      max_records: Maximum number of records of tickets, and of records of keys.
 
     Attributes:
       port: The peer port that tickets name.
@@ -340,22 +344,22 @@
         self.port = port
         self._secret = secret
         self._next_number = 0
-        half = MAX_STORED_BYTES // 2
-        self._tickets = Records(max_records, half, evict=False)
-        self._keys = Records(max_records, half, evict=True)
+        half_bytes = MAX_STORED_BYTES // 2
+        self._ticket_records = RecordStore(max_records, half_bytes, evict=False)
+        self._key_records = RecordStore(max_records, half_bytes, evict=True)
 
     def issue(self, customer: str, service: str, now: float) -> Ticket:
-        """Gives out a ticket; it costs no memory until it is used.
+        """Issues a ticket. It takes no memory until it is used.
 
         Args:
-          customer: Id of the customer it is for.
-          service: Id of the service it is for.
-          now: Time, seconds.
+          customer: Id of the customer who may use it.
+          service: Id of the service it is valid for.
+          now: Current time in seconds.
 
         Returns:
           The ticket.
         """
-        bare = Ticket(
+        unsigned = Ticket(
             incarnation=self._incarnation,
             port=self.port,
             number=self._next_number,
@@ -363,8 +367,8 @@
             mac="",
         )
         self._next_number += 1
-        mac = bare.sign(self._secret, customer, service)
-        return dataclasses.replace(bare, mac=mac)
+        mac = unsigned.sign(self._secret, customer, service)
+        return dataclasses.replace(unsigned, mac=mac)
 
     def claim_ticket(
         self,
@@ -374,17 +378,18 @@
         fingerprint: bytes,
         now: float,
     ) -> Claim:
-        """Asks to run a request with a ticket.
+        """Claims a ticket for the execution of a request.
 
         Args:
           ticket: The ticket.
           customer: Id of the calling customer.
-          service: Id of the service called.
+          service: Id of the called service.
           fingerprint: Digest of the request.
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          What has to be done; `Foreign` if another incarnation has to do it.
+          `Granted` if the request may be executed, else the reason why not;
+          `Foreign` if another incarnation owns the ticket.
         """
         if ticket.incarnation != self._incarnation:
             return Foreign(ticket)
@@ -395,7 +400,7 @@
         if expires_at <= now:
             return Expired()
         key = f"t{ticket.number}"
-        return self._tickets.claim(key, fingerprint, expires_at, now)
+        return self._ticket_records.claim(key, fingerprint, expires_at, now)
 
     def claim_key(
         self,
@@ -405,28 +410,36 @@
         fingerprint: bytes,
         now: float,
     ) -> Claim:
-        """Asks to run a request with a caller's own key; see the module.
+        """Claims a caller's own idempotency key for a request.
+
+        The module's docstring states the guarantee.
 
         Args:
           key: The key.
           customer: Id of the calling customer.
-          service: Id of the service called.
+          service: Id of the called service.
           fingerprint: Digest of the request.
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          What has to be done.
+          `Granted` if the request may be executed, else the reason why not.
         """
-        scoped = f"k{customer}\0{service}\0{key}"
-        return self._keys.claim(scoped, fingerprint, now + KEEP_S, now)
+        scoped_key = f"k{customer}\0{service}\0{key}"
+        return self._key_records.claim(
+            scoped_key, fingerprint, now + KEEP_S, now
+        )
 
-    def finish(self, record: str, answer: Answer | None) -> None:
-        """Ends a request that ran or may have run; see `Records.finish`."""
-        self._records_of(record).finish(record, answer)
+    def finish(self, record: str, response: Answer | None) -> None:
+        """Completes a request; see `RecordStore.finish`."""
+        self._store_for(record).finish(record, response)
 
     def release(self, record: str) -> None:
-        """Ends a request that was provably not run."""
-        self._records_of(record).release(record)
-
-    def _records_of(self, record: str) -> Records:
-        return self._tickets if record.startswith("t") else self._keys
+        """Releases a request that was certainly not executed."""
+        self._store_for(record).release(record)
+
+    def _store_for(self, record: str) -> RecordStore:
+        return (
+            self._ticket_records
+            if record.startswith("t")
+            else self._key_records
+        )
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -17,7 +17,7 @@
 _OPENING = connections.Opening
 
 
-def _endpoint(bound, number=1):
+def _endpoint(endpoint_limit, number=1):
     return model.Endpoint(
         id=f"e{number}",
         kind=model.EndpointKind.PLAIN,
@@ -26,11 +26,11 @@
         availability_zone="a",
         pool="desk",
         slots=6,
-        connections_max=bound,
+        connections_max=endpoint_limit,
     )
 
 
-def _fleet(vms):
+def _fleet(vm_count):
     return model.Fleet(
         vms_by_id={
             str(number): model.Vm(
@@ -39,7 +39,7 @@
                 availability_zone="a",
                 role=model.VmRole.ENTRY,
             )
-            for number in range(vms)
+            for number in range(vm_count)
         }
     )
 
@@ -47,29 +47,29 @@
 class TestAllowance:
     """One VM's part, and what it allows."""
 
-    @pytest.mark.parametrize("vms", [1, 2, 6, 16])
-    def test_all_vms_together_stay_below_the_bound(self, vms):
+    @pytest.mark.parametrize("vm_count", [1, 2, 6, 16])
+    def test_all_vms_together_stay_below_the_bound(self, vm_count):
         """Six VMs kept up to 64 idle connections each to a server of 96.
 
         It reset the connections of calls that were running; a fifth of the
         callers who booked were told that nobody knows whether it was done.
         """
-        part = connections.allowance(96, vms)
-        assert vms * part.connections <= 96
-        assert 1 <= part.idle < part.connections
+        limits = connections.limits_per_vm(96, vm_count)
+        assert vm_count * limits.connections <= 96
+        assert 1 <= limits.idle < limits.connections
 
     def test_a_vm_of_many_has_one_for_a_call_and_one_for_the_next(self):
-        part = connections.allowance(96, 690)
-        assert part.connections == 2
+        limits = connections.limits_per_vm(96, 690)
+        assert limits.connections == 2
 
     def test_calls_go_before_idle_connections(self):
-        part = connections.Allowance(connections=4, idle=2)
-        assert part.opening(3, 0) is _OPENING.OPEN
-        assert part.opening(4, 1) is _OPENING.CLOSE_IDLE_FIRST
-        assert part.opening(4, 0) is _OPENING.REFUSE
-        assert part.keeps(4, 1)
-        assert not part.keeps(4, 2)
-        assert not part.keeps(5, 0)
+        limits = connections.Allowance(connections=4, idle=2)
+        assert limits.opening(3, 0) is _OPENING.OPEN
+        assert limits.opening(4, 1) is _OPENING.CLOSE_IDLE_FIRST
+        assert limits.opening(4, 0) is _OPENING.REFUSE
+        assert limits.keeps(4, 1)
+        assert not limits.keeps(4, 2)
+        assert not limits.keeps(5, 0)
 
     def test_only_endpoints_with_a_bound_have_one(self):
         endpoints = {
@@ -79,7 +79,7 @@
         found = connections.allowances(
             model.Snapshot(endpoints_by_id=endpoints), _fleet(6)
         )
-        assert found == {("10.0.0.1", 1): connections.allowance(96, 6)}
+        assert found == {("10.0.0.1", 1): connections.limits_per_vm(96, 6)}
 
 
 class TestSettings:
@@ -97,8 +97,8 @@
 
 def _limited(port, count, idle):
     client = http_client.HttpClient()
-    part = connections.Allowance(connections=count, idle=idle)
-    client.allowances_by_address = {("127.0.0.1", port): part}
+    limits = connections.Allowance(connections=count, idle=idle)
+    client.allowances_by_address = {("127.0.0.1", port): limits}
     return client
 
 
