--- a/src/cowsliprill/decisions/channel.py
+++ b/src/cowsliprill/decisions/channel.py
@@ -1,8 +1,9 @@
-"""Messages between two processes, in order and each taken once.
+"""Reliable, ordered message channel between two processes.
 
-Pure. The sender repeats what isn't acknowledged, the receiver passes over what
-it has had. Calls that carry the messages may be lost, repeated or overtake
-each other.
+Messages have sequence numbers. The sender repeats messages until they are
+acknowledged, and the receiver skips duplicates, so that each message is
+processed once. The calls that carry the messages may be lost, repeated or
+reordered.
 """
 
 from collections.abc import Iterable
@@ -13,10 +14,10 @@
 
 
 class Outbox(Generic[_T]):
-    """What one side has sent and the other hasn't acknowledged.
+    """Messages that were sent and not yet acknowledged.
 
     Attributes:
-      last: Number of the newest message, 0 before the first.
+      last: Sequence number of the newest message, 0 before the first.
     """
 
     def __init__(self) -> None:
@@ -24,48 +25,50 @@
         self._pending: list[_T] = []
 
     def add(self, message: _T) -> None:
-        """Takes a message to send."""
+        """Appends a message to send."""
         self.last += 1
         self._pending.append(message)
 
     @property
     def first(self) -> int:
-        """Number of the first message that isn't acknowledged."""
+        """Sequence number of the first unacknowledged message."""
         return self.last - len(self._pending) + 1
 
     def pending(self) -> tuple[_T, ...]:
-        """Returns the messages to send, the first one numbered `first`."""
+        """Returns the unacknowledged messages, starting at number `first`."""
         return tuple(self._pending)
 
     def acknowledge(self, number: int) -> None:
-        """Drops the messages up to a number."""
-        done = min(max(number - self.first + 1, 0), len(self._pending))
-        del self._pending[:done]
+        """Removes the messages up to a sequence number."""
+        acknowledged_count = min(
+            max(number - self.first + 1, 0), len(self._pending)
+        )
+        del self._pending[:acknowledged_count]
 
 
 class Inbox:
-    """What one side has had of the other.
+    """Receiving end of a channel.
 
     Attributes:
-      last: Number of the newest message taken.
+      last: Sequence number of the newest message that was received in order.
     """
 
     def __init__(self) -> None:
         self.last = 0
 
     def take(self, first: int, messages: Iterable[_T]) -> list[_T]:
-        """Returns what is new and in order.
+        """Accepts messages and returns those that are new.
 
         Args:
-          first: Number of the first message.
-          messages: The messages.
+          first: Sequence number of the first message.
+          messages: Messages with consecutive sequence numbers.
 
         Returns:
-          Those that follow the newest one taken; none after a gap.
+          The messages after the newest one received; none if there is a gap.
         """
-        listed = [*messages]
+        received = [*messages]
         if first > self.last + 1:
             return []
-        new = listed[self.last + 1 - first :]
-        self.last = max(self.last, first + len(listed) - 1)
+        new = received[self.last + 1 - first :]
+        self.last = max(self.last, first + len(received) - 1)
         return new
--- a/src/cowsliprill/decisions/elapsed.py
+++ b/src/cowsliprill/decisions/elapsed.py
@@ -1,46 +1,51 @@
-"""How long ago a caller made its first attempt."""
+"""Estimates how long ago a caller made its first attempt."""
 
 import dataclasses
 
-# Operators may change how long callers wait; what was seen before that is
-# forgotten after so long.
-_KEEP_S = 30.0
+# Operators may shorten the timeouts of callers. An estimate expires after this
+# time, so that a shorter timeout is learnt.
+_ESTIMATE_TTL_S = 30.0
 
-# Differences below this are time on the way and not an earlier attempt.
-_JITTER_S = 0.1
+# Smaller differences are network delay rather than an earlier attempt.
+_NETWORK_JITTER_S = 0.1
 
 
 @dataclasses.dataclass(slots=True)
-class _Longest:
-    wait_s: float
+class _LongestTimeout:
+    timeout_s: float
     seen_at: float
 
 
 class FullWaits:
-    """Learns how long callers of each service wait at their first attempts.
+    """Learns the timeout with which callers of each service start.
 
-    A caller tells with each attempt how much of its time is left. The longest
-    that callers of its service tell is what they all begin with.
+    Callers send their remaining time with each attempt. The longest recent
+    value for a service is taken as the full timeout of its callers.
     """
 
     def __init__(self) -> None:
-        self._longest_by_service: dict[str, _Longest] = {}
+        self._longest_by_service: dict[str, _LongestTimeout] = {}
 
-    def spent_s(self, service_id: str, left_s: float, now: float) -> float:
-        """Returns how much of its time a caller has spent before.
+    def spent_s(self, service_id: str, remaining_s: float, now: float) -> float:
+        """Returns how much of its timeout a caller spent on earlier attempts.
 
         Args:
-          service_id: The service.
-          left_s: Time that the caller says it has left.
-          now: Time, seconds.
+          service_id: Id of the service.
+          remaining_s: Remaining time that the caller states, in seconds.
+          now: Current time in seconds.
+
+        Returns:
+          Seconds since the caller's first attempt, 0 if this is the first.
         """
         longest = self._longest_by_service.get(service_id)
         if (
             longest is None
-            or left_s >= longest.wait_s
-            or now - longest.seen_at > _KEEP_S
+            or remaining_s >= longest.timeout_s
+            or now - longest.seen_at > _ESTIMATE_TTL_S
         ):
-            self._longest_by_service[service_id] = _Longest(left_s, now)
+            self._longest_by_service[service_id] = _LongestTimeout(
+                remaining_s, now
+            )
             return 0.0
-        spent_s = longest.wait_s - left_s
-        return spent_s if spent_s > _JITTER_S else 0.0
+        spent_s = longest.timeout_s - remaining_s
+        return spent_s if spent_s > _NETWORK_JITTER_S else 0.0
--- a/src/cowsliprill/decisions/placement.py
+++ b/src/cowsliprill/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Joint choice of a prefill and a decode engine for one request."""
+"""Joint selection of a prefill and a decode engine for one request."""
 
 import dataclasses
 from collections.abc import Callable
@@ -9,9 +9,10 @@
     """An engine with a free leased slot.
 
     Attributes:
-      id: The engine.
-      cost_s: Seconds that it alone adds to the time to first token: waiting
-        and computing at a prefill engine, queueing news at a decode engine.
+      id: Id of the engine.
+      cost_s: Seconds that this engine adds to the time to first token: waiting
+        and prefill at a prefill engine, queueing and network delay at a
+        decode engine.
     """
 
     id: str
@@ -20,12 +21,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pair:
-    """A choice.
+    """A prefill engine and a decode engine selected for one request.
 
     Attributes:
-      prefill_id: Where the prompt is computed.
-      decode_id: Where the answer is generated.
-      cost_s: Expected time to first token.
+      prefill_id: Id of the engine that runs the prefill.
+      decode_id: Id of the engine that generates the tokens.
+      cost_s: Expected time to first token in seconds.
     """
 
     prefill_id: str
@@ -40,34 +41,36 @@
 ) -> Pair | None:
     """Finds the pair with the least expected time to first token.
 
-    The candidates are tried cheapest first. As a transfer never takes less
-    than nothing, the search ends once the engines alone cost more than the
-    best pair so far; that leaves the result the same as trying all.
+    Candidates are tried in order of cost. As the transfer time is never
+    negative, the search stops once the cost of the engines exceeds that of the
+    best pair so far. The result is the same as that of an exhaustive search.
 
     Args:
       prefills: Prefill engines.
       decodes: Decode engines.
-      transfer_s: Expected seconds of the transfer between a prefill and a
-        decode engine, never negative.
+      transfer_s: Returns the expected time in seconds of the KV cache transfer
+        between a prefill and a decode engine; never negative.
 
     Returns:
       The best pair, the first by ids among equals; None without candidates.
     """
     best: Pair | None = None
-    by_cost = sorted(decodes, key=lambda engine: (engine.cost_s, engine.id))
+    decodes_by_cost = sorted(
+        decodes, key=lambda candidate: (candidate.cost_s, candidate.id)
+    )
     for prefill in sorted(
-        prefills, key=lambda engine: (engine.cost_s, engine.id)
+        prefills, key=lambda candidate: (candidate.cost_s, candidate.id)
     ):
-        for decode in by_cost:
-            alone = prefill.cost_s + decode.cost_s
-            if best is not None and alone > best.cost_s:
+        for decode in decodes_by_cost:
+            engines_s = prefill.cost_s + decode.cost_s
+            if best is not None and engines_s > best.cost_s:
                 break
-            cost = alone + transfer_s(prefill.id, decode.id)
-            pair = Pair(prefill.id, decode.id, cost)
-            if best is None or _key(pair) < _key(best):
+            total_s = engines_s + transfer_s(prefill.id, decode.id)
+            pair = Pair(prefill.id, decode.id, total_s)
+            if best is None or _rank(pair) < _rank(best):
                 best = pair
     return best
 
 
-def _key(pair: Pair) -> tuple[float, str, str]:
+def _rank(pair: Pair) -> tuple[float, str, str]:
     return (pair.cost_s, pair.prefill_id, pair.decode_id)
--- a/src/cowsliprill/decisions/retry.py
+++ b/src/cowsliprill/decisions/retry.py
@@ -1,9 +1,9 @@
-"""Budget of retries of one service.
+"""Retry budgets of services.
 
 A failing engine turns each request into several attempts, and the extra
-attempts overload the engines that still work. Retries are therefore earned by
-requests: at the ratio 0.1 no failure adds more than a tenth to the load, once
-the saved burst is spent.
+attempts overload the engines that still work. Each request therefore deposits
+a fraction of a retry: at a ratio of 0.1, retries add at most a tenth to the
+load once the burst is used up.
 """
 
 from collections.abc import Iterable
@@ -12,50 +12,51 @@
 
 
 class RetryBudget:
-    """Counts what one service may still retry.
+    """Retry budget of one service.
 
     Args:
-      rules: The service's rules.
+      rules: The service's retry rules.
     """
 
     def __init__(self, rules: model.RetryRules) -> None:
         self._rules = rules
-        self._saved = float(rules.burst)
+        self._balance = float(rules.burst)
 
     def follow(self, rules: model.RetryRules) -> None:
-        """Takes new rules; what is saved is kept, up to the new burst."""
+        """Sets new rules; keeps the balance, up to the new burst."""
         self._rules = rules
-        self._saved = min(self._saved, float(rules.burst))
+        self._balance = min(self._balance, float(rules.burst))
 
     def earn(self) -> None:
-        """Counts one new request."""
-        earned = self._saved + self._rules.ratio
-        self._saved = min(earned, float(self._rules.burst))
+        """Deposits the retry fraction of one new request."""
+        earned = self._balance + self._rules.ratio
+        self._balance = min(earned, float(self._rules.burst))
 
     def spend(self, attempts_made: int) -> bool:
-        """Asks for one more attempt.
+        """Tries to withdraw one retry from the budget.
 
         Args:
-          attempts_made: Attempts that this request has had.
+          attempts_made: Number of attempts that this request has had.
 
         Returns:
-          Whether it may have another, which is then spent.
+          Whether the request may be attempted again, in which case one retry is
+          withdrawn.
         """
-        if attempts_made >= self._rules.attempts or self._saved < 1.0:
+        if attempts_made >= self._rules.attempts or self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
 
 
 class RetryBudgets:
-    """The budgets of all services that one process has met."""
+    """Retry budgets of all services that one process has served."""
 
     def __init__(self) -> None:
         self._budgets_by_key: dict[str, RetryBudget] = {}
 
     def of(self, service: model.Service) -> RetryBudget:
-        """Returns the budget of a service, under its present rules."""
-        key = _key(service)
+        """Returns the budget of a service, with its current rules."""
+        key = _budget_key(service)
         budget = self._budgets_by_key.get(key)
         if budget is None:
             budget = RetryBudget(service.retries)
@@ -64,14 +65,14 @@
         return budget
 
     def keep_only(self, services: Iterable[model.Service]) -> None:
-        """Forgets budgets of services that the settings no longer name."""
-        wanted = {_key(service) for service in services}
+        """Drops the budgets of services that are no longer configured."""
+        configured_keys = {_budget_key(service) for service in services}
         self._budgets_by_key = {
             key: budget
             for key, budget in self._budgets_by_key.items()
-            if key in wanted
+            if key in configured_keys
         }
 
 
-def _key(service: model.Service) -> str:
+def _budget_key(service: model.Service) -> str:
     return service.retry_group or service.id
--- a/src/cowsliprill/decisions/routing.py
+++ b/src/cowsliprill/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Which service answers a call that names only a host and a path."""
+"""Maps the host and path of a call to a service."""
 
 import random
 from collections.abc import Iterable
@@ -10,43 +10,43 @@
 
 
 def index(routes: Iterable[model.Route]) -> RoutesByHost:
-    """Orders routes for `find`.
+    """Indexes routes for `find`.
 
     Args:
-      routes: The routes; of two with the same host and prefix the later wins.
+      routes: The routes. Of two with the same host and prefix, the later wins.
 
     Returns:
       Routes by path prefix, by host.
     """
     routes_by_host: dict[str, dict[str, model.Route]] = {}
     for route in routes:
-        of_host = routes_by_host.setdefault(route.host.lower(), {})
-        of_host[route.path_prefix] = route
+        routes_by_prefix = routes_by_host.setdefault(route.host.lower(), {})
+        routes_by_prefix[route.path_prefix] = route
     return routes_by_host
 
 
 def find(
     routes_by_host: RoutesByHost, host: str, path: str
 ) -> model.Route | None:
-    """Finds the route with the longest prefix of a path.
+    """Finds the route with the longest matching path prefix.
 
-    The time grows with the segments of the path, not with the routes: there
-    may be tens of thousands.
+    The time depends on the number of path segments and not on the number of
+    routes, of which there may be tens of thousands.
 
     Args:
-      routes_by_host: What `index` returned.
-      host: Host as the caller names it, with or without a port.
+      routes_by_host: Result of `index`.
+      host: Host as given by the caller, with or without a port.
       path: Path without the query.
 
     Returns:
-      The route, None if there is none.
+      The route, None if none matches.
     """
-    of_host = routes_by_host.get(host.partition(":")[0].lower())
-    if not of_host:
+    routes_by_prefix = routes_by_host.get(host.partition(":")[0].lower())
+    if not routes_by_prefix:
         return None
     end = path.rfind("/")
     while end >= 0:
-        route = of_host.get(path[: end + 1])
+        route = routes_by_prefix.get(path[: end + 1])
         if route is not None:
             return route
         end = path.rfind("/", 0, end)
@@ -54,11 +54,11 @@
 
 
 def pick_service(route: model.Route, rng: random.Random) -> str:
-    """Draws the service of one call by the route's weights.
+    """Draws the service for one call, by the weights of its route.
 
     Args:
       route: The route.
-      rng: Random numbers.
+      rng: Source of random numbers.
 
     Returns:
       Id of the service.
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -18,24 +18,24 @@
             max_size=40,
         )
     )
-    def test_all_arrive_in_order_and_once(self, acts):
+    def test_all_arrive_in_order_and_once(self, steps):
         outbox: channel.Outbox[int] = channel.Outbox()
         inbox = channel.Inbox()
         calls: list[tuple[int, tuple[int, ...]]] = []
-        taken: list[int] = []
-        for act, pick in acts:
-            match act:
+        received: list[int] = []
+        for step, call_index in steps:
+            match step:
                 case 0:
                     outbox.add(outbox.last + 1)
                 case 1:
                     calls.append((outbox.first, outbox.pending()))
                 case 2 if calls:
-                    first, pending = calls[pick % len(calls)]
-                    taken.extend(inbox.take(first, pending))
+                    first, pending = calls[call_index % len(calls)]
+                    received.extend(inbox.take(first, pending))
                 case 3:
                     outbox.acknowledge(inbox.last)
-        taken.extend(inbox.take(outbox.first, outbox.pending()))
-        assert taken == list(range(1, outbox.last + 1))
+        received.extend(inbox.take(outbox.first, outbox.pending()))
+        assert received == list(range(1, outbox.last + 1))
 
     def test_nothing_is_taken_after_a_gap(self):
         """A call overtook the one before it, which was lost."""
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -20,10 +20,10 @@
         attempts = 0
         for _ in range(1_000):
             budget.earn()
-            made = 1
-            while budget.spend(made):
-                made += 1
-            attempts += made
+            attempts_made = 1
+            while budget.spend(attempts_made):
+                attempts_made += 1
+            attempts += attempts_made
         assert attempts <= 1_000 * 1.1 + 5
 
     def test_attempts_of_one_request(self):
