--- a/src/cowsliprill/decisions/pacing.py
+++ b/src/cowsliprill/decisions/pacing.py
@@ -1,78 +1,81 @@
-"""How often a reader may call the platform."""
+"""Client-side rate limiting and backoff for calls to the platform API."""
 
 import dataclasses
 import random
 
-# Calls a second that the platform answers to all its readers together.
+# Calls per second that the platform accepts from all its clients together.
 PLATFORM_CALLS_PER_S = 2_000.0
 
-# The part of it that our VMs use at most; the rest is for other readers.
-_OUR_PART = 0.5
+# Fraction of the platform's rate for the VMs of this fleet. The rest is left to
+# other clients.
+_OWN_FRACTION = 0.5
 _BURST_S = 10.0
-_LEAST_BURST = 20.0
+_MIN_BURST_CALLS = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class CallBudget:
-    """This VM's share of the platform's calls, a token bucket.
+    """This VM's share of the platform's call rate, as a token bucket.
 
     Attributes:
-      readers: Number of VMs that share the budget.
-      tokens: Calls that may be made at once.
-      updated_at: Time up to which tokens were earned, seconds.
+      readers: Number of VMs that share the rate.
+      tokens: Calls that may be made at once; negative while calls wait.
+      updated_at: When tokens were last added, in seconds.
     """
 
     readers: int = 1
-    tokens: float = _LEAST_BURST
+    tokens: float = _MIN_BURST_CALLS
     updated_at: float = 0.0
 
     @property
-    def rate(self) -> float:
-        """Calls a second that this VM may make in the long run."""
-        return PLATFORM_CALLS_PER_S * _OUR_PART / max(1, self.readers)
+    def calls_per_s(self) -> float:
+        """Sustained number of calls per second that this VM may make."""
+        return PLATFORM_CALLS_PER_S * _OWN_FRACTION / max(1, self.readers)
 
     def take(self, now: float) -> float:
-        """Takes one call.
+        """Reserves one call.
+
+        The call is counted even if the caller has to wait first.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          Seconds to wait first; 0 if the call may be made at once. Either way
-          the call is counted.
+          Seconds to wait before the call, 0 if it may be made at once.
         """
-        burst = max(_LEAST_BURST, self.rate * _BURST_S)
-        earned = max(0.0, now - self.updated_at) * self.rate
+        burst = max(_MIN_BURST_CALLS, self.calls_per_s * _BURST_S)
+        earned = max(0.0, now - self.updated_at) * self.calls_per_s
         self.tokens = min(burst, self.tokens + earned) - 1
         self.updated_at = now
-        return max(0.0, -self.tokens / self.rate)
+        return max(0.0, -self.tokens / self.calls_per_s)
 
 
 @dataclasses.dataclass(slots=True)
 class Backoff:
-    """Waiting times after failures: exponential, with full jitter.
+    """Delays after failures: exponential, with jitter.
 
-    Without jitter all VMs that lost the platform at one moment would come back
-    to it at one moment, and overload it each time.
+    Each delay is drawn between a quarter of the current ceiling and the full
+    ceiling. Without jitter, all VMs that lost the platform at the same moment
+    would retry at the same moment and overload it each time.
 
     Attributes:
-      random_source: Source of the jitter.
-      first_s: Longest wait after the first failure, seconds.
-      longest_s: Longest wait ever, seconds.
-      failures: Failures since the last success.
+      rng: Source of the jitter.
+      base_s: Ceiling of the first delay, in seconds.
+      max_s: Highest ceiling, in seconds.
+      failures: Consecutive failures.
     """
 
-    random_source: random.Random
-    first_s: float = 0.1
-    longest_s: float = 2.0
+    rng: random.Random
+    base_s: float = 0.1
+    max_s: float = 2.0
     failures: int = 0
 
     def failed(self) -> float:
-        """Counts a failure and returns how long to wait, seconds."""
-        ceiling = min(self.longest_s, self.first_s * 2**self.failures)
+        """Counts a failure and returns the delay before a retry, in seconds."""
+        ceiling = min(self.max_s, self.base_s * 2**self.failures)
         self.failures = min(self.failures + 1, 30)
-        return self.random_source.uniform(ceiling / 4, ceiling)
+        return self.rng.uniform(ceiling / 4, ceiling)
 
     def succeeded(self) -> None:
-        """Counts a success: the next failure waits shortly again."""
+        """Resets the delay after a success."""
         self.failures = 0
--- a/src/cowsliprill/decisions/quota_gate.py
+++ b/src/cowsliprill/decisions/quota_gate.py
@@ -1,7 +1,8 @@
-"""Which requests one VM admits of customers with quotas.
+"""Admission control on one VM for customers with quotas.
 
-Pure. It follows the latest verdict of the quota's owner. Where no owner
-answers, it admits its own part of the quota, as the owner last reported it.
+Requests are admitted according to the latest verdict of the quota's owner. If
+the owner doesn't answer, the VM enforces its own share of the quota, as last
+reported by the owner.
 """
 
 import dataclasses
@@ -13,100 +14,112 @@
 from cowsliprill.decisions import quota_owner
 from cowsliprill.decisions import token_bucket
 
-# Without an answer for this long the latest verdict is ignored.
-_SILENCE_S = 1.2
+# The latest verdict is ignored if the owner hasn't answered for this long.
+_OWNER_TIMEOUT_S = 1.2
 
-# An older verdict refuses nobody; the owner is asked again before.
-_RECENT_S = 0.4
+# An older verdict rejects no request before the owner is asked again.
+_VERDICT_TTL_S = 0.4
 
-# Seconds of a quota that a VM admits before it reports at once.
-_URGENT_S = 0.01
+# Usage is reported at once if the unreported part exceeds the quota of this
+# many seconds.
+_UNREPORTED_MAX_S = 0.01
 
 _RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Customer:
+class _CustomerState:
     asked: float = 0.0
     admitted: float = 0.0
     asked_before: float = 0.0
     admitted_before: float = 0.0
     verdict: quota_owner.Verdict | None = None
     verdict_at: float = -math.inf
-    waiting_since: float | None = None
-    own_bucket: token_bucket.TokenBucket | None = None
+    unanswered_since: float | None = None
+    local_bucket: token_bucket.TokenBucket | None = None
 
 
 class QuotaGate:
-    """Admits or refuses the requests of one VM.
+    """Admits or rejects the requests that reach one VM.
 
     Args:
-      rng: Draws which requests are admitted.
+      rng: Source of random numbers for admitting a fraction of the requests.
     """
 
     def __init__(self, rng: random.Random) -> None:
-        self._random = rng
-        self._customers_by_id: dict[str, _Customer] = {}
-        self._members = 1
+        self._rng = rng
+        self._customers_by_id: dict[str, _CustomerState] = {}
+        self._vm_count = 1
 
-    def set_members(self, members: int) -> None:
-        """Sets how many VMs there are."""
-        self._members = max(members, 1)
+    def set_members(self, vm_count: int) -> None:
+        """Sets the number of VMs in the fleet."""
+        self._vm_count = max(vm_count, 1)
 
     def admit(
         self, customer_id: str, quota: model.Quota, cost: float, now: float
     ) -> float | None:
-        """Decides on a request.
+        """Counts a request as demand and decides whether to admit it.
 
         Args:
-          customer_id: The customer.
-          quota: Its quota.
-          cost: What the request costs.
-          now: Time, seconds.
+          customer_id: Id of the customer.
+          quota: The customer's quota.
+          cost: Cost units of the request.
+          now: Current time in seconds.
 
         Returns:
-          None if it is admitted, else when it should come back, in seconds.
+          None if the request is admitted, else the retry delay in seconds.
         """
-        customer = self._customers_by_id.setdefault(customer_id, _Customer())
+        customer = self._customers_by_id.setdefault(
+            customer_id, _CustomerState()
+        )
         customer.asked += cost
-        if customer.waiting_since is None:
-            customer.waiting_since = now
+        if customer.unanswered_since is None:
+            customer.unanswered_since = now
         return self.decide(customer_id, quota, cost, now)
 
     def decide(
         self, customer_id: str, quota: model.Quota, cost: float, now: float
     ) -> float | None:
-        """Decides anew on a request that `admit` has refused."""
-        customer = self._customers_by_id.setdefault(customer_id, _Customer())
-        waiting_since = customer.waiting_since
-        if waiting_since is not None and now - waiting_since > _SILENCE_S:
-            retry_after_s = self._admit_own_part(customer, quota, cost, now)
+        """Decides again on a request that `admit` has rejected.
+
+        The request is not counted as demand again. Arguments and result are as
+        for `admit`.
+        """
+        customer = self._customers_by_id.setdefault(
+            customer_id, _CustomerState()
+        )
+        unanswered_since = customer.unanswered_since
+        if (
+            unanswered_since is not None
+            and now - unanswered_since > _OWNER_TIMEOUT_S
+        ):
+            retry_after_s = self._admit_local_share(customer, quota, cost, now)
         else:
-            customer.own_bucket = None
+            customer.local_bucket = None
             retry_after_s = self._admit_by_verdict(customer)
         if retry_after_s is None:
             customer.admitted += cost
         return retry_after_s
 
     def give_back(self, customer_id: str, cost: float) -> None:
-        """Takes back an admitted request that has not run."""
+        """Refunds the cost of an admitted request that was not executed."""
         customer = self._customers_by_id.get(customer_id)
         if customer is not None:
             customer.admitted -= cost
 
     def is_recent(self, customer_id: str, now: float) -> bool:
-        """Returns whether the latest verdict may refuse a request."""
+        """Returns whether the latest verdict may reject a request."""
         customer = self._customers_by_id[customer_id]
-        return now - customer.verdict_at <= _RECENT_S
+        return now - customer.verdict_at <= _VERDICT_TTL_S
 
     def is_urgent(self, customer_id: str, quota: model.Quota) -> bool:
-        """Returns whether the owner should hear of a customer at once."""
+        """Returns whether a customer's usage should be reported at once."""
         customer = self._customers_by_id[customer_id]
         unreported = customer.admitted - customer.admitted_before
-        return unreported > quota.per_s * _URGENT_S
+        return unreported > quota.per_s * _UNREPORTED_MAX_S
 
     def usages(self) -> list[quota_owner.Usage]:
-        """Returns the usage that no owner has acknowledged yet."""
+        """Returns the usage of all customers with unacknowledged changes."""
         return [
             self.usage(customer_id)
             for customer_id, customer in self._customers_by_id.items()
@@ -115,7 +128,7 @@
         ]
 
     def usage(self, customer_id: str) -> quota_owner.Usage:
-        """Returns the usage of a customer that has asked for something."""
+        """Returns the usage of a customer that has sent requests."""
         customer = self._customers_by_id[customer_id]
         return quota_owner.Usage(
             customer=customer_id,
@@ -131,12 +144,12 @@
         verdict: quota_owner.Verdict,
         now: float,
     ) -> None:
-        """Takes an owner's answer to a report.
+        """Records the owner's response to a report.
 
         Args:
-          usage: What was reported.
-          verdict: What may be admitted.
-          now: Time, seconds.
+          usage: The usage that was reported.
+          verdict: The owner's verdict.
+          now: Current time in seconds.
         """
         customer = self._customers_by_id.get(usage.customer)
         if customer is None:
@@ -145,39 +158,40 @@
         customer.verdict_at = now
         customer.asked_before = usage.asked
         customer.admitted_before = usage.admitted
-        unanswered = customer.asked != usage.asked
-        customer.waiting_since = now if unanswered else None
+        has_unreported = customer.asked != usage.asked
+        customer.unanswered_since = now if has_unreported else None
 
     def keep_only(self, customer_ids: Set[str]) -> None:
-        """Forgets customers that are gone or have no quota any more."""
+        """Drops customers that are gone or no longer have a quota."""
         for customer_id in self._customers_by_id.keys() - customer_ids:
             del self._customers_by_id[customer_id]
 
-    def _admit_by_verdict(self, customer: _Customer) -> float | None:
+    def _admit_by_verdict(self, customer: _CustomerState) -> float | None:
         verdict = customer.verdict
         if verdict is None or verdict.admit_part >= 1.0:
             return None
-        if self._random.random() < verdict.admit_part:
+        if self._rng.random() < verdict.admit_part:
             return None
         return verdict.retry_after_s
 
-    def _admit_own_part(
+    def _admit_local_share(
         self,
-        customer: _Customer,
+        customer: _CustomerState,
         quota: model.Quota,
         cost: float,
         now: float,
     ) -> float | None:
-        part = 1 / self._members
+        fraction = 1 / self._vm_count
         if customer.verdict is not None:
-            part = max(customer.verdict.own_part, part)
-        per_s, burst = quota.per_s * part, quota.burst * part
-        bucket = customer.own_bucket
+            fraction = max(customer.verdict.own_part, fraction)
+        per_s, burst = quota.per_s * fraction, quota.burst * fraction
+        bucket = customer.local_bucket
         if bucket is None:
             bucket = token_bucket.TokenBucket(burst, now)
-            customer.own_bucket = bucket
+            customer.local_bucket = bucket
         bucket.refill(per_s, burst, now)
-        # A part may be smaller than one request; it then counts as a debt.
+        # The local share may be smaller than one request, which then leaves the
+        # bucket negative.
         if bucket.level <= 0:
             return max(-bucket.level / per_s, _RETRY_AFTER_S)
         bucket.level -= cost
--- a/src/cowsliprill/decisions/quota_owner.py
+++ b/src/cowsliprill/decisions/quota_owner.py
@@ -1,9 +1,9 @@
-"""What all VMs together admit of customers with quotas, added up in one place.
+"""Aggregates the usage of customers with quotas over all VMs.
 
-Pure. Each VM reports to the owner of a customer's quota what was asked for and
-admitted there, as totals that only grow, and is told which part of the next
-requests it may admit. A lost or repeated report does no harm; an owner that
-takes over begins where the VMs' last answered reports end.
+Each VM reports to the owner of a customer's quota what was requested and
+admitted, as cumulative totals. The response states the fraction of further
+requests that the VM may admit. Lost and repeated reports do no harm, and a new
+owner resumes from the totals in the VMs' last acknowledged reports.
 """
 
 import dataclasses
@@ -14,34 +14,36 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import token_bucket
 
-# How long what was asked for counts towards the demand, seconds.
-_DEMAND_S = 1.0
+# Time constant of the exponential decay of demand, in seconds.
+_DEMAND_DECAY_S = 1.0
 
-# Seconds of a quota that are left in the bucket when admission is cut down.
-# Reports are a few tenths of a second old, and VMs go on admitting meanwhile.
+# Admission is reduced when the bucket holds less than the quota of this many
+# seconds. Reports are a few tenths of a second old, and VMs go on admitting in
+# between.
 _RESERVE_S = 0.25
 
-# A VM that isn't heard for so long takes nothing of the demand any more.
-_REPORTER_S = 30.0
+# A VM that hasn't reported for this long no longer counts towards demand.
+_REPORTER_TTL_S = 30.0
 
-# VMs that hear no more than this part of the fleet use that part of a quota:
-# the others may be alive and use the rest.
-_MAJORITY = 0.5
+# An owner that can reach no more than this fraction of the fleet hands out only
+# the fraction of each quota that matches the VMs it reaches: in a network
+# partition, the others may be alive and use the rest.
+_QUORUM_FRACTION = 0.5
 
-# Callers of a customer above its quota are told to come back no sooner.
+# Minimum retry delay for the callers of a customer above its quota.
 _RETRY_AFTER_MIN_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Usage:
-    """One VM's report of one customer, in cost units since its start.
+    """One VM's usage report for one customer, in cost units since its start.
 
     Attributes:
-      customer: The customer.
+      customer: Id of the customer.
       asked: Cost of all requests.
-      admitted: Cost of those that were admitted.
-      asked_before: `asked` as last answered.
-      admitted_before: `admitted` as last answered.
+      admitted: Cost of the admitted requests.
+      asked_before: Value of `asked` in the last acknowledged report.
+      admitted_before: Value of `admitted` in the last acknowledged report.
     """
 
     customer: str
@@ -53,13 +55,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Verdict:
-    """What a VM may admit of a customer until it hears again.
+    """What a VM may admit for a customer until the next verdict.
 
     Attributes:
-      customer: The customer.
-      admit_part: Part of the requests that are admitted, from 0 to 1.
-      retry_after_s: When those that are refused should come back, seconds.
-      own_part: The VM's part of what is asked for, from 0 to 1.
+      customer: Id of the customer.
+      admit_part: Fraction of requests to admit, from 0 to 1.
+      retry_after_s: Retry delay for rejected requests, in seconds.
+      own_part: The VM's fraction of the customer's demand, from 0 to 1.
     """
 
     customer: str
@@ -70,18 +72,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Tolerance:
-    """By how much quotas may be exceeded.
+    """How far quotas may be exceeded.
 
     Attributes:
-      part: Part of the quota.
-      tokens: Cost units beyond, once, for quotas that count tokens.
+      part: Fraction of the quota.
+      tokens: Additional cost units, once, for quotas that count tokens.
     """
 
     part: float = 0.0
     tokens: float = 0.0
 
-    def widen(self, quota: model.Quota) -> model.Quota:
-        """Returns the quota that is enforced."""
+    def apply_to(self, quota: model.Quota) -> model.Quota:
+        """Returns the quota that is enforced, which includes the tolerance."""
         extra = self.tokens if quota.by_tokens else 0.0
         return dataclasses.replace(
             quota,
@@ -92,24 +94,28 @@
 
 @dataclasses.dataclass(slots=True)
 class _Demand:
-    """What is asked for in a second, forgetting older requests."""
+    """Exponentially decayed rate of the requested cost units."""
 
     units: float = 0.0
-    at: float = -math.inf
+    updated_at: float = -math.inf
 
     def add(self, units: float, now: float) -> None:
-        self.units = self.per_s(now) * _DEMAND_S + units
-        self.at = now
+        self.units = self.per_s(now) * _DEMAND_DECAY_S + units
+        self.updated_at = now
 
     def per_s(self, now: float) -> float:
-        return self.units * math.exp((self.at - now) / _DEMAND_S) / _DEMAND_S
+        return (
+            self.units
+            * math.exp((self.updated_at - now) / _DEMAND_DECAY_S)
+            / _DEMAND_DECAY_S
+        )
 
 
 @dataclasses.dataclass(slots=True)
 class _Reporter:
     asked: float
     admitted: float
-    heard_at: float
+    reported_at: float
     demand: _Demand = dataclasses.field(default_factory=_Demand)
 
 
@@ -123,12 +129,12 @@
 
 
 class QuotaOwner:
-    """The accounts of the customers whose quotas are owned here.
+    """Usage accounts of the customers whose quotas this process owns.
 
     Args:
-      tolerance: By how much a quota may be exceeded before its customer is
-        refused. A customer and its provider count at different moments, and
-        one that keeps to its quota must never be refused for it.
+      tolerance: How far a quota may be exceeded before requests are rejected.
+        A customer and its provider count at different moments, and a
+        customer that keeps to its quota must never be rejected for that.
     """
 
     def __init__(self, tolerance: Tolerance | None = None) -> None:
@@ -143,21 +149,21 @@
         heard_part: float,
         now: float,
     ) -> list[Verdict]:
-        """Takes what a VM reports.
+        """Applies a VM's usage report.
 
         Args:
-          reporter: Id of its process.
-          usages: Its reports, one a customer.
-          quotas_by_customer: The quotas in force.
-          heard_part: Part of the known VMs that are heard here.
-          now: Time, seconds.
+          reporter: Id of the reporting process.
+          usages: Its usage, one entry per customer.
+          quotas_by_customer: The current quotas.
+          heard_part: Fraction of the known VMs that this process can reach.
+          now: Current time in seconds.
 
         Returns:
-          What it may admit, of each customer it named.
+          The verdicts for the customers in the report.
         """
-        part = 1.0 if heard_part > _MAJORITY else heard_part
+        part = 1.0 if heard_part > _QUORUM_FRACTION else heard_part
         return [
-            self._take(
+            self._apply_usage(
                 reporter,
                 usage,
                 quotas_by_customer.get(usage.customer),
@@ -168,17 +174,17 @@
         ]
 
     def level(self, customer: str) -> float:
-        """Returns what is left of a customer's quota, as last reported."""
+        """Returns what is left of a customer's quota at the last report."""
         account = self._accounts_by_customer.get(customer)
         return account.bucket.level if account else math.inf
 
     def keep_only(self, customers: Iterable[str]) -> None:
-        """Forgets customers that are gone."""
+        """Drops the accounts of customers that are gone."""
         gone = self._accounts_by_customer.keys() - set(customers)
         for customer in gone:
             del self._accounts_by_customer[customer]
 
-    def _take(
+    def _apply_usage(
         self,
         reporter_id: str,
         usage: Usage,
@@ -188,36 +194,36 @@
     ) -> Verdict:
         if quota is None:
             return Verdict(customer=usage.customer)
-        quota = self._tolerance.widen(quota)
+        quota = self._tolerance.apply_to(quota)
         per_s, burst = quota.per_s * part, quota.burst * part
         account = self._accounts_by_customer.get(usage.customer)
         if account is None:
             account = _Account(token_bucket.TokenBucket(burst, now))
             self._accounts_by_customer[usage.customer] = account
         account.bucket.refill(per_s, burst, now)
-        reporter = self._reporter(account, reporter_id, usage, now)
+        reporter = self._get_reporter(account, reporter_id, usage, now)
         asked = max(usage.asked - reporter.asked, 0.0)
         account.bucket.level -= usage.admitted - reporter.admitted
         account.demand.add(asked, now)
         reporter.demand.add(asked, now)
         reporter.asked = usage.asked
         reporter.admitted = usage.admitted
-        reporter.heard_at = now
+        reporter.reported_at = now
         return _verdict(usage.customer, account, reporter, per_s, now)
 
     @staticmethod
-    def _reporter(
+    def _get_reporter(
         account: _Account, reporter_id: str, usage: Usage, now: float
     ) -> _Reporter:
         reporter = account.reporters_by_id.get(reporter_id)
         if reporter is None:
             account.reporters_by_id = {
-                name: known
-                for name, known in account.reporters_by_id.items()
-                if now - known.heard_at < _REPORTER_S
+                existing_id: existing
+                for existing_id, existing in account.reporters_by_id.items()
+                if now - existing.reported_at < _REPORTER_TTL_S
             }
             reporter = _Reporter(
-                usage.asked_before, usage.admitted_before, heard_at=now
+                usage.asked_before, usage.admitted_before, reported_at=now
             )
             account.reporters_by_id[reporter_id] = reporter
         return reporter
@@ -236,11 +242,12 @@
     level = account.bucket.level
     if level >= reserve:
         return Verdict(customer=customer, own_part=own_part)
-    # Just what comes in is admitted when half of the reserve is left.
-    filled = max(level, 0.0) / (reserve / 2) if reserve else 0.0
-    admit_part = filled * per_s / demand if demand > 0 else 1.0
-    missing = reserve / 2 - level
-    wait_s = missing / per_s if per_s else _DEMAND_S
+    # With half of the reserve left, requests are admitted at the rate of the
+    # quota.
+    fill_ratio = max(level, 0.0) / (reserve / 2) if reserve else 0.0
+    admit_part = fill_ratio * per_s / demand if demand > 0 else 1.0
+    deficit = reserve / 2 - level
+    wait_s = deficit / per_s if per_s else _DEMAND_DECAY_S
     return Verdict(
         customer=customer,
         admit_part=min(admit_part, 1.0),
--- a/src/cowsliprill/decisions/token_bucket.py
+++ b/src/cowsliprill/decisions/token_bucket.py
@@ -1,27 +1,27 @@
-"""A token bucket whose rate and size may change. Pure."""
+"""A token bucket whose rate and size may change."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """What may be used at once; below zero it is a debt.
+    """Cost units that may be used at once.
 
     Attributes:
-      level: Cost units that are left.
-      at: Time up to which units were added, seconds.
+      level: Cost units left; negative if more were used than there were.
+      updated_at: When units were last added, in seconds.
     """
 
     level: float
-    at: float
+    updated_at: float
 
     def refill(self, per_s: float, burst: float, now: float) -> None:
-        """Adds what has come since, up to the size of the bucket.
+        """Adds the units earned since the last refill, up to the bucket's size.
 
         Args:
-          per_s: Cost units that are added each second.
-          burst: Cost units that the bucket holds.
-          now: Time, seconds.
+          per_s: Cost units added per second.
+          burst: Size of the bucket in cost units.
+          now: Current time in seconds.
         """
-        self.level = min(self.level + per_s * (now - self.at), burst)
-        self.at = now
+        self.level = min(self.level + per_s * (now - self.updated_at), burst)
+        self.updated_at = now
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -38,9 +38,9 @@
         would miss a change meanwhile.
         """
         backoff = pacing.Backoff(random.Random(3))
-        waits = [backoff.failed() for _ in range(50)]
-        assert waits[0] <= backoff.first_s
-        assert max(waits) <= backoff.longest_s
-        assert len({round(wait, 6) for wait in waits[10:]}) > 30
+        delays = [backoff.failed() for _ in range(50)]
+        assert delays[0] <= backoff.base_s
+        assert max(delays) <= backoff.max_s
+        assert len({round(delay, 6) for delay in delays[10:]}) > 30
         backoff.succeeded()
-        assert backoff.failed() <= backoff.first_s
+        assert backoff.failed() <= backoff.base_s
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -25,7 +25,7 @@
     admitted: list[tuple[float, float]] = dataclasses.field(
         default_factory=list
     )
-    waits: list[float] = dataclasses.field(default_factory=list)
+    retry_delays: list[float] = dataclasses.field(default_factory=list)
 
     def total(self) -> float:
         return sum(cost for _, cost in self.admitted)
@@ -34,10 +34,10 @@
         return max(
             sum(
                 cost
-                for at, cost in self.admitted
-                if start <= at < start + _WINDOW_S
+                for sent_at, cost in self.admitted
+                if start <= sent_at < start + _WINDOW_S
             )
-            for start in {at for at, _ in self.admitted}
+            for start in {sent_at for sent_at, _ in self.admitted}
         )
 
 
@@ -45,7 +45,7 @@
     """VMs that each get a part of one customer's requests.
 
     Attributes:
-      cut: VMs whose reports are lost.
+      cut_off_vms: VMs whose reports are lost.
       heard_part: What the owner hears of the fleet.
     """
 
@@ -57,7 +57,7 @@
         ]
         for gate in self.gates:
             gate.set_members(vms)
-        self.cut: set[int] = set()
+        self.cut_off_vms: set[int] = set()
         self.heard_part = 1.0
         self.now = 0.0
 
@@ -66,40 +66,38 @@
         outcome = _Outcome()
         end = self.now + length_s
         per_s = load * _QUOTA.per_s / cost
-        moments = [(self.now + self._random.expovariate(per_s), "ask", 0)]
+        events = [(self.now + self._random.expovariate(per_s), "ask", 0)]
         for number in range(len(self.gates)):
-            at = self.now + self._random.uniform(0, _REPORT_S)
-            heapq.heappush(moments, (at, "report", number))
-        while moments[0][0] < end:
-            self.now, kind, number = heapq.heappop(moments)
+            sent_at = self.now + self._random.uniform(0, _REPORT_S)
+            heapq.heappush(events, (sent_at, "report", number))
+        while events[0][0] < end:
+            self.now, kind, number = heapq.heappop(events)
             if kind == "report":
                 self._report(number)
-                heapq.heappush(
-                    moments, (self.now + _REPORT_S, "report", number)
-                )
+                heapq.heappush(events, (self.now + _REPORT_S, "report", number))
                 continue
-            self._ask(outcome, cost)
+            self._send(outcome, cost)
             gap_s = self._random.expovariate(per_s)
-            heapq.heappush(moments, (self.now + gap_s, "ask", 0))
+            heapq.heappush(events, (self.now + gap_s, "ask", 0))
         return outcome
 
-    def _ask(self, outcome: _Outcome, cost: float) -> None:
+    def _send(self, outcome: _Outcome, cost: float) -> None:
         number = self._random.randrange(len(self.gates))
         gate = self.gates[number]
         outcome.asked += cost
-        refused = gate.admit("firm", _QUOTA, cost, self.now)
-        if refused is not None and not gate.is_recent("firm", self.now):
+        retry_after_s = gate.admit("firm", _QUOTA, cost, self.now)
+        if retry_after_s is not None and not gate.is_recent("firm", self.now):
             self._report(number)
-            refused = gate.decide("firm", _QUOTA, cost, self.now)
-        if refused is None:
+            retry_after_s = gate.decide("firm", _QUOTA, cost, self.now)
+        if retry_after_s is None:
             outcome.admitted.append((self.now, cost))
         else:
-            outcome.waits.append(refused)
+            outcome.retry_delays.append(retry_after_s)
 
     def _report(self, number: int) -> None:
         gate = self.gates[number]
         usages = gate.usages()
-        if not usages or number in self.cut:
+        if not usages or number in self.cut_off_vms:
             return
         verdicts = self.owner.report(
             f"vm-{number}", usages, _QUOTAS, self.heard_part, self.now
@@ -132,8 +130,8 @@
     def test_refusals_say_when_there_is_room(self, vms):
         fleet = _Fleet(vms)
         outcome = fleet.run(4.0, 10.0, self._COST_BY_VMS[vms])
-        assert outcome.waits
-        assert all(0 < wait_s < 5 for wait_s in outcome.waits)
+        assert outcome.retry_delays
+        assert all(0 < wait_s < 5 for wait_s in outcome.retry_delays)
 
     def test_after_a_hot_spell_nobody_is_refused_for_long(self, vms):
         """Guards against an old verdict that refuses a customer in need."""
@@ -150,20 +148,20 @@
     def test_vms_without_an_owner_share_the_quota(self):
         """Guards against VMs out of touch that admit whatever comes."""
         fleet = _Fleet(71)
-        fleet.cut = set(range(71))
+        fleet.cut_off_vms = set(range(71))
         outcome = fleet.run(4.0, 16.0, 5.0)
         allowed = _QUOTA.per_s * _WINDOW_S + _QUOTA.burst
         assert outcome.worst_window() <= 2.0 * allowed
-        late = [cost for at, cost in outcome.admitted if at > 8.0]
+        late = [cost for sent_at, cost in outcome.admitted if sent_at > 8.0]
         assert sum(late) <= 1.25 * _QUOTA.per_s * 8.0
 
     def test_halves_that_cannot_hear_each_other(self):
         """Guards against a split fleet that admits two quotas."""
-        halves = [_Fleet(36, seed=1), _Fleet(35, seed=2)]
-        for half in halves:
-            half.heard_part = 0.5
-            half.run(1.0, 4.0, 5.0)
-        outcomes = [half.run(2.0, 10.0, 5.0) for half in halves]
+        partitions = [_Fleet(36, seed=1), _Fleet(35, seed=2)]
+        for partition in partitions:
+            partition.heard_part = 0.5
+            partition.run(1.0, 4.0, 5.0)
+        outcomes = [partition.run(2.0, 10.0, 5.0) for partition in partitions]
         allowed = _QUOTA.per_s * _WINDOW_S + _QUOTA.burst
         assert sum(item.worst_window() for item in outcomes) <= 1.25 * allowed
 
