--- a/src/cowsliprill/decisions/chooser.py
+++ b/src/cowsliprill/decisions/chooser.py
@@ -17,8 +17,8 @@
 _PREFILL_BUSY_GRACE_S = 0.1
 
 # Cost of an engine with full KV cache memory relative to an empty one. Each
-# concurrent request delays every token of a stream by some hundredths of a
-# second, and completions that grow longer than expected preempt others.
+# concurrent request delays every output token by some hundredths of a second,
+# and outputs that grow longer than expected preempt other requests.
 _FULL_MEMORY_COST_S = 0.1
 
 
@@ -27,12 +27,14 @@
 
     Args:
       availability_zone: Availability zone of the entry process.
-      breakers: Circuit breakers of the engines.
+      engine_health: Ejection state of the engines.
     """
 
-    def __init__(self, availability_zone: str, breakers: health.Health) -> None:
+    def __init__(
+        self, availability_zone: str, engine_health: health.Health
+    ) -> None:
         self._availability_zone = availability_zone
-        self._breakers = breakers
+        self._health = engine_health
 
     def choose(
         self, pool: pools.Pool, submit: messages.Submit, slots: int, now: float
@@ -121,14 +123,14 @@
         self, pool: pools.Pool, submit: messages.Submit, now: float
     ) -> list[placement.Candidate]:
         candidates = []
-        left_alone = self._breakers.left_alone(pool.prefills)
-        all_open = len(left_alone) == len(pool.prefills)
+        left_alone = self._health.left_alone(pool.prefills)
+        all_ejected = len(left_alone) == len(pool.prefills)
         for endpoint in pool.prefills:
             if not pool.holding(endpoint.id).fits(1, now):
                 continue
             is_probe = endpoint.id in left_alone
             if is_probe and not self._may_probe(
-                pool, endpoint, submit, now, all_open
+                pool, endpoint, submit, now, all_ejected
             ):
                 continue
             cost_s = pool.prefill_wait_s(endpoint, submit)
@@ -140,8 +142,8 @@
         self, pool: pools.Pool, submit: messages.Submit, slots: int, now: float
     ) -> list[placement.Candidate]:
         candidates = []
-        left_alone = self._breakers.left_alone(pool.decodes)
-        all_open = len(left_alone) == len(pool.decodes)
+        left_alone = self._health.left_alone(pool.decodes)
+        all_ejected = len(left_alone) == len(pool.decodes)
         for endpoint in pool.decodes:
             holding = pool.holding(endpoint.id)
             if not holding.fits(slots, now):
@@ -153,7 +155,7 @@
                 continue
             is_probe = endpoint.id in left_alone
             if is_probe and not self._may_probe(
-                pool, endpoint, submit, now, all_open
+                pool, endpoint, submit, now, all_ejected
             ):
                 continue
             occupancy = holding.used / max(endpoint.slots, 1)
@@ -169,18 +171,16 @@
         endpoint: model.Endpoint,
         submit: messages.Submit,
         now: float,
-        all_open: bool,
+        all_ejected: bool,
     ) -> bool:
         # A probe is likely to fail and costs less with a short prompt. Prompts
-        # are compared with the pool's usual length: with a fixed limit, an
+        # are compared with the pool's mean length: with a fixed limit, an
         # engine of a pool whose prompts are all longer would never be probed.
         is_short_prompt = submit.prompt_tokens <= pool.usual_prompt_tokens
         # An engine that is still unreachable is detected before the prefill.
-        is_cheap = is_short_prompt or self._breakers.was_unreachable(
-            endpoint.id
-        )
-        usable = self._breakers.usable(endpoint.id, now, last_resort=all_open)
-        return usable and (is_cheap or all_open)
+        is_cheap = is_short_prompt or self._health.was_unreachable(endpoint.id)
+        usable = self._health.usable(endpoint.id, now, last_resort=all_ejected)
+        return usable and (is_cheap or all_ejected)
 
     def _cross_zone_s(self, endpoint: model.Endpoint) -> float:
         if endpoint.availability_zone == self._availability_zone:
--- a/src/cowsliprill/decisions/health.py
+++ b/src/cowsliprill/decisions/health.py
@@ -1,8 +1,8 @@
-"""Circuit breakers for engines, driven by the outcomes of real requests.
+"""Outlier ejection of engines, driven by the outcomes of real requests.
 
-An engine that fails or is slow gets no requests for an interval that doubles
-with each failure; then one request at a time probes it. No active health
-checks are sent: an engine that answers one may still fail to serve requests.
+An engine that fails or is slow is ejected for an interval that doubles with
+each ejection; then one request at a time probes it. No active health checks are
+sent: an engine that answers one may still fail to serve requests.
 """
 
 import dataclasses
@@ -21,46 +21,46 @@
 _SLOW_TRANSFER_RATIO = 5.0
 _SLOW_TRANSFER_MIN_S = 0.2
 
-_SLOW_RESULTS_TO_OPEN = 2
-_OPEN_MIN_S = 2.0
-_OPEN_MAX_S = 30.0
+_SLOW_RESULTS_TO_EJECT = 2
+_EJECTION_MIN_S = 2.0
+_EJECTION_MAX_S = 30.0
 
-# A refused connection costs the next request a few milliseconds and no prefill,
-# so an unreachable engine is probed sooner.
-_OPEN_UNREACHABLE_MIN_S = 0.5
+# A failed connection attempt costs the next request a few milliseconds and no
+# prefill, so an unreachable engine is probed sooner.
+_UNREACHABLE_EJECTION_MIN_S = 0.5
 
 # A longer interval saves nothing, and an engine that is reachable again would
 # stay idle.
-_OPEN_UNREACHABLE_MAX_S = 2.0
+_UNREACHABLE_EJECTION_MAX_S = 2.0
 
-# While the circuits of all engines of a kind are open, each is probed this long
-# after its last failure. With a longer interval, the pool would reject requests
-# long after its engines have recovered.
-_OPEN_ALL_S = 0.5
+# While all engines of a kind are ejected, each is probed this long after its
+# last failure. With a longer interval, the pool would reject requests long
+# after its engines have recovered.
+_ALL_EJECTED_RETRY_S = 0.5
 
 # A probe whose outcome is never reported must not exclude an engine for good.
 _PROBE_TIMEOUT_S = 30.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Breaker:
+class _EngineState:
     slow_count: int = 0
-    open_s: float = 0.0
-    open_until: float = 0.0
+    ejection_s: float = 0.0
+    ejected_until: float = 0.0
     last_failure_at: float = 0.0
     probe_expires_at: float = 0.0
-    is_open: bool = False
+    ejected: bool = False
     failing: bool = False
     unreachable: bool = False
     last_good_transfer_at: float = 0.0
 
 
 class Health:
-    """Circuit breakers of all engines that one scheduler uses, by engine id."""
+    """Tracks failures and slowness of engines and ejects the affected ones."""
 
     def __init__(self) -> None:
-        self._breakers_by_endpoint: dict[str, _Breaker] = {}
-        self._open_count = 0
+        self._states_by_endpoint: dict[str, _EngineState] = {}
+        self._ejected_count = 0
 
     def usable(
         self, endpoint_id: str, now: float, *, last_resort: bool = False
@@ -70,26 +70,28 @@
         Args:
           endpoint_id: Id of the engine.
           now: Current time in seconds.
-          last_resort: Whether the circuits of all engines of its kind are open.
+          last_resort: Whether all engines of its kind are ejected.
         """
-        breaker = self._breakers_by_endpoint.get(endpoint_id)
-        if breaker is None or not breaker.is_open:
+        state = self._states_by_endpoint.get(endpoint_id)
+        if state is None or not state.ejected:
             return True
-        open_until = breaker.open_until
+        ejected_until = state.ejected_until
         if last_resort:
-            open_until = min(open_until, breaker.last_failure_at + _OPEN_ALL_S)
-        return now >= open_until and now >= breaker.probe_expires_at
+            ejected_until = min(
+                ejected_until, state.last_failure_at + _ALL_EJECTED_RETRY_S
+            )
+        return now >= ejected_until and now >= state.probe_expires_at
 
-    def _is_open(self, endpoint_id: str) -> bool:
-        breaker = self._breakers_by_endpoint.get(endpoint_id)
-        return breaker is not None and breaker.is_open
+    def _is_ejected(self, endpoint_id: str) -> bool:
+        state = self._states_by_endpoint.get(endpoint_id)
+        return state is not None and state.ejected
 
     def left_alone(self, endpoints: Collection[model.Endpoint]) -> set[str]:
-        """Returns which engines of one kind have an open circuit.
+        """Returns which engines of one kind are ejected.
 
-        If all of them do, those that are slow but don't fail are left out: the
-        slowness then has a common cause, and opening every circuit would
-        reject all requests while the engines have free slots.
+        If all of them are, those that are slow but don't fail are left out: the
+        slowness then has a common cause, and ejecting every engine would reject
+        all requests while the engines have free slots.
 
         Args:
           endpoints: All engines of one kind in one pool.
@@ -97,22 +99,24 @@
         Returns:
           Ids of the engines that may only get probe requests.
         """
-        if not self._open_count:
+        if not self._ejected_count:
             return set()
-        open_ids = {item.id for item in endpoints if self._is_open(item.id)}
-        if len(open_ids) < len(endpoints):
-            return open_ids
+        ejected_ids = {
+            item.id for item in endpoints if self._is_ejected(item.id)
+        }
+        if len(ejected_ids) < len(endpoints):
+            return ejected_ids
         return {
             endpoint_id
-            for endpoint_id in open_ids
-            if self._breakers_by_endpoint[endpoint_id].failing
+            for endpoint_id in ejected_ids
+            if self._states_by_endpoint[endpoint_id].failing
         }
 
     def placed(self, endpoint_id: str, now: float) -> bool:
         """Records that a request was placed on an engine.
 
-        If the circuit is open, the request is a probe, and no other request is
-        placed on the engine until the probe ends or times out.
+        If the engine is ejected, the request is a probe, and no other request
+        is placed on the engine until the probe ends or times out.
 
         Args:
           endpoint_id: Id of the engine.
@@ -121,51 +125,52 @@
         Returns:
           Whether the request is a probe.
         """
-        breaker = self._breakers_by_endpoint.get(endpoint_id)
-        if breaker is None or not breaker.is_open:
+        state = self._states_by_endpoint.get(endpoint_id)
+        if state is None or not state.ejected:
             return False
-        breaker.probe_expires_at = now + _PROBE_TIMEOUT_S
+        state.probe_expires_at = now + _PROBE_TIMEOUT_S
         return True
 
     def probe_ended(self, endpoint_id: str) -> None:
         """Records the end of a probe, whatever its outcome."""
-        breaker = self._breakers_by_endpoint.get(endpoint_id)
-        if breaker is not None:
-            breaker.probe_expires_at = 0.0
+        state = self._states_by_endpoint.get(endpoint_id)
+        if state is not None:
+            state.probe_expires_at = 0.0
 
     def answered(self, endpoint_id: str, sent_at: float = math.inf) -> None:
         """Records a successful response.
 
-        Closes the circuit if it was opened by a failure. It stays open if it
-        was opened by slowness, on which a response alone has no bearing.
+        Readmits the engine if it was ejected for a failure. An engine that was
+        ejected for slowness stays ejected: a response alone doesn't show that
+        the engine is fast again.
 
         Args:
           endpoint_id: Id of the engine.
           sent_at: When the request was sent to the engine, in seconds.
         """
-        breaker = self._breakers_by_endpoint.get(endpoint_id)
-        if breaker is not None and breaker.failing:
-            self._close(breaker, sent_at)
+        state = self._states_by_endpoint.get(endpoint_id)
+        if state is not None and state.failing:
+            self._record_good(state, sent_at)
 
     def failed(
         self, endpoint_id: str, now: float, *, unreachable: bool = False
     ) -> None:
-        """Records a failure and opens the circuit at once.
+        """Records a failure and ejects the engine at once.
 
         Args:
           endpoint_id: Id of the engine.
           now: Current time in seconds.
           unreachable: Whether no connection could be established.
         """
-        breaker = self._breaker(endpoint_id)
-        breaker.failing = True
-        breaker.unreachable = unreachable
-        self._open(breaker, now)
+        state = self._get_state(endpoint_id)
+        state.failing = True
+        state.unreachable = unreachable
+        self._eject(state, now)
 
     def was_unreachable(self, endpoint_id: str) -> bool:
         """Returns whether an engine's last failure was a failed connection."""
-        breaker = self._breakers_by_endpoint.get(endpoint_id)
-        return breaker is not None and breaker.unreachable
+        state = self._states_by_endpoint.get(endpoint_id)
+        return state is not None and state.unreachable
 
     def pace(
         self,
@@ -182,11 +187,11 @@
           now: Current time in seconds.
           sent_at: When the request was sent to the engine, in seconds.
         """
-        breaker = self._breaker(endpoint_id)
+        state = self._get_state(endpoint_id)
         if ratio > _SLOW_STREAM_RATIO:
-            self._record_slow(breaker, now)
+            self._record_slow(state, now)
         else:
-            self._close(breaker, sent_at)
+            self._record_good(state, sent_at)
 
     def transfer(
         self,
@@ -216,64 +221,65 @@
             measured_s > expected_s * _SLOW_TRANSFER_RATIO
             and measured_s - expected_s > _SLOW_TRANSFER_MIN_S
         )
-        engine_breakers = (self._breaker(decode_id), self._breaker(prefill_id))
+        states = (self._get_state(decode_id), self._get_state(prefill_id))
         if not slow:
-            for breaker in engine_breakers:
-                breaker.last_good_transfer_at = now
-                self._close(breaker, sent_at)
+            for state in states:
+                state.last_good_transfer_at = now
+                self._record_good(state, sent_at)
             return
-        blamed = min(
-            engine_breakers, key=lambda breaker: breaker.last_good_transfer_at
-        )
+        blamed = min(states, key=lambda state: state.last_good_transfer_at)
         self._record_slow(blamed, now)
 
     def forget(self, endpoint_id: str) -> None:
-        """Resets the circuit breaker of an engine that has restarted."""
-        breaker = self._breakers_by_endpoint.pop(endpoint_id, None)
-        if breaker is not None:
-            self._open_count -= breaker.is_open
+        """Drops the state of an engine that has restarted."""
+        state = self._states_by_endpoint.pop(endpoint_id, None)
+        if state is not None:
+            self._ejected_count -= state.ejected
 
     def forget_except(self, endpoint_ids: set[str]) -> None:
-        """Drops the circuit breakers of engines that no longer exist."""
-        for endpoint_id in self._breakers_by_endpoint.keys() - endpoint_ids:
-            self._open_count -= self._breakers_by_endpoint.pop(
+        """Drops the state of engines that were removed."""
+        for endpoint_id in self._states_by_endpoint.keys() - endpoint_ids:
+            self._ejected_count -= self._states_by_endpoint.pop(
                 endpoint_id
-            ).is_open
+            ).ejected
 
-    def _breaker(self, endpoint_id: str) -> _Breaker:
-        return self._breakers_by_endpoint.setdefault(endpoint_id, _Breaker())
+    def _get_state(self, endpoint_id: str) -> _EngineState:
+        return self._states_by_endpoint.setdefault(endpoint_id, _EngineState())
 
-    def _record_slow(self, breaker: _Breaker, now: float) -> None:
-        breaker.slow_count += 1
-        if breaker.slow_count >= _SLOW_RESULTS_TO_OPEN or breaker.is_open:
-            self._open(breaker, now)
+    def _record_slow(self, state: _EngineState, now: float) -> None:
+        state.slow_count += 1
+        if state.slow_count >= _SLOW_RESULTS_TO_EJECT or state.ejected:
+            self._eject(state, now)
 
-    def _close(self, breaker: _Breaker, sent_at: float) -> None:
+    def _record_good(self, state: _EngineState, sent_at: float) -> None:
         # Streams that started before the engine began to fail may still
         # succeed. They don't show that it can serve new requests.
-        if breaker.failing and sent_at < breaker.last_failure_at:
+        if state.failing and sent_at < state.last_failure_at:
             return
-        breaker.slow_count = 0
-        self._open_count -= breaker.is_open
-        breaker.is_open = False
-        breaker.failing = False
-        breaker.unreachable = False
+        state.slow_count = 0
+        self._ejected_count -= state.ejected
+        state.ejected = False
+        state.failing = False
+        state.unreachable = False
         # The interval is halved with each success rather than reset, so that it
         # soon gets long for an engine that alternates between success and
         # failure.
-        breaker.open_s /= 2
+        state.ejection_s /= 2
 
-    def _open(self, breaker: _Breaker, now: float) -> None:
-        breaker.last_failure_at = now
+    def _eject(self, state: _EngineState, now: float) -> None:
+        state.last_failure_at = now
         # Requests placed before the first failure fail soon after it, for the
-        # same reason. They must not extend the interval.
-        if breaker.is_open and now < breaker.open_until:
+        # same reason. They must not extend the ejection.
+        if state.ejected and now < state.ejected_until:
             return
-        min_s, max_s = _OPEN_MIN_S, _OPEN_MAX_S
-        if breaker.unreachable:
-            min_s, max_s = _OPEN_UNREACHABLE_MIN_S, _OPEN_UNREACHABLE_MAX_S
-        breaker.open_s = min(max(breaker.open_s * 2, min_s), max_s)
-        self._open_count += not breaker.is_open
-        breaker.is_open = True
-        breaker.open_until = now + breaker.open_s
-        breaker.probe_expires_at = 0.0
+        min_s, max_s = _EJECTION_MIN_S, _EJECTION_MAX_S
+        if state.unreachable:
+            min_s, max_s = (
+                _UNREACHABLE_EJECTION_MIN_S,
+                _UNREACHABLE_EJECTION_MAX_S,
+            )
+        state.ejection_s = min(max(state.ejection_s * 2, min_s), max_s)
+        self._ejected_count += not state.ejected
+        state.ejected = True
+        state.ejected_until = now + state.ejection_s
+        state.probe_expires_at = 0.0
--- a/src/cowsliprill/decisions/quota_gate.py
+++ b/src/cowsliprill/decisions/quota_gate.py
@@ -162,7 +162,7 @@
         customer.unanswered_since = now if has_unreported else None
 
     def keep_only(self, customer_ids: Set[str]) -> None:
-        """Drops customers that are gone or no longer have a quota."""
+        """Drops customers that were removed or no longer have a quota."""
         for customer_id in self._customers_by_id.keys() - customer_ids:
             del self._customers_by_id[customer_id]
 
--- a/src/cowsliprill/decisions/quota_owner.py
+++ b/src/cowsliprill/decisions/quota_owner.py
@@ -179,7 +179,7 @@
         return account.bucket.level if account else math.inf
 
     def keep_only(self, customers: Iterable[str]) -> None:
-        """Drops the accounts of customers that are gone."""
+        """Drops the accounts of customers that were removed."""
         gone = self._accounts_by_customer.keys() - set(customers)
         for customer in gone:
             del self._accounts_by_customer[customer]
--- a/src/cowsliprill/decisions/server_health.py
+++ b/src/cowsliprill/decisions/server_health.py
@@ -77,7 +77,7 @@
         self._eject(server_id, excess, now)
 
     def forget_except(self, server_ids: Collection[str]) -> None:
-        """Drops the state of servers that no longer exist."""
+        """Drops the state of servers that were removed."""
         gone = [
             server_id
             for server_id in self._servers_by_id
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.channel`: in order, each message once."""
+"""Tests of `decisions.channel`: each message once and in order."""
 
 import hypothesis
 from hypothesis import strategies
@@ -7,7 +7,7 @@
 
 
 class TestChannel:
-    """Calls that carry messages are lost, repeated and overtaken."""
+    """Calls that carry messages are lost, repeated and reordered."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(
@@ -37,8 +37,8 @@
         received.extend(inbox.take(outbox.first, outbox.pending()))
         assert received == list(range(1, outbox.last + 1))
 
-    def test_nothing_is_taken_after_a_gap(self):
-        """A call overtook the one before it, which was lost."""
+    def test_messages_after_a_gap_are_not_accepted(self):
+        """A call arrives before the one sent before it, which is lost."""
         inbox = channel.Inbox()
         assert inbox.take(3, ["c"]) == []
         assert inbox.take(1, ["a", "b", "c"]) == ["a", "b", "c"]
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""How connections to an endpoint that bounds them are shared."""
+"""Tests of sharing an endpoint's connection limit."""
 
 import asyncio
 import json
@@ -44,25 +44,26 @@
     )
 
 
-class TestAllowance:
-    """One VM's part, and what it allows."""
+class TestConnectionLimits:
+    """The limits of one VM."""
 
     @pytest.mark.parametrize("vm_count", [1, 2, 6, 16])
-    def test_all_vms_together_stay_below_the_bound(self, vm_count):
-        """Six VMs kept up to 64 idle connections each to a server of 96.
+    def test_all_vms_together_stay_below_the_limit(self, vm_count):
+        """Guards against connection resets during calls.
 
-        It reset the connections of calls that were running; a fifth of the
-        callers who booked were told that nobody knows whether it was done.
+        Six VMs kept up to 64 idle connections each to a server that accepts 96.
+        The server reset connections with running calls, so that for a fifth of
+        the non-idempotent calls it was unknown whether they had been executed.
         """
         limits = connections.limits_per_vm(96, vm_count)
         assert vm_count * limits.connections <= 96
         assert 1 <= limits.idle < limits.connections
 
-    def test_a_vm_of_many_has_one_for_a_call_and_one_for_the_next(self):
+    def test_each_vm_of_a_large_fleet_gets_two_connections(self):
         limits = connections.limits_per_vm(96, 690)
         assert limits.connections == 2
 
-    def test_calls_go_before_idle_connections(self):
+    def test_idle_connections_are_closed_for_calls(self):
         limits = connections.Allowance(connections=4, idle=2)
         assert limits.opening(3, 0) is _OPENING.OPEN
         assert limits.opening(4, 1) is _OPENING.CLOSE_IDLE_FIRST
@@ -71,7 +72,7 @@
         assert not limits.keeps(4, 2)
         assert not limits.keeps(5, 0)
 
-    def test_only_endpoints_with_a_bound_have_one(self):
+    def test_only_endpoints_with_a_limit_are_listed(self):
         endpoints = {
             "e1": _endpoint(96),
             "e2": _endpoint(0, number=2),
@@ -83,9 +84,9 @@
 
 
 class TestSettings:
-    """The operator's configuration states the bounds."""
+    """The operator's configuration sets the limits."""
 
-    def test_bounds_by_pool(self):
+    def test_limits_by_pool(self):
         services = [
             {"name": "desk", "maxConns": 96},
             {"name": "other"},
@@ -95,7 +96,7 @@
         assert known.connections_by_pool == {"desk": 96, "other": 0}
 
 
-def _limited(port, count, idle):
+def _make_limited_client(port, count, idle):
     client = http_client.HttpClient()
     limits = connections.Allowance(connections=count, idle=idle)
     client.allowances_by_address = {("127.0.0.1", port): limits}
@@ -115,7 +116,7 @@
     await connection.wait_for_hang_up()
 
 
-async def _turns_until(condition) -> None:
+async def _spin_until(condition) -> None:
     for _ in range(100_000):
         if condition():
             return
@@ -124,14 +125,14 @@
 
 
 class TestClient:
-    """The HTTP client keeps to its allowance."""
+    """The HTTP client respects its limits."""
 
-    def test_bookings_in_a_row_leave_few_idle_connections(self):
-        """Each booking opens a connection, which stays open after it."""
+    def test_sequential_calls_leave_few_idle_connections(self):
+        """Each non-idempotent call opens a connection, which is kept open."""
 
         async def scenario():
             async with raw_endpoint.RawEndpoint(_answer_once) as endpoint:
-                client = _limited(endpoint.port, 4, 2)
+                client = _make_limited_client(endpoint.port, 4, 2)
                 for _ in range(9):
                     await _call(client, endpoint.port, fresh=True)
                 idle = client.idle_count()
@@ -140,11 +141,11 @@
 
         assert asyncio.run(scenario()) == (9, 2)
 
-    def test_a_call_beyond_its_part_is_refused_before_a_byte_is_sent(self):
-        """All connections that this VM may have are in use.
+    def test_call_beyond_the_limit_is_rejected_before_sending(self):
+        """All connections that this VM may open are in use.
 
-        One more would be reset by the endpoint, and its caller could not be
-        told whether its booking was made.
+        The endpoint would reset one more, and it would be unknown whether the
+        call was executed.
         """
 
         async def scenario():
@@ -158,7 +159,7 @@
                 await connection.send(raw_endpoint.answer(b"one"))
 
             async with raw_endpoint.RawEndpoint(script) as endpoint:
-                client = _limited(endpoint.port, 1, 1)
+                client = _make_limited_client(endpoint.port, 1, 1)
                 first = asyncio.create_task(_call(client, endpoint.port))
                 await ran.wait()
                 with pytest.raises(errors.ConnectionsSpent) as caught:
@@ -170,10 +171,10 @@
 
         assert asyncio.run(scenario()) == (messages.Run.NO, 1)
 
-    def test_an_idle_connection_makes_room(self):
+    def test_idle_connection_is_closed_for_a_new_one(self):
         async def scenario():
             async with raw_endpoint.RawEndpoint(_answer_once) as endpoint:
-                client = _limited(endpoint.port, 1, 1)
+                client = _make_limited_client(endpoint.port, 1, 1)
                 await _call(client, endpoint.port)
                 assert client.idle_count() == 1
                 await _call(client, endpoint.port, fresh=True)
@@ -183,14 +184,14 @@
 
         assert asyncio.run(scenario()) == 2
 
-    def test_a_failed_connection_frees_its_place(self):
+    def test_failed_connection_does_not_count_towards_the_limit(self):
         async def scenario():
             async def script(connection):
                 del connection
 
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 port = endpoint.port
-            client = _limited(port, 1, 1)
+            client = _make_limited_client(port, 1, 1)
             for _ in range(3):
                 with pytest.raises(errors.ConnectFailed) as caught:
                     await _call(client, port)
@@ -198,10 +199,11 @@
 
         asyncio.run(scenario())
 
-    def test_the_time_that_an_endpoint_states_is_kept(self):
-        """An endpoint says that it closes idle connections after a second.
+    def test_keep_alive_timeout_of_the_endpoint_is_respected(self):
+        """The endpoint announces when it closes idle connections.
 
-        A call sent as it does so is cut, and nobody knows whether it ran.
+        A call sent at that moment is cut off, and it is unknown whether it was
+        executed.
         """
         answer = raw_endpoint.answer(
             b"one", headers="Keep-Alive: timeout=0\r\n"
@@ -216,6 +218,6 @@
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 client = http_client.HttpClient()
                 await _call(client, endpoint.port)
-                await _turns_until(lambda: client.idle_count() == 0)
+                await _spin_until(lambda: client.idle_count() == 0)
 
         asyncio.run(scenario())
--- a/tests/test_elapsed.py
+++ b/tests/test_elapsed.py
@@ -3,24 +3,24 @@
 from cowsliprill.decisions import elapsed
 
 
-class TestFullWaits:
-    """How much of its time a caller has spent before it came here."""
+class TestCallerTimeouts:
+    """Time that a caller has spent on earlier attempts."""
 
-    def test_first_attempts_have_spent_nothing(self):
+    def test_first_attempts_have_spent_no_time(self):
         timeouts = elapsed.FullWaits()
         assert timeouts.spent_s("brief", 14.0, 0.0) == 0.0
         assert timeouts.spent_s("brief", 13.95, 1.0) == 0.0
 
-    def test_one_that_comes_back_has(self):
+    def test_later_attempt_has_spent_the_difference(self):
         timeouts = elapsed.FullWaits()
         timeouts.spent_s("brief", 14.0, 0.0)
         assert timeouts.spent_s("brief", 10.0, 5.0) == 4.0
         assert timeouts.spent_s("desk", 10.0, 5.0) == 0.0
 
-    def test_an_operators_shorter_time_is_learnt(self):
-        """After a change no caller waits as long as before.
+    def test_shortened_timeout_is_learnt(self):
+        """The operator shortens the timeout of all callers.
 
-        All would be taken for ones that came back, and served as late.
+        Otherwise, each first attempt would be taken for a later one.
         """
         timeouts = elapsed.FullWaits()
         timeouts.spent_s("brief", 14.0, 0.0)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -6,13 +6,13 @@
 
 
 class TestCallBudget:
-    """Readers together stay below what the platform answers."""
+    """All VMs together stay below the rate limit of the platform."""
 
-    def test_many_readers_stay_below_the_limit(self) -> None:
-        """690 VMs read as fast as they may.
+    def test_many_vms_stay_below_the_rate_limit(self) -> None:
+        """690 VMs call the platform as often as they may.
 
-        Above the platform's rate all readers, ours and others', would be
-        refused.
+        Above the platform's rate, it would reject the calls of all clients,
+        including those outside this fleet.
         """
         readers = 690
         budget = pacing.CallBudget(readers=readers)
@@ -23,19 +23,19 @@
             calls += 1
         assert calls * readers / 60.0 < pacing.PLATFORM_CALLS_PER_S
 
-    def test_a_quiet_reader_need_not_wait(self) -> None:
+    def test_idle_vm_does_not_wait(self) -> None:
         budget = pacing.CallBudget(readers=690)
         assert budget.take(100.0) == 0
 
 
 class TestBackoff:
-    """Waiting after failures."""
+    """Delays after failures."""
 
-    def test_waits_grow_up_to_a_bound_and_are_spread(self) -> None:
-        """The platform comes back.
+    def test_delays_grow_up_to_a_limit_with_jitter(self) -> None:
+        """The platform recovers from an outage.
 
-        All VMs at once would bring it down again; a VM that waits for minutes
-        would miss a change meanwhile.
+        If all VMs retried at once, they would overload the platform again. A VM
+        with a delay of minutes would miss changes.
         """
         backoff = pacing.Backoff(random.Random(3))
         delays = [backoff.failed() for _ in range(50)]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
 
 
 class TestChoose:
-    """The joint choice against trying every pair."""
+    """The selected pair is that of an exhaustive search."""
 
     @_SETTINGS
     @hypothesis.given(
@@ -27,7 +27,7 @@
         strategies.lists(_COSTS, max_size=5),
         strategies.lists(_COSTS, min_size=20, max_size=20),
     )
-    def test_equals_the_exhaustive_choice(
+    def test_equals_exhaustive_search(
         self, prefill_costs, decode_costs, transfers
     ) -> None:
         prefills = _candidates(prefill_costs, "p")
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -41,12 +41,12 @@
         )
 
 
-class _Fleet:
-    """VMs that each get a part of one customer's requests.
+class _SimulatedFleet:
+    """VMs that each get a share of one customer's requests.
 
     Attributes:
       cut_off_vms: VMs whose reports are lost.
-      heard_part: What the owner hears of the fleet.
+      heard_part: Fraction of the fleet that the owner can reach.
     """
 
     def __init__(self, vms: int, seed: int = 1) -> None:
@@ -108,46 +108,46 @@
 
 @pytest.mark.parametrize("vms", [10, 71, 690])
 class TestFleet:
-    """The pattern: one customer's requests reach all VMs of a fleet."""
+    """The requests of one customer reach all VMs of a fleet."""
 
     # A customer's quota grows with the fleet that serves it.
     _COST_BY_VMS = {10: 5.0, 71: 5.0, 690: 1.0}
 
-    def test_below_its_quota_nobody_is_refused(self, vms):
-        fleet = _Fleet(vms)
+    def test_no_request_is_rejected_below_the_quota(self, vms):
+        fleet = _SimulatedFleet(vms)
         outcome = fleet.run(0.8, 20.0, self._COST_BY_VMS[vms])
         assert outcome.total() == outcome.asked
 
-    def test_a_hot_customer_is_held_to_its_quota(self, vms):
+    def test_customer_above_its_quota_is_limited(self, vms):
         """Guards against each VM admitting a whole quota of its own."""
-        fleet = _Fleet(vms)
+        fleet = _SimulatedFleet(vms)
         fleet.run(0.5, 10.0, self._COST_BY_VMS[vms])
         outcome = fleet.run(4.0, 16.0, self._COST_BY_VMS[vms])
         allowed = _QUOTA.per_s * _WINDOW_S + _QUOTA.burst
         assert outcome.worst_window() <= 1.25 * allowed
         assert outcome.total() >= 0.8 * _QUOTA.per_s * 16.0
 
-    def test_refusals_say_when_there_is_room(self, vms):
-        fleet = _Fleet(vms)
+    def test_rejections_state_a_retry_delay(self, vms):
+        fleet = _SimulatedFleet(vms)
         outcome = fleet.run(4.0, 10.0, self._COST_BY_VMS[vms])
         assert outcome.retry_delays
         assert all(0 < wait_s < 5 for wait_s in outcome.retry_delays)
 
-    def test_after_a_hot_spell_nobody_is_refused_for_long(self, vms):
-        """Guards against an old verdict that refuses a customer in need."""
-        fleet = _Fleet(vms)
+    def test_rejections_end_soon_after_the_overload(self, vms):
+        """Guards against rejections by an outdated verdict."""
+        fleet = _SimulatedFleet(vms)
         fleet.run(4.0, 6.0, self._COST_BY_VMS[vms])
         fleet.run(0.1, 4.0, self._COST_BY_VMS[vms])
         outcome = fleet.run(0.6, 10.0, self._COST_BY_VMS[vms])
         assert outcome.total() >= 0.99 * outcome.asked
 
 
-class TestTrouble:
-    """Owners and VMs that die, fall silent or can't hear each other."""
+class TestFailures:
+    """Owners and VMs that crash, time out or are partitioned."""
 
-    def test_vms_without_an_owner_share_the_quota(self):
-        """Guards against VMs out of touch that admit whatever comes."""
-        fleet = _Fleet(71)
+    def test_vms_share_the_quota_without_an_owner(self):
+        """Guards against VMs without an owner that admit every request."""
+        fleet = _SimulatedFleet(71)
         fleet.cut_off_vms = set(range(71))
         outcome = fleet.run(4.0, 16.0, 5.0)
         allowed = _QUOTA.per_s * _WINDOW_S + _QUOTA.burst
@@ -155,9 +155,9 @@
         late = [cost for sent_at, cost in outcome.admitted if sent_at > 8.0]
         assert sum(late) <= 1.25 * _QUOTA.per_s * 8.0
 
-    def test_halves_that_cannot_hear_each_other(self):
-        """Guards against a split fleet that admits two quotas."""
-        partitions = [_Fleet(36, seed=1), _Fleet(35, seed=2)]
+    def test_network_partitions_share_the_quota(self):
+        """Guards against two partitions that each admit the whole quota."""
+        partitions = [_SimulatedFleet(36, seed=1), _SimulatedFleet(35, seed=2)]
         for partition in partitions:
             partition.heard_part = 0.5
             partition.run(1.0, 4.0, 5.0)
@@ -165,27 +165,27 @@
         allowed = _QUOTA.per_s * _WINDOW_S + _QUOTA.burst
         assert sum(item.worst_window() for item in outcomes) <= 1.25 * allowed
 
-    def test_a_new_owner_goes_on_where_the_old_one_was(self):
-        """Guards against an owner that charges all use since the start."""
-        fleet = _Fleet(10)
+    def test_new_owner_resumes_the_account(self):
+        """Guards against a new owner that charges all usage since the start."""
+        fleet = _SimulatedFleet(10)
         fleet.run(0.8, 10.0, 5.0)
         fleet.owner = quota_owner.QuotaOwner()
         outcome = fleet.run(0.8, 10.0, 5.0)
         assert outcome.total() == outcome.asked
 
-    def test_a_report_that_was_lost_is_made_good(self):
+    def test_lost_report_is_made_up_for(self):
         gate = quota_gate.QuotaGate(random.Random(1))
         owner = quota_owner.QuotaOwner()
         gate.admit("firm", _QUOTA, 600.0, 0.0)
-        # Its answer is lost.
+        # The response is lost.
         owner.report("vm", gate.usages(), _QUOTAS, 1.0, 0.1)
         gate.admit("firm", _QUOTA, 300.0, 0.1)
         (usage,) = gate.usages()
         (verdict,) = owner.report("vm", [usage], _QUOTAS, 1.0, 0.1)
-        # Of the burst 100 are left, below the reserve.
+        # 100 units of the burst are left, less than the reserve.
         assert verdict.admit_part < 1.0
 
-    def test_what_has_not_run_is_given_back(self):
+    def test_requests_not_executed_are_refunded(self):
         gate = quota_gate.QuotaGate(random.Random(1))
         owner = quota_owner.QuotaOwner()
         for _ in range(20):
@@ -194,8 +194,8 @@
         (verdict,) = owner.report("vm", gate.usages(), _QUOTAS, 1.0, 0.0)
         assert verdict.admit_part == 1.0
 
-    def test_a_lowered_quota_binds(self):
-        fleet = _Fleet(10)
+    def test_lowered_quota_takes_effect(self):
+        fleet = _SimulatedFleet(10)
         fleet.run(0.8, 5.0, 5.0)
         lowered = {"firm": model.Quota(per_s=100.0, burst=100.0)}
         gate = fleet.gates[0]
@@ -205,7 +205,7 @@
         )
         assert verdict.admit_part < 1.0
 
-    def test_without_a_quota_all_is_admitted(self):
+    def test_customers_without_a_quota_are_not_limited(self):
         owner = quota_owner.QuotaOwner()
         usage = quota_owner.Usage(customer="free", asked=1e9, admitted=1e9)
         (verdict,) = owner.report("vm", [usage], {}, 1.0, 0.0)
@@ -213,7 +213,7 @@
 
 
 class TestInterleavings:
-    """Reports lost, repeated and out of order never lose or invent use."""
+    """Lost, repeated and reordered reports keep the account correct."""
 
     @hypothesis.settings(
         max_examples=200, deadline=None, derandomize=True, database=None
@@ -227,7 +227,7 @@
             max_size=60,
         )
     )
-    def test_the_account_is_what_was_admitted(self, steps):
+    def test_account_equals_the_admitted_cost(self, steps):
         quota = model.Quota(per_s=0.0, burst=1e6)
         owner = quota_owner.QuotaOwner()
         gates = [quota_gate.QuotaGate(random.Random(n)) for n in range(4)]
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Budgets of retries."""
+"""Tests of retry budgets."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 
 
 class TestRetryBudget:
-    """A failing engine can't turn load into more load."""
+    """Retries must not multiply the load on failing engines."""
 
     def test_load_is_bounded_when_everything_fails(self):
-        """Each call fails and each caller's request is retried if it may be.
+        """Every attempt fails and is retried if the budget allows.
 
-        Over 1,000 requests the extra attempts are a tenth and the burst.
+        Over 1,000 requests, the retries are at most a tenth plus the burst.
         """
         budget = retry.RetryBudget(_RULES)
         attempts = 0
@@ -26,13 +26,13 @@
             attempts += attempts_made
         assert attempts <= 1_000 * 1.1 + 5
 
-    def test_attempts_of_one_request(self):
+    def test_attempts_per_request_are_limited(self):
         budget = retry.RetryBudget(_RULES)
         assert budget.spend(1)
         assert budget.spend(2)
         assert not budget.spend(3)
 
-    def test_new_rules_cut_what_is_saved(self):
+    def test_lower_burst_reduces_the_balance(self):
         budget = retry.RetryBudget(_RULES)
         budget.follow(dataclasses.replace(_RULES, burst=1))
         assert budget.spend(1)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -19,7 +19,7 @@
 
 
 class TestFind:
-    """The longest prefix of the path among the routes of the host."""
+    """The route with the longest prefix among those of the host."""
 
     def test_longest_prefix_wins(self):
         routes = routing.index([_route("/"), _route("/x/"), _route("/x/y/")])
@@ -33,7 +33,7 @@
         routes = routing.index([_route("/x/")])
         assert routing.find(routes, "A.example:8080", "/x/") is not None
 
-    def test_none_elsewhere(self):
+    def test_no_match(self):
         routes = routing.index([_route("/x/")])
         assert routing.find(routes, "a.example", "/x") is None
         assert routing.find(routes, "b.example", "/x/") is None
@@ -41,7 +41,7 @@
 
 
 class TestPickService:
-    """Calls go to the services of a split route by its weights."""
+    """Calls are split among the services of a route by weight."""
 
     def test_weights(self):
         route = _route("/", services=(("a", 90.0), ("b", 10.0)))
@@ -51,7 +51,7 @@
         )
         assert 0.07 < counts["b"] / 2_000 < 0.13
 
-    def test_weight_of_nothing_gets_nothing(self):
+    def test_weight_zero_gets_no_calls(self):
         route = _route("/", services=(("a", 1.0), ("b", 0.0)))
         rng = random.Random(1)
         assert {routing.pick_service(route, rng) for _ in range(500)} == {"a"}
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -1,4 +1,4 @@
-"""Which servers of a plain service are left alone."""
+"""Tests of outlier ejection for servers of plain services."""
 
 import random
 
@@ -8,7 +8,11 @@
 
 
 def _simulate(detector, failure_rates, calls, seed=1):
-    """Plays calls in turn; a server fails the given share of its own."""
+    """Simulates calls at given failure rates, in turn over all servers.
+
+    Returns:
+      The fraction of the calls at which each server was ejected.
+    """
     rng = random.Random(seed)
     ejected = dict.fromkeys(failure_rates, 0)
     for number in range(calls):
@@ -28,11 +32,11 @@
 class TestServerHealth:
     """Servers are compared with their peers."""
 
-    def test_failures_by_design_say_nothing(self):
-        """A seventh of all lookups finds nothing, at whichever server.
+    def test_errors_by_design_do_not_eject(self):
+        """A seventh of all lookups finds nothing, on every server.
 
-        Were each such server left alone, the others would have its calls as
-        well, and callers of a busy minute would be turned away.
+        If such servers were ejected, the others would get their calls as well,
+        and calls would be rejected under load.
         """
         failure_rates = dict.fromkeys("abcd", 0.14)
         for seed in range(5):
@@ -41,10 +45,11 @@
             )
             assert max(ejected.values()) < 0.15
 
-    def test_one_that_fails_half_of_its_calls(self):
-        """A server's disk is full: every other call fails, its health is good.
+    def test_server_that_fails_half_of_its_calls_is_ejected(self):
+        """A server with a full disk fails every other call.
 
-        Callers would get those failures for as long as it lasts.
+        Its health check passes, so callers would get the errors for as long as
+        the disk is full.
         """
         failure_rates = {"a": 0.55, "b": 0.14, "c": 0.14, "d": 0.14}
         for seed in range(5):
@@ -54,14 +59,14 @@
             assert ejected["a"] > 0.4
             assert max(ejected[name] for name in "bcd") < 0.15
 
-    def test_a_lost_call_counts_at_once(self):
+    def test_call_without_a_response_ejects_at_once(self):
         detector = server_health.ServerHealth()
         assert not detector.is_alone("a", 0.0)
         detector.lost("a", _PEERS, 0.0)
         assert detector.is_alone("a", 0.9)
         assert not detector.is_alone("a", 3.0)
 
-    def test_one_that_loses_many_is_left_alone_for_longer(self):
+    def test_repeated_failures_extend_the_ejection(self):
         detector = server_health.ServerHealth()
         now = 0.0
         for _ in range(15):
@@ -72,7 +77,7 @@
         assert detector.is_alone("a", now + 4.0)
         assert not detector.is_alone("a", now + 8.1)
 
-    def test_one_that_is_well_again_is_used_as_before(self):
+    def test_recovered_server_is_not_ejected_for_one_error(self):
         detector = server_health.ServerHealth()
         for _ in range(10):
             detector.lost("a", _PEERS, 0.0)
@@ -81,7 +86,7 @@
         detector.answered_with_failure("a", _PEERS, 100.0)
         assert not detector.is_alone("a", 100.0)
 
-    def test_those_that_are_gone_are_forgotten(self):
+    def test_state_of_removed_servers_is_dropped(self):
         detector = server_health.ServerHealth()
         detector.lost("a", _PEERS, 0.0)
         detector.forget_except(["b"])
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets and idempotency keys: at most one run, in every order of events."""
+"""Tests of tickets and idempotency keys: at-most-once execution."""
 
 import hypothesis
 import pytest
@@ -29,7 +29,7 @@
 
 
 class TestTicket:
-    """The ticket as text."""
+    """Text form of tickets."""
 
     def test_round_trip(self):
         ticket = _make_store().issue("u", "s", 7.9)
@@ -40,15 +40,15 @@
     @pytest.mark.parametrize(
         "text", ["", "a", "a.b.c.1.2.3", "a.b.c.x.2.3.m", "A.b.c.1.2.3.m"]
     )
-    def test_own_keys_are_no_tickets(self, text):
+    def test_malformed_tickets_are_rejected(self, text):
         with pytest.raises(tickets.TicketError):
             tickets.Ticket.parse(text)
 
 
 class TestClaims:
-    """What a request with a ticket comes to."""
+    """Results of claiming a ticket."""
 
-    def test_runs_once(self):
+    def test_ticket_is_executed_once(self):
         store = _make_store()
         ticket = store.issue("u", "s", 0.0)
         first = _claim(store, ticket)
@@ -57,13 +57,13 @@
         store.finish(first.record, _RESPONSE)
         assert _claim(store, ticket) == tickets.Replay(_RESPONSE)
 
-    def test_not_run_may_run_again(self):
+    def test_released_ticket_may_be_claimed_again(self):
         store = _make_store()
         ticket = store.issue("u", "s", 0.0)
         store.release(_claim(store, ticket).record)
         assert isinstance(_claim(store, ticket), tickets.Granted)
 
-    def test_late_release_after_the_end_does_nothing(self):
+    def test_release_after_finish_does_nothing(self):
         store = _make_store()
         ticket = store.issue("u", "s", 0.0)
         record = _claim(store, ticket).record
@@ -71,7 +71,7 @@
         store.release(record)
         assert _claim(store, ticket) == tickets.Replay(None)
 
-    def test_other_request_with_the_same_ticket(self):
+    def test_other_request_with_the_same_ticket_is_a_mismatch(self):
         store = _make_store()
         ticket = store.issue("u", "s", 0.0)
         _claim(store, ticket)
@@ -81,26 +81,27 @@
     @pytest.mark.parametrize(
         "stolen", [{"customer": "rival"}, {"service": "other"}]
     )
-    def test_only_for_its_customer_and_service(self, stolen):
+    def test_ticket_is_invalid_for_another_customer_or_service(self, stolen):
         store = _make_store()
         ticket = store.issue("u", "s", 0.0)
         assert _claim(store, ticket, **stolen) == tickets.Invalid()
 
-    def test_forged(self):
-        """A ticket that the owner never gave, made under another secret."""
+    def test_forged_ticket_is_invalid(self):
+        """The ticket was signed with a secret that is not the owner's."""
         ticket = _make_store(secret=b"guess").issue("u", "s", 0.0)
         assert _claim(_make_store(), ticket) == tickets.Invalid()
 
-    def test_successor_on_the_same_port_never_runs_it(self):
-        """The owner died and a new process took its name and port."""
+    def test_restarted_process_does_not_own_earlier_tickets(self):
+        """The owner crashed, and a new process took its name and port."""
         ticket = _make_store().issue("u", "s", 0.0)
         claim = _claim(_make_store(_OTHER), ticket)
         assert claim == tickets.Foreign(ticket)
 
-    def test_expired_is_never_run(self):
-        """The record of a used ticket is forgotten when it expires.
+    def test_expired_ticket_is_never_executed(self):
+        """Guards against a second execution after the record is dropped.
 
-        If the ticket could still be claimed then, it would run twice.
+        The record of a used ticket is dropped when the ticket expires. If the
+        ticket could still be claimed then, its request would be executed again.
         """
         store = _make_store()
         ticket = store.issue("u", "s", 0.0)
@@ -110,7 +111,7 @@
         late_claim = _claim(store, ticket, now=tickets.KEEP_S)
         assert late_claim == tickets.Expired()
 
-    def test_full_refuses_rather_than_forgets(self):
+    def test_full_store_rejects_new_tickets_and_keeps_records(self):
         store = _make_store(max_records=2)
         issued = [store.issue("u", "s", 0.0) for _ in range(3)]
         for ticket in issued[:2]:
@@ -120,16 +121,16 @@
 
 
 class TestKeys:
-    """A caller's own key, within one process."""
+    """Idempotency keys of callers, within one process."""
 
-    def test_scoped_by_customer(self):
-        """Two firms may choose the same key."""
+    def test_keys_are_scoped_by_customer(self):
+        """Two customers may choose the same key."""
         store = _make_store()
         for customer in ("a", "b"):
             claim = store.claim_key("1", customer, "s", _FINGERPRINT, 0.0)
             assert isinstance(claim, tickets.Granted)
 
-    def test_oldest_finished_makes_room(self):
+    def test_oldest_completed_record_is_evicted(self):
         store = _make_store(max_records=2)
         running = store.claim_key("0", "u", "s", _FINGERPRINT, 0.0)
         done = store.claim_key("1", "u", "s", _FINGERPRINT, 0.0)
@@ -145,9 +146,9 @@
 
 
 class TestBounds:
-    """Memory stays bounded, whatever is stored."""
+    """Limits on memory."""
 
-    def test_stored_bytes(self):
+    def test_stored_bytes_are_limited(self):
         records = tickets.RecordStore(100, 1_000, evict=False)
         response = tickets.Answer(status=200, headers=(), body=b"x" * 300)
         for number in range(10):
@@ -161,7 +162,7 @@
             response
         )
 
-    def test_expired_records_go(self):
+    def test_expired_records_are_dropped(self):
         records = tickets.RecordStore(100, 1_000, evict=False)
         for number in range(50):
             records.claim(str(number), _FINGERPRINT, float(number), 0.0)
@@ -177,15 +178,16 @@
 )
 
 
-class TestEveryOrder:
-    """Claims, ends, long pauses and restarts in any order.
+class TestInterleavings:
+    """Claims, completions, long pauses and restarts in any order.
 
-    A naive list of what ran stands beside: no ticket may be in it twice.
+    The results are compared with a list of the executed tickets, in which no
+    ticket may occur twice.
     """
 
     @_SETTINGS
     @hypothesis.given(strategies.lists(_STEP, max_size=40))
-    def test_at_most_once(self, steps):
+    def test_executed_at_most_once(self, steps):
         now, restarts = 0.0, 0
         store = _make_store()
         issued = [store.issue("u", "s", now) for _ in range(4)]
@@ -207,7 +209,7 @@
                 case "sleep":
                     now += tickets.KEEP_S / 3
                 case "restart":
-                    # What was granted may have been run when it died.
+                    # Granted requests may have been executed before the crash.
                     ran.extend(granted)
                     granted.clear()
                     restarts += 1
