--- a/src/cowsliprill/decisions/retry.py
+++ b/src/cowsliprill/decisions/retry.py
@@ -22,7 +22,7 @@
         self._rules = rules
         self._balance = float(rules.burst)
 
-    def follow(self, rules: model.RetryRules) -> None:
+    def set_rules(self, rules: model.RetryRules) -> None:
         """Sets new rules; keeps the balance, up to the new burst."""
         self._rules = rules
         self._balance = min(self._balance, float(rules.burst))
@@ -61,7 +61,7 @@
         if budget is None:
             budget = RetryBudget(service.retries)
             self._budgets_by_key[key] = budget
-        budget.follow(service.retries)
+        budget.set_rules(service.retries)
         return budget
 
     def keep_only(self, services: Iterable[model.Service]) -> None:
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -34,6 +34,6 @@
 
     def test_lower_burst_reduces_the_balance(self):
         budget = retry.RetryBudget(_RULES)
-        budget.follow(dataclasses.replace(_RULES, burst=1))
+        budget.set_rules(dataclasses.replace(_RULES, burst=1))
         assert budget.spend(1)
         assert not budget.spend(1)
