--- a/src/cowsliprill/decisions/quota_owner.py
+++ b/src/cowsliprill/decisions/quota_owner.py
@@ -155,7 +155,8 @@
           reporter: Id of the reporting process.
           usages: Its usage, one entry per customer.
           quotas_by_customer: The current quotas.
-          heard_part: Fraction of the known VMs that this process can reach.
+          heard_part: Fraction of the known VMs that this process
+            can reach.
           now: Current time in seconds.
 
         Returns:
--- a/src/cowsliprill/decisions/tickets.py
+++ b/src/cowsliprill/decisions/tickets.py
@@ -8,11 +8,11 @@
 
 A caller's own idempotency key names no owner, so the guarantee is weaker. It
 covers the calls with the same key, customer and service that reach the same
-incarnation of one entry process within `KEEP_S` of the first. One of them is
-executed at a time, and none after one that was or may have been executed. Later
-calls get the response of that call while it is stored. Calls that reach
-different processes are all executed. If more than `MAX_RECORDS` keys arrive
-within that time, the oldest completed ones are evicted early.
+incarnation of one entry process within `KEEP_S` of the first.
+One of them is executed at a time, and none after one that was or may have been
+executed. Later calls get the response of that call while it is stored. Calls
+that reach different processes are all executed. If more than `MAX_RECORDS` keys
+arrive within that time, the oldest completed ones are evicted early.
 """
 
 import collections
@@ -207,8 +207,8 @@
       max_stored_bytes: Maximum total size of response bodies. The oldest
         responses are dropped first; their records stay.
       evict: Whether to evict the oldest completed record for a new one. If not,
-        new keys are rejected until records expire, after `KEEP_S`: with its
-        record evicted, a ticket could be used twice.
+        new keys are rejected until records expire, after `KEEP_S`: a ticket
+        whose record was evicted could be used twice.
     """
 
     def __init__(
