--- a/src/cowsliprill/decisions/elapsed.py
+++ b/src/cowsliprill/decisions/elapsed.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 # Operators may shorten the timeouts of callers. An estimate expires after this
-# time, so that a shorter timeout is learnt.
+# time, so that a shorter timeout is detected.
 _ESTIMATE_TTL_S = 30.0
 
 # Smaller differences are network delay rather than an earlier attempt.
@@ -17,7 +17,7 @@
 
 
 class FullWaits:
-    """Learns the timeout with which callers of each service start.
+    """Estimates the timeout with which callers of each service start.
 
     Callers send their remaining time with each attempt. The longest recent
     value for a service is taken as the full timeout of its callers.
--- a/src/cowsliprill/decisions/tickets.py
+++ b/src/cowsliprill/decisions/tickets.py
@@ -207,8 +207,8 @@
       max_stored_bytes: Maximum total size of response bodies. The oldest
         responses are dropped first; their records stay.
       evict: Whether to evict the oldest completed record for a new one. If not,
-        new keys are rejected until records expire, after `KEEP_S`: a ticket
-        whose record was evicted could be used twice.
+        new keys are rejected until records expire, after `KEEP_S`: a
+        ticket whose record was evicted could be used twice.
     """
 
     def __init__(
--- a/tests/test_elapsed.py
+++ b/tests/test_elapsed.py
@@ -17,10 +17,11 @@
         assert timeouts.spent_s("brief", 10.0, 5.0) == 4.0
         assert timeouts.spent_s("desk", 10.0, 5.0) == 0.0
 
-    def test_shortened_timeout_is_learnt(self):
+    def test_shortened_timeout_is_detected(self):
         """The operator shortens the timeout of all callers.
 
-        Otherwise, each first attempt would be taken for a later one.
+        Otherwise, each first attempt would be taken for a later one and
+        scheduled as late.
         """
         timeouts = elapsed.FullWaits()
         timeouts.spent_s("brief", 14.0, 0.0)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -17,9 +17,9 @@
 
 
 def _make_store(
-    incarnation=_OWNER, secret=b"s", **bounds
+    incarnation=_OWNER, secret=b"s", **limits
 ) -> tickets.TicketBook:
-    return tickets.TicketBook(incarnation, 8000, secret, **bounds)
+    return tickets.TicketBook(incarnation, 8000, secret, **limits)
 
 
 def _claim(
@@ -192,17 +192,17 @@
         store = _make_store()
         issued = [store.issue("u", "s", now) for _ in range(4)]
         granted: dict[int, str] = {}
-        ran: list[int] = []
+        executed: list[int] = []
         for action, ticket_index in steps:
             match action:
                 case "claim":
                     claim = _claim(store, issued[ticket_index], now)
                     if isinstance(claim, tickets.Granted):
-                        assert ticket_index not in ran
+                        assert ticket_index not in executed
                         assert ticket_index not in granted
                         granted[ticket_index] = claim.record
                 case "end" if ticket_index in granted:
-                    ran.append(ticket_index)
+                    executed.append(ticket_index)
                     store.finish(granted.pop(ticket_index), _RESPONSE)
                 case "not run" if ticket_index in granted:
                     store.release(granted.pop(ticket_index))
@@ -210,9 +210,9 @@
                     now += tickets.KEEP_S / 3
                 case "restart":
                     # Granted requests may have been executed before the crash.
-                    ran.extend(granted)
+                    executed.extend(granted)
                     granted.clear()
                     restarts += 1
                     owner = identity.Incarnation("vm-0", "e0", f"n{restarts}")
                     store = _make_store(owner, f"secret {restarts}".encode())
-        assert len(ran) == len(set(ran))
+        assert len(executed) == len(set(executed))
