--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.channel`: in order, each message once."""
+"""Tests of `decisions.channel`: each message once and in order."""
 
 import hypothesis
 from hypothesis import strategies
@@ -7,7 +7,7 @@
 
 
 class TestChannel:
-    """Calls that carry messages are lost, repeated and overtaken."""
+    """Calls that carry messages are lost, repeated and reordered."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(
@@ -18,27 +18,27 @@
             max_size=40,
         )
     )
-    def test_all_arrive_in_order_and_once(self, acts):
+    def test_all_arrive_in_order_and_once(self, steps):
         outbox: channel.Outbox[int] = channel.Outbox()
         inbox = channel.Inbox()
         calls: list[tuple[int, tuple[int, ...]]] = []
-        taken: list[int] = []
-        for act, pick in acts:
-            match act:
+        received: list[int] = []
+        for step, call_index in steps:
+            match step:
                 case 0:
                     outbox.add(outbox.last + 1)
                 case 1:
                     calls.append((outbox.first, outbox.pending()))
                 case 2 if calls:
-                    first, pending = calls[pick % len(calls)]
-                    taken.extend(inbox.take(first, pending))
+                    first, pending = calls[call_index % len(calls)]
+                    received.extend(inbox.take(first, pending))
                 case 3:
                     outbox.acknowledge(inbox.last)
-        taken.extend(inbox.take(outbox.first, outbox.pending()))
-        assert taken == list(range(1, outbox.last + 1))
+        received.extend(inbox.take(outbox.first, outbox.pending()))
+        assert received == list(range(1, outbox.last + 1))
 
-    def test_nothing_is_taken_after_a_gap(self):
-        """A call overtook the one before it, which was lost."""
+    def test_messages_after_a_gap_are_not_accepted(self):
+        """A call arrives before the one sent before it, which is lost."""
         inbox = channel.Inbox()
         assert inbox.take(3, ["c"]) == []
         assert inbox.take(1, ["a", "b", "c"]) == ["a", "b", "c"]
