--- a/src/cowsliprill/decisions/__init__.py
+++ b/src/cowsliprill/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure state machines: data classes in, data classes out, time passed in."""
+"""Sans-I/O state machines: typed inputs, typed outputs, time as an argument."""
--- a/src/cowsliprill/decisions/learning.py
+++ b/src/cowsliprill/decisions/learning.py
@@ -1,4 +1,4 @@
-"""What requests tell of the engines that served them."""
+"""Reports request outcomes to engine health checks and speed estimates."""
 
 from cowsliprill.decisions import estimates
 from cowsliprill.decisions import health
@@ -7,53 +7,61 @@
 
 
 class Learning:
-    """Judges engines by their own answers.
+    """Derives health samples of engines from the requests that they served.
 
     Args:
-      engine_health: Where the judgements go.
+      engine_health: Receives the samples and detects outliers.
     """
 
     def __init__(self, engine_health: health.Health) -> None:
         self._health = engine_health
 
     def first_token(self, request: requests.Request, now: float) -> None:
-        """Takes in how long a transfer took.
+        """Records the time of a KV cache transfer.
+
+        Where the decode engine ran the prefill itself, records the time of that
+        in place of a transfer.
 
         Args:
-          request: The request whose first token came.
-          now: Time, seconds.
+          request: The request whose first token arrived.
+          now: Current time in seconds.
         """
         prefill, decode = request.prefill, request.decode
         assert prefill is not None and decode is not None
         if prefill is decode:
-            expected = estimates.own_prefill_s(decode, request.submit)
+            expected_s = estimates.own_prefill_s(decode, request.submit)
         else:
-            expected = decode.seconds_per_token + estimates.transfer_s(
+            expected_s = decode.seconds_per_token + estimates.transfer_s(
                 prefill, decode, request.submit.prompt_tokens
             )
-        measured = now - request.stage_at
+        measured_s = now - request.stage_at
         self._health.transfer(
-            prefill.id, decode.id, measured, expected, now, request.started_at
+            prefill.id,
+            decode.id,
+            measured_s,
+            expected_s,
+            now,
+            request.started_at,
         )
 
     def pace(
         self, request: requests.Request, output_tokens: int, now: float
     ) -> None:
-        """Takes in how fast a stream's tokens came.
+        """Records the time per output token of a stream.
 
         Args:
           request: The request.
-          output_tokens: Tokens since the first one, that included.
-          now: Time, seconds.
+          output_tokens: Tokens received so far, the first one included.
+          now: Current time in seconds.
         """
         decode = request.decode
         assert decode is not None
-        written_s = now - request.stage_at
-        request.pool.learn_writing(output_tokens - 1, written_s)
+        decode_s = now - request.stage_at
+        request.pool.learn_writing(output_tokens - 1, decode_s)
         if output_tokens < 2 or decode.seconds_per_token <= 0:
             return
-        pace = written_s / (output_tokens - 1)
-        ratio = pace / decode.seconds_per_token
+        measured_s_per_token = decode_s / (output_tokens - 1)
+        ratio = measured_s_per_token / decode.seconds_per_token
         self._health.pace(decode.id, ratio, now, request.started_at)
 
     def failed(
@@ -62,20 +70,21 @@
         event: messages.AttemptFailed,
         now: float,
     ) -> None:
-        """Takes in a failed attempt.
+        """Records a failed attempt.
 
         Args:
           request: The request.
-          event: How it failed.
-          now: Time, seconds.
+          event: The failure.
+          now: Current time in seconds.
         """
         prefill, decode = request.prefill, request.decode
         assert prefill is not None and decode is not None
         if event.refused:
             holding = request.pool.holding(event.endpoint_id)
-            # An engine that refuses its only request isn't full with ours: it
-            # is leaving, or holds what nobody here knows of. Asked again at
-            # once it would refuse one request after the other.
+            # An engine that rejects its only request from this process isn't
+            # full because of it: it is draining, or its slots are taken by
+            # requests unknown here. Without ejection it would be chosen again
+            # at once and reject one request after the other.
             if holding.in_use <= request.slots and not event.unsent:
                 self._health.failed(event.endpoint_id, now)
         elif event.unreachable:
@@ -83,7 +92,9 @@
         elif event.answered:
             self._health.failed(event.endpoint_id, now)
         elif event.stage is messages.Stage.TRANSFER:
-            never = float("inf")
-            self._health.transfer(prefill.id, decode.id, never, 0.0, now)
+            # A transfer that never completed counts as infinitely slow, which
+            # doesn't tell which end is at fault.
+            never_s = float("inf")
+            self._health.transfer(prefill.id, decode.id, never_s, 0.0, now)
         else:
             self._health.failed(event.endpoint_id, now)
--- a/src/cowsliprill/decisions/mechanisms.py
+++ b/src/cowsliprill/decisions/mechanisms.py
@@ -1,8 +1,8 @@
-"""Parts of the decisions that can be switched off for an experiment. Pure.
+"""Switches that disable parts of the routing decisions for ablation studies.
 
-What a mechanism is worth is what is lost without it. All are on by default.
-Most are switched off by what the decisions are told of endpoints and services,
-so that the decisions themselves need no switches.
+The value of a mechanism is the goodput lost without it. All are enabled by
+default. Most are disabled by clearing the endpoint or service fields that they
+depend on, so that the decision code needs no switches.
 """
 
 import dataclasses
@@ -15,7 +15,25 @@
 
 
 class Mechanism(enum.StrEnum):
-    """One part of the decisions."""
+    """A part of the routing decisions that can be disabled.
+
+    Attributes:
+      CONNECTION_SHARES: Limit on each VM's connections to an endpoint.
+      DECODE_PLACES: Limit on an engine's concurrent decodes besides the one on
+        its KV cache memory.
+      FEW_READERS: Only a few VMs of each zone watch the registry's store.
+      LATE_QUEUE: Requests stay queued past their target until their callers
+        are expected to disconnect.
+      LEARNT_SPEEDS: Measured engine speeds replace the configured defaults.
+      ONE_LIFE_AN_ADDRESS: Of several registry entries with one address, only
+        the latest instance is used.
+      OWN_READING: Decode engines may run a prefill themselves.
+      PEER_NEWS: VMs get registry updates from each other.
+      ROLE_ORDERS: Engines are switched between prefill and decode.
+      SERVER_COMPARISON: Servers of plain services are ejected by their failure
+        rate compared with that of their peers.
+      SIZE_WORTH: Larger requests of a service count as more valuable.
+    """
 
     CONNECTION_SHARES = "connection_shares"
     DECODE_PLACES = "decode_places"
@@ -33,54 +51,55 @@
 Off = Collection[Mechanism]
 
 
-# What decisions are told of an endpoint, or of a service, without a mechanism.
-_ENDPOINT_CHANGES = {
+# Field values of endpoints and services that disable a mechanism.
+_ENDPOINT_OVERRIDES = {
     Mechanism.CONNECTION_SHARES: {"connections_max": 0},
     Mechanism.DECODE_PLACES: {"places": 0},
     Mechanism.LEARNT_SPEEDS: {"speeds_guessed": False},
     Mechanism.OWN_READING: {"own_prefill_tokens_per_s": 0.0},
 }
-_SERVICE_CHANGES = {
+_SERVICE_OVERRIDES = {
     Mechanism.LATE_QUEUE: {"patience_s": 0.0},
     Mechanism.SIZE_WORTH: {"worth_by_size": 0.0},
 }
 
 
-def endpoint(known: model.Endpoint, off: Off) -> model.Endpoint:
-    """Returns an endpoint as it is told to decisions without some mechanisms.
+def endpoint(original: model.Endpoint, disabled: Off) -> model.Endpoint:
+    """Returns an endpoint with the fields of disabled mechanisms cleared.
 
     Args:
-      known: The endpoint.
-      off: Mechanisms that are switched off.
+      original: The endpoint.
+      disabled: Mechanisms that are disabled.
     """
-    changes = _changes(_ENDPOINT_CHANGES, off)
-    return dataclasses.replace(known, **changes) if changes else known
+    overrides = _overrides(_ENDPOINT_OVERRIDES, disabled)
+    return dataclasses.replace(original, **overrides) if overrides else original
 
 
 def services(
-    known_by_id: dict[str, model.Service], off: Off
+    originals_by_id: dict[str, model.Service], disabled: Off
 ) -> dict[str, model.Service]:
-    """Returns services as they are told to decisions without some mechanisms.
+    """Returns services with the fields of disabled mechanisms cleared.
 
     Args:
-      known_by_id: The services. There may be tens of thousands: they are the
-        very same where nothing is switched off.
-      off: Mechanisms that are switched off.
+      originals_by_id: The services, possibly tens of thousands. The same dict
+        is returned if there is nothing to clear.
+      disabled: Mechanisms that are disabled.
     """
-    changes = _changes(_SERVICE_CHANGES, off)
-    if not changes:
-        return known_by_id
+    overrides = _overrides(_SERVICE_OVERRIDES, disabled)
+    if not overrides:
+        return originals_by_id
     return {
-        name: dataclasses.replace(service, **changes)
-        for name, service in known_by_id.items()
+        name: dataclasses.replace(service, **overrides)
+        for name, service in originals_by_id.items()
     }
 
 
-def _changes(
-    changes_by_mechanism: Mapping[Mechanism, Mapping[str, Any]], off: Off
+def _overrides(
+    overrides_by_mechanism: Mapping[Mechanism, Mapping[str, Any]],
+    disabled: Off,
 ) -> dict[str, Any]:
     return {
         name: value
-        for mechanism in off
-        for name, value in changes_by_mechanism.get(mechanism, {}).items()
+        for mechanism in disabled
+        for name, value in overrides_by_mechanism.get(mechanism, {}).items()
     }
--- a/src/cowsliprill/decisions/prefixes.py
+++ b/src/cowsliprill/decisions/prefixes.py
@@ -1,51 +1,59 @@
-"""Which prompt blocks a prefill engine probably has cached.
+"""Tracks which prompt blocks a prefill engine probably has in its prefix cache.
 
-Cache events come late and with gaps, and removals may never be heard of. What
-is known here is a guess that saves time when right and costs little when
-wrong; nothing relies on it.
+Cache events arrive late and with gaps, and evictions may never be reported. The
+result is a hint for routing: a hit saves prefill time, a miss costs little, and
+correctness doesn't depend on it.
 """
 
 from collections.abc import Iterable
 
 BLOCK_TOKENS = 256
 
-# Blocks looked at per request. Longer matches change little and would make
-# the cost of a decision depend on the prompt.
-_DEPTH_MAX = 32
+# Blocks compared per request. Longer matches change the routing little and
+# would make the cost of a decision grow with the prompt.
+_MAX_MATCH_BLOCKS = 32
 
-_BLOCKS_MAX = 4096
+_MAX_BLOCKS = 4096
 
 
 class CachedBlocks:
-    """Blocks of one engine, the oldest news forgotten first."""
+    """Cached blocks of one engine, evicted in order of their last report."""
 
     def __init__(self) -> None:
         self._blocks: dict[int, None] = {}
 
     def add(self, blocks: Iterable[int]) -> None:
-        """Notes blocks as cached, most recently."""
+        """Marks blocks as cached and most recently reported.
+
+        Args:
+          blocks: Hashes of the blocks.
+        """
         for block in blocks:
             self._blocks.pop(block, None)
             self._blocks[block] = None
-        while len(self._blocks) > _BLOCKS_MAX:
+        while len(self._blocks) > _MAX_BLOCKS:
             del self._blocks[next(iter(self._blocks))]
 
     def remove(self, blocks: Iterable[int]) -> None:
-        """Notes blocks as evicted."""
+        """Marks blocks as evicted.
+
+        Args:
+          blocks: Hashes of the blocks; unknown ones are ignored.
+        """
         for block in blocks:
             self._blocks.pop(block, None)
 
     def cached_tokens(self, prefix: tuple[int, ...]) -> int:
-        """Returns how many leading tokens of a prompt are cached.
+        """Returns the length of a prompt's cached prefix.
 
         Args:
-          prefix: Hashes of the prompt's blocks.
+          prefix: Hashes of the prompt's blocks, first block first.
 
         Returns:
           Tokens, a multiple of the block size.
         """
         count = 0
-        for block in prefix[:_DEPTH_MAX]:
+        for block in prefix[:_MAX_MATCH_BLOCKS]:
             if block not in self._blocks:
                 break
             count += 1
--- a/src/cowsliprill/decisions/roles.py
+++ b/src/cowsliprill/decisions/roles.py
@@ -1,11 +1,11 @@
-"""Which engines of a pool should read prompts, and which write answers.
-
-Pure. Prompts take the time of an engine that reads, answers take the memory of
-one that writes. A pool serves as much as the shorter of the two allows, so the
-engines are divided as the work is. Customers who buy one prefill engine for two
-decode engines see the former idle while requests wait for memory at the latter:
-of the worth of a calm day's requests four engines, two of them for prompts,
-served 0.74, and with one for prompts 0.97.
+"""Assigns the engines of a pool to the prefill and decode roles.
+
+Prefill is bound by compute, decode by KV cache memory, and a pool's throughput
+is limited by whichever role is short. The planner therefore splits the engines
+in proportion to the recent load and requests role changes one at a time. Pools
+are often provisioned with too many prefill engines: four engines served 74% of
+the request value when split 2:2, because requests waited for decode memory, and
+97% when split into one prefill and three decode engines.
 """
 
 import dataclasses
@@ -14,34 +14,35 @@
 
 from cowsliprill.decisions import model
 
-# Part of a pool's work that prompts are, before any was seen: a prompt of some
-# thousand tokens keeps a prefill engine busy for 0.1 s, and its answer fills a
-# tenth of a decode engine's memory for some seconds.
-USUAL_PROMPT_PART = 0.22
+# Prefill's share of a pool's load, assumed until requests have been seen: a
+# prompt of a few thousand tokens occupies a prefill engine for 0.1 s, and its
+# output fills a tenth of a decode engine's memory for several seconds.
+DEFAULT_PREFILL_SHARE = 0.22
 
-# A change is worth an engine's absence for some seconds only if it raises what
-# the pool can serve by more than this factor. A smaller one would have engines
-# change to and fro with each turn of the traffic.
-WORTHWHILE = 1.15
+# Factor by which a new split must raise the pool's capacity. An engine is
+# unavailable for seconds while it changes, and a smaller threshold makes
+# engines alternate between roles with every fluctuation of the traffic.
+MIN_CAPACITY_GAIN = 1.15
 
-# A surplus must last so long: the successor of a prefill engine that is about
-# to leave is listed some seconds before that one says that it leaves.
-SURPLUS_S = 2.0
+# How long a surplus of prefill engines must last. In a rolling restart, the
+# replacement of a prefill engine is listed some seconds before the old one
+# reports that it is draining.
+MIN_SURPLUS_DURATION_S = 2.0
 
-# After an order an engine ends its work and changes, which takes seconds, and
-# the registry tells of it later still. It is not ordered again meanwhile.
-ORDER_AGAIN_S = 20.0
+# Minimum time between two role changes of an engine. It drains its requests
+# and changes, which takes seconds, and the registry lists the new role later.
+ROLE_CHANGE_COOLDOWN_S = 20.0
 
 _Kind = model.EndpointKind
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """An engine that should change.
+    """A role change of one engine.
 
     Attributes:
-      endpoint: The engine.
-      kind: What it should be.
+      endpoint: The engine to change, in its current role.
+      kind: Role that it should change to.
     """
 
     endpoint: model.Endpoint
@@ -49,208 +50,235 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class _Ordered:
-    at: float
+class _PendingChange:
+    requested_at: float
     kind: model.EndpointKind
-    answered: bool = False
+    acknowledged: bool = False
 
 
 class Roles:
-    """Plans the changes of one pool and remembers which were ordered."""
+    """Plans the role changes of one pool and tracks those in progress."""
 
     def __init__(self) -> None:
-        self._ordered_by_life: dict[tuple[str, str], _Ordered] = {}
-        self._wanted_since: tuple[model.EndpointKind, float] | None = None
+        self._pending_by_instance: dict[tuple[str, str], _PendingChange] = {}
+        self._imbalance: tuple[model.EndpointKind, float] | None = None
 
     def next_order(
         self,
         endpoints: Iterable[model.Endpoint],
         now: float,
-        prompt_part: float | None = None,
+        prefill_share: float | None = None,
     ) -> Order | None:
-        """Returns the most useful change, if one is due.
+        """Returns the role change to request next, None if none is due.
 
         Args:
-          endpoints: The pool's engines, without those that leave.
-          now: Time, seconds.
-          prompt_part: Part of the pool's work that prompts are, from 0 to 1;
-            None while it isn't known.
+          endpoints: The pool's engines, without those that are draining.
+          now: Current time in seconds.
+          prefill_share: Prefill's share of the pool's load, from 0 to 1; None
+            while unknown.
         """
-        self._forget(now)
-        if prompt_part is None:
-            prompt_part = USUAL_PROMPT_PART
+        self._expire_pending(now)
+        if prefill_share is None:
+            prefill_share = DEFAULT_PREFILL_SHARE
         engines = [item for item in endpoints if item.kind is not _Kind.PLAIN]
-        prefills, decodes = self._divided(engines)
-        kind = _missing_kind(
+        prefills, decodes = self._split_by_role(engines)
+        kind = _kind_to_add(
             len(prefills),
             len(decodes),
-            prompt_part,
-            began=any(self._changes(item) for item in engines),
+            prefill_share,
+            in_progress=any(self._is_changing(item) for item in engines),
         )
-        if not self._has_lasted(kind, engines, now):
+        if not self._is_sustained(kind, engines, now):
             return None
-        if self._reverses(kind, engines):
+        if self._has_opposite_change(kind, engines):
             return None
-        from_those = prefills if kind is _Kind.DECODE else decodes
-        return _order(self._settled(from_those), from_those, kind)
+        donors = prefills if kind is _Kind.DECODE else decodes
+        return _select(self._without_pending(donors), donors, kind)
 
     def ordered(self, order: Order, now: float) -> None:
-        """Notes that an order is on its way; it may or may not arrive."""
-        ordered = _Ordered(at=now, kind=order.kind)
-        self._ordered_by_life[_life(order.endpoint)] = ordered
+        """Records that a role change is being requested.
+
+        The request counts as pending even if its delivery is never confirmed.
+
+        Args:
+          order: The role change.
+          now: Current time in seconds.
+        """
+        change = _PendingChange(requested_at=now, kind=order.kind)
+        self._pending_by_instance[_instance(order.endpoint)] = change
 
     def answered(self, order: Order) -> None:
-        """Notes that the engine has taken an order."""
-        life = _life(order.endpoint)
-        ordered = self._ordered_by_life[life]
-        self._ordered_by_life[life] = dataclasses.replace(
-            ordered, answered=True
+        """Records that the engine acknowledged a requested role change."""
+        instance = _instance(order.endpoint)
+        change = self._pending_by_instance[instance]
+        self._pending_by_instance[instance] = dataclasses.replace(
+            change, acknowledged=True
         )
 
     def changing(
         self, endpoints: Iterable[model.Endpoint]
     ) -> list[tuple[str, str]]:
-        """Returns the engines that change, with what they will be."""
+        """Returns id and new role of each engine with an acknowledged change.
+
+        Args:
+          endpoints: The pool's engines. One that is listed in its new role
+            already isn't returned.
+        """
         found = []
         for item in endpoints:
-            ordered = self._ordered_by_life.get(_life(item))
-            if ordered and ordered.answered and ordered.kind is not item.kind:
-                found.append((item.id, ordered.kind.value))
+            change = self._pending_by_instance.get(_instance(item))
+            if change and change.acknowledged and change.kind is not item.kind:
+                found.append((item.id, change.kind.value))
         return found
 
-    def _divided(
+    def _split_by_role(
         self, engines: list[model.Endpoint]
     ) -> tuple[list[model.Endpoint], list[model.Endpoint]]:
-        """Returns those that read prompts soon, and those that don't."""
+        """Returns prefill and decode engines, pending changes included."""
         prefills: list[model.Endpoint] = []
         decodes: list[model.Endpoint] = []
         for engine in engines:
-            reads = self._kind_soon(engine) is _Kind.PREFILL
-            (prefills if reads else decodes).append(engine)
+            is_prefill = self._planned_kind(engine) is _Kind.PREFILL
+            (prefills if is_prefill else decodes).append(engine)
         return prefills, decodes
 
-    def _kind_soon(self, endpoint: model.Endpoint) -> model.EndpointKind:
-        ordered = self._ordered_by_life.get(_life(endpoint))
-        return ordered.kind if ordered else endpoint.kind
+    def _planned_kind(self, endpoint: model.Endpoint) -> model.EndpointKind:
+        change = self._pending_by_instance.get(_instance(endpoint))
+        return change.kind if change else endpoint.kind
 
-    def _has_lasted(
+    def _is_sustained(
         self,
         kind: model.EndpointKind | None,
         engines: list[model.Endpoint],
         now: float,
     ) -> bool:
-        """Returns whether a lack has lasted long enough for an order.
+        """Returns whether an imbalance has lasted long enough to act on.
+
+        A crashed prefill engine usually restarts in its old role after some
+        seconds. A decode engine that replaces it is unavailable for the time of
+        its own role change, so waiting that long first costs no more than the
+        change back would. Decode engines run prefills themselves meanwhile.
 
-        An engine that crashes is back after some seconds, most often as what it
-        was. One that is told to stand in for it is missing itself for as long
-        as its change takes; waiting that long before costs no more than a
-        second change would, and decode engines read prompts meanwhile.
+        Args:
+          kind: Role that is short of an engine, None if neither is.
+          engines: The pool's engines.
+          now: Current time in seconds.
         """
         if kind is None:
-            self._wanted_since = None
+            self._imbalance = None
             return False
-        if self._wanted_since is None or self._wanted_since[0] is not kind:
-            self._wanted_since = (kind, now)
-        patience_s = SURPLUS_S
+        if self._imbalance is None or self._imbalance[0] is not kind:
+            self._imbalance = (kind, now)
+        min_duration_s = MIN_SURPLUS_DURATION_S
         if kind is _Kind.PREFILL:
-            patience_s = max(item.role_change_s for item in engines)
-        return now - self._wanted_since[1] >= patience_s
+            min_duration_s = max(item.role_change_s for item in engines)
+        return now - self._imbalance[1] >= min_duration_s
 
-    def _reverses(
+    def _has_opposite_change(
         self, kind: model.EndpointKind | None, engines: list[model.Endpoint]
     ) -> bool:
-        """Returns whether an engine is still changing the other way.
+        """Returns whether an engine is still changing away from a role.
 
-        It counts as what it will be. Were another one ordered in exchange
-        meanwhile, a pool of few engines would have none that reads prompts.
+        Such an engine is counted in its new role. Replacing it in its old role
+        before it has changed could leave a small pool without any prefill
+        engine.
         """
         return any(
-            self._changes(item) and item.kind is kind for item in engines
+            self._is_changing(item) and item.kind is kind for item in engines
         )
 
-    def _changes(self, endpoint: model.Endpoint) -> bool:
-        return self._kind_soon(endpoint) is not endpoint.kind
+    def _is_changing(self, endpoint: model.Endpoint) -> bool:
+        return self._planned_kind(endpoint) is not endpoint.kind
 
-    def _settled(self, endpoints: list[model.Endpoint]) -> list[model.Endpoint]:
+    def _without_pending(
+        self, endpoints: list[model.Endpoint]
+    ) -> list[model.Endpoint]:
         return [
             item
             for item in endpoints
-            if _life(item) not in self._ordered_by_life
+            if _instance(item) not in self._pending_by_instance
         ]
 
-    def _forget(self, now: float) -> None:
-        self._ordered_by_life = {
-            life: ordered
-            for life, ordered in self._ordered_by_life.items()
-            if now - ordered.at < ORDER_AGAIN_S
+    def _expire_pending(self, now: float) -> None:
+        self._pending_by_instance = {
+            instance: change
+            for instance, change in self._pending_by_instance.items()
+            if now - change.requested_at < ROLE_CHANGE_COOLDOWN_S
         }
 
 
-def prefills_wanted(engines: int, prompt_part: float) -> int:
-    """Returns how many engines of a pool should read prompts.
+def optimal_prefill_count(engines: int, prefill_share: float) -> int:
+    """Returns the number of prefill engines that maximizes pool capacity.
 
     Args:
-      engines: How many the pool has.
-      prompt_part: Part of the pool's work that prompts are, from 0 to 1.
+      engines: Number of engines in the pool.
+      prefill_share: Prefill's share of the pool's load, from 0 to 1.
+
+    Returns:
+      At least 1, and at least one less than `engines`; 0 for fewer than two
+      engines.
     """
     return max(
         range(1, engines),
         key=lambda prefills: _capacity(
-            prefills, engines - prefills, prompt_part
+            prefills, engines - prefills, prefill_share
         ),
         default=0,
     )
 
 
-def _capacity(prefills: int, decodes: int, prompt_part: float) -> float:
-    """Returns what a division can serve, in engines that do both."""
+def _capacity(prefills: int, decodes: int, prefill_share: float) -> float:
+    """Returns a split's capacity as an equivalent number of mixed engines."""
     return min(
-        prefills / prompt_part if prompt_part > 0 else float("inf"),
-        decodes / (1 - prompt_part) if prompt_part < 1 else float("inf"),
+        prefills / prefill_share if prefill_share > 0 else float("inf"),
+        decodes / (1 - prefill_share) if prefill_share < 1 else float("inf"),
     )
 
 
-def _missing_kind(
-    prefills: int, decodes: int, prompt_part: float, *, began: bool
+def _kind_to_add(
+    prefills: int, decodes: int, prefill_share: float, *, in_progress: bool
 ) -> model.EndpointKind | None:
-    """Returns of which kind there should be one more, None if of neither.
+    """Returns the role that needs one more engine, None if neither does.
 
     Args:
-      prefills: Engines that read prompts soon.
-      decodes: The others.
-      prompt_part: Part of the pool's work that prompts are.
-      began: Whether engines change already: a division that was worth
-        beginning is finished.
+      prefills: Number of prefill engines, pending changes included.
+      decodes: Number of decode engines, pending changes included.
+      prefill_share: Prefill's share of the pool's load, from 0 to 1.
+      in_progress: Whether engines are changing already. A rebalancing that
+        passed the minimum gain is completed at any gain.
     """
     engines = prefills + decodes
-    wanted = prefills_wanted(engines, prompt_part)
-    if wanted in (0, prefills):
+    target = optimal_prefill_count(engines, prefill_share)
+    if target in (0, prefills):
         return None
-    now = _capacity(prefills, decodes, prompt_part)
-    then = _capacity(wanted, engines - wanted, prompt_part)
-    if then <= now * (1.0 if began else WORTHWHILE):
+    capacity = _capacity(prefills, decodes, prefill_share)
+    target_capacity = _capacity(target, engines - target, prefill_share)
+    if target_capacity <= capacity * (
+        1.0 if in_progress else MIN_CAPACITY_GAIN
+    ):
         return None
-    return _Kind.PREFILL if wanted > prefills else _Kind.DECODE
+    return _Kind.PREFILL if target > prefills else _Kind.DECODE
 
 
-def _order(
-    surplus: Sequence[model.Endpoint],
+def _select(
+    candidates: Sequence[model.Endpoint],
     same_kind: Sequence[model.Endpoint],
     kind: model.EndpointKind,
 ) -> Order | None:
-    # One of the availability zone that has most of them: those that stay
-    # should not all be lost with one zone.
-    by_zone: dict[str, int] = {}
+    # Takes an engine from the availability zone with most engines of the role,
+    # so that the remaining ones stay spread over zones.
+    count_by_zone: dict[str, int] = {}
     for item in same_kind:
         zone = item.availability_zone
-        by_zone[zone] = by_zone.get(zone, 0) + 1
-    if not surplus:
+        count_by_zone[zone] = count_by_zone.get(zone, 0) + 1
+    if not candidates:
         return None
     endpoint = max(
-        surplus, key=lambda item: (by_zone[item.availability_zone], item.id)
+        candidates,
+        key=lambda item: (count_by_zone[item.availability_zone], item.id),
     )
     return Order(endpoint=endpoint, kind=kind)
 
 
-def _life(endpoint: model.Endpoint) -> tuple[str, str]:
+def _instance(endpoint: model.Endpoint) -> tuple[str, str]:
     return (endpoint.id, endpoint.life)
--- a/src/cowsliprill/decisions/speeds.py
+++ b/src/cowsliprill/decisions/speeds.py
@@ -1,9 +1,9 @@
-"""How fast a pool's engines are, learnt from their own work.
+"""Estimates the prefill and decode speeds of a pool's engines from requests.
 
-Pure. Where the settings don't state speeds, a first guess holds until requests
-have been watched. A guess that is twelve times too slow had a pool of fast
-engines take its demand for twelve times what it was, and refuse callers while
-half of its memory was free.
+The configured speeds are used until enough requests have been observed. They
+can be far off: with a configured speed twelve times too low, a pool computes
+twelve times its real load and rejects requests while half of its KV cache
+memory is free.
 """
 
 import collections
@@ -13,132 +13,154 @@
 
 from cowsliprill.decisions import model
 
-# The median of so many is hardly moved by an engine that is slow for a while,
-# and follows a change of all engines within some seconds of usual traffic.
-_WATCHED = 31
+# Samples in the sliding window. A median over this many is hardly moved by one
+# engine that is slow for a while, yet follows a change of all engines within
+# some seconds of usual traffic.
+_WINDOW_SAMPLES = 31
 
-# A smaller change than this isn't told to those who reckon with the speeds.
-_MATTERS = 0.1
+# Smaller relative changes of an estimate aren't published.
+_MIN_RELATIVE_CHANGE = 0.1
 
-# Shorter answers say more of the fixed parts than of the speed.
-_LEAST_ANSWER_TOKENS = 20
+# The time of a shorter output is dominated by its fixed overhead.
+_MIN_DECODE_TOKENS = 20
 
-# Two prompts whose lengths differ by less say more of chance than of the speed,
-# and of fewer pairs than this the median is chance as well.
-_LEAST_DIFFERENCE = 500
-_LEAST_PAIRS = 30
+# For prompts closer in length, the difference in time is mostly noise.
+_MIN_LENGTH_DIFFERENCE_TOKENS = 500
 
+# The median slope of fewer pairs of prompts is mostly noise.
+_MIN_PAIRS = 30
 
-class _Told:
-    """The time for one token, in seconds, as others reckon with it."""
 
-    def __init__(self) -> None:
-        self.told_s = 0.0
+class _PublishedEstimate:
+    """Time per token in seconds, published only if it changes noticeably."""
 
-    def tell(self, seconds: float) -> bool:
-        """Takes the newest estimate; returns whether what is told changes."""
-        if abs(seconds - self.told_s) <= self.told_s * _MATTERS:
+    def __init__(self) -> None:
+        self.published_s = 0.0
+
+    def update(self, seconds: float) -> bool:
+        """Updates the estimate; returns whether the published value changed."""
+        if (
+            abs(seconds - self.published_s)
+            <= self.published_s * _MIN_RELATIVE_CHANGE
+        ):
             return False
-        self.told_s = seconds
+        self.published_s = seconds
         return True
 
 
-class _Answers(_Told):
-    """Times for one token of an answer."""
+class _DecodeTime(_PublishedEstimate):
+    """Decode time per token: the median of recent outputs."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._times: collections.deque[float] = collections.deque(
-            maxlen=_WATCHED
+        self._samples: collections.deque[float] = collections.deque(
+            maxlen=_WINDOW_SAMPLES
         )
 
     def add(self, seconds: float) -> bool:
-        """Takes in a time; returns whether what is told has changed."""
-        self._times.append(seconds)
-        return self.tell(statistics.median(self._times))
+        """Adds a sample; returns whether the published value changed.
+
+        Args:
+          seconds: Time per token in seconds.
+        """
+        self._samples.append(seconds)
+        return self.update(statistics.median(self._samples))
 
 
-class _Prompts(_Told):
-    """Times of prompts, told apart by their lengths.
+class _PrefillTime(_PublishedEstimate):
+    """Prefill time per token, estimated as the slope of time over length.
 
-    A prompt takes some time however short it is, 0.02 to 0.12 s, in which its
-    engine reads others. Taken for reading, it had a pool seem to need half of
-    its engines for prompts. So the speed is how much longer a longer prompt
-    takes: the median over all pairs, which a few slow ones hardly move.
+    Each prompt has a fixed overhead of 0.02 to 0.12 s regardless of its length,
+    during which the engine processes other prompts. Counted as prefill time, it
+    makes a pool appear to need half of its engines for prefill. The Theil-Sen
+    estimator (median slope over all pairs) excludes it and is robust to a few
+    slow prompts.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._times: collections.deque[tuple[int, float]] = collections.deque(
-            maxlen=_WATCHED
+        self._samples: collections.deque[tuple[int, float]] = collections.deque(
+            maxlen=_WINDOW_SAMPLES
         )
 
     def add(self, tokens: int, seconds: float) -> bool:
-        """Takes in a time; returns whether what is told has changed."""
-        self._times.append((tokens, seconds))
+        """Adds a sample; returns whether the published value changed.
+
+        Args:
+          tokens: Length of the prompt.
+          seconds: Time of its prefill in seconds.
+        """
+        self._samples.append((tokens, seconds))
         slopes = [
             (later_s - earlier_s) / (later - earlier)
             for (earlier, earlier_s), (
                 later,
                 later_s,
-            ) in itertools.combinations(self._times, 2)
-            if abs(later - earlier) >= _LEAST_DIFFERENCE
+            ) in itertools.combinations(self._samples, 2)
+            if abs(later - earlier) >= _MIN_LENGTH_DIFFERENCE_TOKENS
         ]
-        if len(slopes) < _LEAST_PAIRS:
+        if len(slopes) < _MIN_PAIRS:
             return False
         median = statistics.median(slopes)
-        return median > 0 and self.tell(median)
+        return median > 0 and self.update(median)
 
 
 class Speeds:
-    """Speeds of one pool's engines."""
+    """Estimates the prefill and decode speeds of one pool's engines."""
 
     def __init__(self) -> None:
-        self._prompt = _Prompts()
-        self._answer = _Answers()
+        self._prefill = _PrefillTime()
+        self._decode = _DecodeTime()
 
     def read(self, tokens: int, seconds: float) -> bool:
-        """Takes in a prompt that a prefill engine read alone.
+        """Adds the prefill of a prompt that ran alone on a prefill engine.
 
         Args:
           tokens: Tokens of the prompt that weren't cached.
-          seconds: Time that it took.
+          seconds: Time of the prefill in seconds.
 
         Returns:
-          Whether engines have to be described anew.
+          Whether a published speed changed, so that `describe` must be applied
+          to the engines again.
         """
-        return self._prompt.add(tokens, seconds)
+        return self._prefill.add(tokens, seconds)
 
     def wrote(self, tokens: int, seconds: float) -> bool:
-        """Takes in a part of an answer.
+        """Adds the decode of an output or a part of one.
 
         Args:
-          tokens: Its tokens without the first one.
-          seconds: Time since the first one.
+          tokens: Tokens decoded after the first one.
+          seconds: Time since the first token, in seconds.
 
         Returns:
-          Whether engines have to be described anew.
+          Whether a published speed changed, so that `describe` must be applied
+          to the engines again.
         """
-        if tokens < _LEAST_ANSWER_TOKENS or seconds <= 0:
+        if tokens < _MIN_DECODE_TOKENS or seconds <= 0:
             return False
-        return self._answer.add(seconds / tokens)
+        return self._decode.add(seconds / tokens)
 
     def are_known(self) -> bool:
-        """Returns whether both speeds were learnt."""
-        return self._prompt.told_s > 0 and self._answer.told_s > 0
+        """Returns whether both speeds have been estimated."""
+        return self._prefill.published_s > 0 and self._decode.published_s > 0
 
     def describe(self, endpoint: model.Endpoint) -> model.Endpoint:
-        """Returns an engine with the learnt speeds in place of guesses."""
+        """Returns an engine with its default speeds replaced by measured ones.
+
+        Args:
+          endpoint: The engine. If its speeds were configured explicitly, it is
+            returned unchanged.
+        """
         if not endpoint.speeds_guessed:
             return endpoint
-        learnt: dict[str, float] = {}
-        if self._answer.told_s:
-            learnt["seconds_per_token"] = self._answer.told_s
-        if self._prompt.told_s:
-            speed = 1 / self._prompt.told_s
-            guess = endpoint.prefill_tokens_per_s
-            learnt["prefill_tokens_per_s"] = speed
-            learnt["own_prefill_tokens_per_s"] = (
-                endpoint.own_prefill_tokens_per_s * speed / guess
+        measured: dict[str, float] = {}
+        if self._decode.published_s:
+            measured["seconds_per_token"] = self._decode.published_s
+        if self._prefill.published_s:
+            speed = 1 / self._prefill.published_s
+            default_speed = endpoint.prefill_tokens_per_s
+            measured["prefill_tokens_per_s"] = speed
+            measured["own_prefill_tokens_per_s"] = (
+                endpoint.own_prefill_tokens_per_s * speed / default_speed
             )
-        return dataclasses.replace(endpoint, **learnt)
+        return dataclasses.replace(endpoint, **measured)
--- a/src/cowsliprill/decisions/stream.py
+++ b/src/cowsliprill/decisions/stream.py
@@ -1,10 +1,10 @@
-r"""Checks a token stream while it is relayed as bytes.
+r"""Validates a stream of server-sent events while relaying its bytes.
 
-Pure. Each event is `id: <request id>/<token number>\ndata: <json>\n\n`. The
-JSON of an event is not parsed, but for the last one: it carries
-`usage.completion_tokens`, is held until `data: [DONE]` has come, and is
-delivered only if its count is the number of the last token. So a client never
-sees the end of an answer that isn't whole.
+Each event is `id: <request id>/<token number>\ndata: <json>\n\n`. Only the JSON
+of the final event is parsed: it carries `usage.completion_tokens`, is held back
+until `data: [DONE]` arrives, and is delivered only if its count equals the
+number of the last token. A client therefore never sees the end of an incomplete
+output.
 """
 
 import dataclasses
@@ -12,17 +12,17 @@
 import json
 from typing import Any
 
-_EVENT_END = b"\n\n"
-_END_MARKER = b"data: [DONE]"
-_COMMENT = b":"
-# A quote within a JSON string is escaped, so this can't be part of the text.
-_USAGE_MARK = b'"completion_tokens":'
-_DATA = b"data: "
+_EVENT_SEPARATOR = b"\n\n"
+_DONE_EVENT = b"data: [DONE]"
+_COMMENT_PREFIX = b":"
+# Generated text can't contain this: quotes in a JSON string are escaped.
+_USAGE_KEY = b'"completion_tokens":'
+_DATA_PREFIX = b"data: "
 _MAX_EVENT_BYTES = 1_048_576
 
 
 class Reason(enum.StrEnum):
-    """Why a stream is not whole."""
+    """Why a stream is incomplete or invalid."""
 
     CUT = "cut"
     STALLED = "stalled"
@@ -33,20 +33,21 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether the tokens after the last delivered one may be asked for.
+        """Whether the stream may be resumed after the last delivered token.
 
-        Not after a wrong count: the engine then contradicts itself, and what
-        it would send next proves nothing.
+        After a wrong token count it may not: the engine contradicts itself, so
+        its further events can't be validated either.
         """
         return self is not Reason.WRONG_COUNT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Events:
-    """Whole events of this stream, in order, each delivered once.
+    """Valid events of a stream that continues.
 
     Attributes:
-      data: The events' bytes as they came, possibly empty.
+      data: Bytes of complete events, in order and without repeats; may be
+        empty.
       last_token: Number of the last token so far.
     """
 
@@ -56,11 +57,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Complete:
-    """The stream is whole.
+    """The stream is complete.
 
     Attributes:
-      data: The last events' bytes, end marker included.
-      last_token: Number of tokens of the answer.
+      data: Bytes of the last events, `[DONE]` included.
+      last_token: Number of tokens in the output.
     """
 
     data: bytes
@@ -69,12 +70,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Broken:
-    """The stream can't be trusted beyond what was delivered.
+    """The stream was truncated or is invalid from here on.
 
     Attributes:
-      data: Whole events that came before the fault.
+      data: Bytes of the valid events before the fault.
       last_token: Number of the last token delivered, `data` included.
-      reason: What was wrong.
+      reason: The fault.
     """
 
     data: bytes
@@ -85,184 +86,194 @@
 Result = Events | Complete | Broken
 
 
-class _FaultError(Exception):
+class _InvalidEventError(Exception):
     def __init__(self, reason: Reason) -> None:
         super().__init__(reason)
         self.reason = reason
 
 
 class Checker:
-    """Checks one answer, over all connections that it comes by.
+    """Validates the stream of one request, across reconnections.
 
     Args:
-      request_id: The id that each event must carry.
+      request_id: Request id that each event must carry.
 
     Attributes:
       last_token: Number of the last token delivered.
-      complete: Whether the answer is whole.
+      complete: Whether the stream is complete.
     """
 
     def __init__(self, request_id: str) -> None:
         self.last_token = 0
         self.complete = False
-        self._prefix = f"id: {request_id}/".encode()
-        self._rest = b""
-        self._final = b""
+        self._id_prefix = f"id: {request_id}/".encode()
+        self._buffer = b""
+        self._final_event = b""
         self._resumed = False
-        self._broken: Reason | None = None
+        self._fault: Reason | None = None
 
     def feed(self, chunk: bytes) -> Result:
-        """Takes the next bytes of the connection.
+        """Processes the next bytes received on the connection.
 
         Args:
-          chunk: Bytes, cut anywhere.
+          chunk: Bytes, split at arbitrary positions.
 
         Returns:
-          What may be delivered, and whether the stream has ended. After
-          `Complete` or `Broken` nothing more is delivered.
+          The bytes to deliver and whether the stream continues. After
+          `Complete` or `Broken` there is nothing more to deliver.
         """
-        if self._broken is not None:
-            return Broken(b"", self.last_token, self._broken)
+        if self._fault is not None:
+            return Broken(b"", self.last_token, self._fault)
         if self.complete:
             return Complete(b"", self.last_token)
         delivered: list[bytes] = []
-        parts = (self._rest + chunk).split(_EVENT_END)
-        self._rest = parts.pop()
+        events = (self._buffer + chunk).split(_EVENT_SEPARATOR)
+        self._buffer = events.pop()
         try:
-            for part in parts:
-                self._take(part, delivered)
+            for event in events:
+                self._process_event(event, delivered)
                 if self.complete:
-                    self._rest = b""
+                    self._buffer = b""
                     break
-            if len(self._rest) > _MAX_EVENT_BYTES:
-                raise _FaultError(Reason.MALFORMED)
-        except _FaultError as fault:
-            self._broken = fault.reason
+            if len(self._buffer) > _MAX_EVENT_BYTES:
+                raise _InvalidEventError(Reason.MALFORMED)
+        except _InvalidEventError as error:
+            self._fault = error.reason
         data = b"".join(delivered)
-        if self._broken is not None:
-            return Broken(data, self.last_token, self._broken)
+        if self._fault is not None:
+            return Broken(data, self.last_token, self._fault)
         if self.complete:
             return Complete(data, self.last_token)
         return Events(data, self.last_token)
 
     def end(self, reason: Reason = Reason.CUT) -> Complete | Broken:
-        """Takes the end of the connection.
+        """Processes the end of the connection.
 
         Args:
-          reason: What to call it if the stream isn't whole.
+          reason: Fault to report if the stream is incomplete.
 
         Returns:
-          Whether the answer is whole.
+          Whether the stream is complete, without further data.
         """
         if self.complete:
             return Complete(b"", self.last_token)
-        if self._broken is None:
-            self._broken = reason
-        return Broken(b"", self.last_token, self._broken)
+        if self._fault is None:
+            self._fault = reason
+        return Broken(b"", self.last_token, self._fault)
 
     def resume(self) -> None:
-        """Prepares for a connection that goes on after `last_token`.
+        """Prepares for a new connection that continues after `last_token`.
 
-        Half an event and a held last event of the old connection are dropped,
-        as the engine sends both again.
+        A partial event and a held final event of the old connection are
+        discarded, because the engine sends both again.
         """
-        self._rest = b""
-        self._final = b""
-        self._broken = None
+        self._buffer = b""
+        self._final_event = b""
+        self._fault = None
         self._resumed = True
 
-    def _take(self, event: bytes, delivered: list[bytes]) -> None:
-        if not event.startswith(self._prefix):
-            self._take_other(event, delivered)
+    def _process_event(self, event: bytes, delivered: list[bytes]) -> None:
+        if not event.startswith(self._id_prefix):
+            self._process_other_event(event, delivered)
             return
-        if self._final:
-            raise _FaultError(Reason.OUT_OF_ORDER)
-        number = self._number(event)
-        if _USAGE_MARK in event:
-            self._hold(event, number)
+        if self._final_event:
+            raise _InvalidEventError(Reason.OUT_OF_ORDER)
+        number = self._token_number(event)
+        if _USAGE_KEY in event:
+            self._hold_final_event(event, number)
         elif number == self.last_token + 1:
-            delivered.append(event + _EVENT_END)
+            delivered.append(event + _EVENT_SEPARATOR)
             self.last_token = number
         elif not self._resumed or number > self.last_token:
-            raise _FaultError(Reason.OUT_OF_ORDER)
-        # Else a resumed stream begins before the point asked for: these
-        # tokens were delivered already, and are left out here.
-
-    def _take_other(self, event: bytes, delivered: list[bytes]) -> None:
-        if event == _END_MARKER:
-            self._finish(delivered)
+            raise _InvalidEventError(Reason.OUT_OF_ORDER)
+        # Otherwise a resumed stream starts before the requested token; the
+        # tokens that were delivered already are skipped.
+
+    def _process_other_event(
+        self, event: bytes, delivered: list[bytes]
+    ) -> None:
+        if event == _DONE_EVENT:
+            self._release_final_event(delivered)
         elif event.startswith(b"id: "):
-            raise _FaultError(Reason.FOREIGN)
-        elif not event.startswith(_COMMENT):
-            raise _FaultError(Reason.MALFORMED)
+            raise _InvalidEventError(Reason.FOREIGN)
+        elif not event.startswith(_COMMENT_PREFIX):
+            raise _InvalidEventError(Reason.MALFORMED)
 
-    def _number(self, event: bytes) -> int:
-        start = len(self._prefix)
+    def _token_number(self, event: bytes) -> int:
+        start = len(self._id_prefix)
         digits = event[start : event.find(b"\n", start)]
         if not digits.isdigit():
-            raise _FaultError(Reason.MALFORMED)
+            raise _InvalidEventError(Reason.MALFORMED)
         return int(digits)
 
-    def _hold(self, event: bytes, number: int) -> None:
-        # The last event carries the last token; an answer may have none at all.
+    def _hold_final_event(self, event: bytes, number: int) -> None:
+        # The final event carries the last token. An output may have no tokens;
+        # its only event is then numbered 0.
         empty = number == self.last_token == 0
         if number != self.last_token + 1 and not empty:
-            raise _FaultError(Reason.OUT_OF_ORDER)
-        self._final = event
-
-    def _finish(self, delivered: list[bytes]) -> None:
-        if not self._final:
-            raise _FaultError(Reason.WRONG_COUNT)
-        number = self._number(self._final)
-        if _completion_tokens(self._final) != number:
-            raise _FaultError(Reason.WRONG_COUNT)
-        delivered.append(self._final + _EVENT_END + _END_MARKER + _EVENT_END)
+            raise _InvalidEventError(Reason.OUT_OF_ORDER)
+        self._final_event = event
+
+    def _release_final_event(self, delivered: list[bytes]) -> None:
+        if not self._final_event:
+            raise _InvalidEventError(Reason.WRONG_COUNT)
+        number = self._token_number(self._final_event)
+        if _completion_tokens(self._final_event) != number:
+            raise _InvalidEventError(Reason.WRONG_COUNT)
+        delivered.append(
+            self._final_event
+            + _EVENT_SEPARATOR
+            + _DONE_EVENT
+            + _EVENT_SEPARATOR
+        )
         self.last_token = number
         self.complete = True
 
 
-def _payload(event: bytes) -> Any:
+def _parse_payload(event: bytes) -> Any:
     try:
-        return json.loads(event[event.index(_DATA) + len(_DATA) :])
+        return json.loads(
+            event[event.index(_DATA_PREFIX) + len(_DATA_PREFIX) :]
+        )
     except ValueError as error:
-        raise _FaultError(Reason.MALFORMED) from error
+        raise _InvalidEventError(Reason.MALFORMED) from error
 
 
 def _completion_tokens(event: bytes) -> Any:
-    payload = _payload(event)
+    payload = _parse_payload(event)
     usage = payload.get("usage") if isinstance(payload, dict) else None
     return usage.get("completion_tokens") if isinstance(usage, dict) else None
 
 
 class Collector:
-    """Joins the events of a whole stream into one answer.
+    """Joins a complete stream into the response of a non-streaming call.
 
-    For callers who don't stream. Each event's JSON is parsed once.
+    Each event's JSON is parsed once, in `answer`.
     """
 
     def __init__(self) -> None:
-        self._data: list[bytes] = []
+        self._chunks: list[bytes] = []
 
     def add(self, data: bytes) -> None:
-        """Takes checked events.
+        """Adds validated events.
 
         Args:
           data: Bytes as delivered by `Checker`.
         """
-        self._data.append(data)
+        self._chunks.append(data)
 
     def answer(self) -> dict[str, Any]:
-        """Joins what was added, to be called once the stream is complete.
+        """Joins the added events; to be called once the stream is complete.
 
         Returns:
-          The last event's JSON, with the text of all and of the form that is
-          usual without streaming.
+          JSON of a non-streaming response: that of the last event, with the
+          concatenated text of all events.
         """
-        events = b"".join(self._data).split(_EVENT_END)
+        events = b"".join(self._chunks).split(_EVENT_SEPARATOR)
         payloads = [
-            _payload(event)
+            _parse_payload(event)
             for event in events
-            if event and event != _END_MARKER
+            if event and event != _DONE_EVENT
         ]
         answer = payloads[-1]
         choice = answer["choices"][0]
--- a/src/cowsliprill/decisions/workload.py
+++ b/src/cowsliprill/decisions/workload.py
@@ -1,42 +1,47 @@
-"""How a pool's work divides between prompts and answers. Pure."""
+"""Tracks how a pool's load divides between prefill and decode."""
 
 import math
 
-# Work counts for about so long. Bursts are over sooner; an engine that changes
-# for one is missing for half of it.
-_MEMORY_S = 15.0
+# Time constant of the exponential decay, in seconds. Bursts are shorter; an
+# engine that changed its role for one would be unavailable for half of it.
+_DECAY_S = 15.0
 
-# Fewer requests say more of their own sizes than of the traffic.
-_LEAST_REQUESTS = 20.0
+# Below this decayed count, the share reflects the sizes of single requests
+# rather than the traffic.
+_MIN_REQUESTS = 20.0
 
 
 class Workload:
-    """What lately arriving requests ask of both kinds of engines."""
+    """Exponentially decayed prefill and decode time of arriving requests."""
 
     def __init__(self) -> None:
         self._requests = 0.0
-        self._prompts_s = 0.0
-        self._answers_s = 0.0
-        self._at = -math.inf
+        self._prefill_s = 0.0
+        self._decode_s = 0.0
+        self._updated_at = -math.inf
 
     def add(self, prompt_s: float, answer_s: float, now: float) -> None:
-        """Takes in a request that arrived.
+        """Adds a request that arrived.
 
         Args:
-          prompt_s: Time that its prompt takes of one engine.
-          answer_s: Time that its answer takes of one engine: how long it
-            lasts, times the part of an engine that it fills.
-          now: Time, seconds.
+          prompt_s: Time of its prefill on one engine, in seconds.
+          answer_s: Time of its decode in seconds, times the fraction of a
+            decode engine that it occupies.
+          now: Current time in seconds.
         """
-        kept = math.exp((self._at - now) / _MEMORY_S)
-        self._at = now
-        self._requests = self._requests * kept + 1
-        self._prompts_s = self._prompts_s * kept + prompt_s
-        self._answers_s = self._answers_s * kept + answer_s
+        decay = math.exp((self._updated_at - now) / _DECAY_S)
+        self._updated_at = now
+        self._requests = self._requests * decay + 1
+        self._prefill_s = self._prefill_s * decay + prompt_s
+        self._decode_s = self._decode_s * decay + answer_s
 
     def prompt_part(self) -> float | None:
-        """Returns the part of the work that prompts are, None if unknown."""
-        total_s = self._prompts_s + self._answers_s
-        if self._requests < _LEAST_REQUESTS or total_s <= 0:
+        """Returns prefill's share of the load, from 0 to 1.
+
+        Returns:
+          The share, or None if too few requests arrived recently.
+        """
+        total_s = self._prefill_s + self._decode_s
+        if self._requests < _MIN_REQUESTS or total_s <= 0:
             return None
-        return self._prompts_s / total_s
+        return self._prefill_s / total_s
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -29,7 +29,7 @@
     return [_engine(number, kind) for number, kind in enumerate(kinds)]
 
 
-def _orders(engines, plan=None, now=0.0, part=roles.USUAL_PROMPT_PART):
+def _orders(engines, plan=None, now=0.0, part=roles.DEFAULT_PREFILL_SHARE):
     """Returns what is ordered once whatever is amiss has lasted."""
     plan = plan or roles.Roles()
     plan.next_order(engines, now, part)
@@ -66,7 +66,7 @@
 
     def test_a_large_pool_keeps_its_part(self):
         assert len(_orders(_pool(11, 19))) == 4
-        assert roles.prefills_wanted(30, roles.USUAL_PROMPT_PART) == 7
+        assert roles.optimal_prefill_count(30, roles.DEFAULT_PREFILL_SHARE) == 7
 
     def test_engines_are_divided_as_the_work_is(self):
         """Callers turn from short prompts to long ones with short answers.
@@ -75,9 +75,9 @@
         """
         orders = _orders(_pool(1, 3), part=0.6)
         assert [order.kind for order in orders] == ["prefill"]
-        assert roles.prefills_wanted(9, 0.5) in (4, 5)
-        assert roles.prefills_wanted(9, 0.0) == 1
-        assert roles.prefills_wanted(9, 1.0) == 8
+        assert roles.optimal_prefill_count(9, 0.5) in (4, 5)
+        assert roles.optimal_prefill_count(9, 0.0) == 1
+        assert roles.optimal_prefill_count(9, 1.0) == 8
 
     def test_a_small_gain_is_no_reason_to_change(self):
         """The work's division swings a little from burst to burst.
@@ -126,8 +126,14 @@
         both = [*_pool(1, 3), _engine(9, model.EndpointKind.PREFILL)]
         assert plan.next_order(_pool(1, 3), 0.0) is None
         assert plan.next_order(both, 1.0) is None
-        assert plan.next_order(both, 1.0 + roles.SURPLUS_S - 0.1) is None
-        assert plan.next_order(both[1:], 1.0 + roles.SURPLUS_S) is None
+        assert (
+            plan.next_order(both, 1.0 + roles.MIN_SURPLUS_DURATION_S - 0.1)
+            is None
+        )
+        assert (
+            plan.next_order(both[1:], 1.0 + roles.MIN_SURPLUS_DURATION_S)
+            is None
+        )
 
     def test_the_last_decode_engine_stays(self):
         assert _orders(_pool(0, 1)) == []
@@ -161,7 +167,7 @@
         plan = roles.Roles()
         engines = _pool(2, 2)
         (first,) = _orders(engines, plan, 0.0)
-        ends = _LASTS_S + roles.ORDER_AGAIN_S
+        ends = _LASTS_S + roles.ROLE_CHANGE_COOLDOWN_S
         assert plan.next_order(engines, ends - 0.1) is None
         assert _orders(engines, plan, ends) == [first]
 
@@ -198,7 +204,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.plan = roles.Roles()
-        self.part = roles.USUAL_PROMPT_PART
+        self.part = roles.DEFAULT_PREFILL_SHARE
         self.next_number = 4
         self.engines = {item.id: item for item in _pool(2, 2)}
         self.due: list[tuple[float, model.Endpoint]] = []
