--- a/src/cowsliprill/decisions/messages.py
+++ b/src/cowsliprill/decisions/messages.py
@@ -1,11 +1,11 @@
-"""Typed messages into and out of the decision code.
-
-`scheduler.Scheduler` lives in an entry process: events go in, actions come
-out, and the shell round it (the entry process, or the replay) performs the
-actions and reports what became of them. `slots.SlotLedger` lives in the
-dispatch process that is home to an endpoint and answers `SlotAsk` with
-`SlotGrant`. All times are seconds on the shell's clock, which counts the time
-that the VM was suspended.
+"""Events, actions and lease messages of the request scheduler.
+
+`scheduler.Scheduler` does no I/O: it consumes events and returns actions. The
+process around it (an entry process or the simulator) performs the actions and
+reports their outcomes as events. `slots.SlotLedger` runs in the dispatch
+process that owns an endpoint's slots, the endpoint's home, and answers a
+`SlotAsk` with a `SlotGrant`. All times are in seconds on the clock of the
+calling process, which keeps counting while the VM is suspended.
 """
 
 import dataclasses
@@ -15,10 +15,12 @@
 
 
 class Run(enum.StrEnum):
-    """What is known of whether a request was run, for the caller.
+    """Whether a failed request was executed, as reported to the caller.
 
-    NO is said only when no byte of the call left or the endpoint itself said
-    that it did not run it. Everything else is UNKNOWN.
+    Attributes:
+      NO: No byte of the request was sent, or the endpoint itself reported that
+        it didn't execute it.
+      UNKNOWN: Any other case.
     """
 
     NO = "no"
@@ -26,7 +28,7 @@
 
 
 class Stage(enum.StrEnum):
-    """Where a model request is on its way."""
+    """Processing stage of a model request."""
 
     QUEUED = "queued"
     PREFILL = "prefill"
@@ -35,7 +37,7 @@
 
 
 class RefusalCode(enum.StrEnum):
-    """Why a request is refused; part of the callers' interface."""
+    """Error codes of rejected requests; part of the public API."""
 
     OVERLOADED = "overloaded"
     TARGET_UNREACHABLE = "target_unreachable"
@@ -45,27 +47,28 @@
     ENDPOINT_FAILED = "endpoint_failed"
 
 
-# --- Events: from the shell to the scheduler -------------------------------
+# --- Events: input of the scheduler ------------------------------------------
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Submit:
-    """A caller's model request that passed the checks.
+    """A validated model request to schedule.
 
     Attributes:
       request_id: Key of the request within this scheduler.
       service: The service as resolved when the request arrived.
-      customer: Id of the calling customer (the firm, for a consortium).
+      customer: Id of the calling customer; for a customer with child
+        customers, that of the child.
       prompt_tokens: Estimated tokens of the prompt.
-      output_tokens: Limit of tokens asked for.
-      prefix_hashes: Hashes of the prompt's successive blocks, customer salted,
-        first block first; empty if unknown.
+      output_tokens: Maximum number of output tokens.
+      prefix_hashes: Hashes of the prompt's successive blocks, salted per
+        customer, first block first; empty if unknown.
       priority: The service's priority plus the caller's own offset.
-      deadline: Latest useful time of the first token.
-      expected_tokens: The caller's own guess of the answer's length, 0 for
-        none.
-      useful_until: Latest time of the first token at which the answer is
-        still of some use, 0 if that is the deadline.
+      deadline: Latest time of the first token that meets the target.
+      expected_tokens: Number of output tokens that the caller expects, 0 if it
+        states none.
+      useful_until: Time of the first token after which the caller is expected
+        to have disconnected, 0 if that is the deadline.
     """
 
     request_id: int
@@ -82,12 +85,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Adopt:
-    """A request that another scheduler has placed and that runs.
+    """A running request that was placed by another scheduler.
 
     Attributes:
       submit: The request.
-      start: Where it runs.
-      stage: Where it is on its way.
+      start: Its placement.
+      stage: Its current stage.
     """
 
     submit: Submit
@@ -97,34 +100,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """The caller is gone, or the request's time is over."""
+    """The caller disconnected, or the request timed out."""
 
     request_id: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefillFinished:
-    """The prefill engine has finished; its KV cache waits for transfer."""
+    """The prefill is complete; its KV cache can be transferred."""
 
     request_id: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstToken:
-    """The decode engine has the KV cache and sent the first token."""
+    """The decode engine received the KV cache and sent the first token."""
 
     request_id: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """Some tokens have come; shows a slow engine long before the end.
+    """A stream has progressed; reveals a slow engine before the stream ends.
 
     Sent once or a few times per stream, not for each token.
 
     Attributes:
       request_id: The request.
-      output_tokens: Tokens that came so far.
+      output_tokens: Tokens received so far.
     """
 
     request_id: int
@@ -133,7 +136,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The answer is complete and the decode slot is free.
+    """The output is complete and the decode slots are free.
 
     Attributes:
       request_id: The request.
@@ -146,23 +149,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptFailed:
-    """An attempt came to nothing before any token reached the caller.
+    """An attempt failed before its first token or may be resumed elsewhere.
 
     Attributes:
       request_id: The request.
-      endpoint_id: The endpoint that failed or refused.
-      stage: Where it failed.
-      refused: Whether the endpoint refused because it is full or draining,
-        rather than failed.
-      unsent: Whether no engine has heard of the attempt, since the entry's
-        own lease had run out before.
-      not_run: Whether the request is known not to have run.
-      unreachable: Whether no connection to the endpoint came about.
-      answered: Whether the endpoint itself answered that it failed.
-      kept_s: How long the finished prefill of the attempt is kept yet, for
-        another decode engine to fetch; 0 if it is gone.
+      endpoint_id: The endpoint that failed or rejected the attempt.
+      stage: Stage in which it failed.
+      refused: Whether the endpoint rejected the attempt because it is full or
+        draining, rather than failed.
+      unsent: Whether the attempt wasn't sent to any engine, because the
+        entry's slot lease expired first.
+      not_run: Whether the request is known not to have been executed.
+      unreachable: Whether no connection to the endpoint could be established.
+      answered: Whether the endpoint itself returned an error response.
+      kept_s: Remaining time for which the prefill engine keeps the attempt's
+        KV cache, so that another decode engine can fetch it; 0 if it doesn't.
       resumable: Whether tokens have reached the caller and another engine may
-        go on after the last of them.
+        continue after the last of them.
     """
 
     request_id: int
@@ -179,22 +182,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SlotGrant:
-    """A home's answer: slots of one endpoint, until a time.
+    """A lease on slots of one endpoint, granted to an entry by its home.
 
     Attributes:
       endpoint_id: The endpoint.
-      slots: Slots this entry holds now in all, those in use included.
-      expires_at: End of the lease on the entry's clock; no new work may be
-        placed on it from then on. Running work keeps its slot at the home
-        while the entry goes on reporting it in use.
-      report_age_s: Age of the endpoint's load report at the home.
-      waiting: Asks by other entries that the home could not meet: above 0,
-        slots are scarce and unused ones go back at once.
-      prefix_hashes: Prefix blocks newly known to be cached there.
-      prefix_hashes_gone: Prefix blocks newly known to be evicted there.
-      prefix_epoch: Another number than in the grant before means that earlier
-        news of prefixes may be stale; 0 means unknown.
-      used: Slots of the endpoint in use by all entries, as last stated.
+      slots: Total slots that the entry holds now, those in use included.
+      expires_at: End of the lease on the entry's clock, after which no new
+        request may be placed on it. Running requests keep their slots as long
+        as the entry reports them in use.
+      report_age_s: Age of the endpoint's latest load report at the home.
+      waiting: Unmet demand of other entries. Above 0, slots are scarce and
+        unused ones must be released at once.
+      prefix_hashes: Prefix blocks newly reported as cached.
+      prefix_hashes_gone: Prefix blocks newly reported as evicted.
+      prefix_epoch: Epoch of the prefix block reports. If it differs from that
+        of the previous grant, earlier reports may be stale; 0 means unknown.
+      used: Slots of the endpoint in use by all entries, as last reported.
       sequence: The `SlotAsk.sequence` that this answers.
     """
 
@@ -212,18 +215,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeUnreachable:
-    """No answer from the home of these endpoints."""
+    """The home of these endpoints didn't respond."""
 
     endpoint_ids: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorldChanged:
-    """New settings or a new VM list.
+    """The settings or the VM list changed.
 
     Attributes:
       snapshot: The settings in force.
-      fleet: The VM list with news.
+      fleet: The VM list with later updates.
     """
 
     snapshot: model.Snapshot
@@ -232,7 +235,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; sent at the time `Scheduler.next_wakeup` names."""
+    """The time returned by `Scheduler.next_wakeup` has come."""
 
 
 Event = (
@@ -251,26 +254,29 @@
 )
 
 
-# --- Actions: from the scheduler to the shell ------------------------------
+# --- Actions: output of the scheduler ----------------------------------------
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Start:
-    """Run the prefill, then the transfer and the decode, on these engines.
+    """Run the prefill, the KV cache transfer and the decode on these engines.
 
-    Where both are the same engine, it reads the prompt itself.
+    If both ids name the same engine, the decode engine runs the prefill itself.
 
     Attributes:
       request_id: The request.
       attempt: Number of this attempt, from 0.
       prefill_id: The prefill engine.
-      decode_id: The decode engine whose slot is promised.
-      decided_at: When; noted by the shell, which checks before each act that
-        the leases have held without a gap since.
-      slots: Slots of the decode engine that it takes.
-      used: Slots in use there besides, as last heard.
-      waiting: Requests that wait here for the same pool.
-      reuses_prefill: Whether the prefill of the attempt before is fetched.
+      decode_id: The decode engine on which slots are reserved.
+      decided_at: Time of the decision, set by the process that performs it.
+        Before each step it checks that the slot leases were held without
+        interruption since.
+      slots: Slots of the decode engine that the request takes.
+      used: Slots of the decode engine in use by other requests, as last
+        reported.
+      waiting: Requests queued here for the same pool.
+      reuses_prefill: Whether the KV cache of the previous attempt's prefill is
+        fetched instead of running the prefill again.
     """
 
     request_id: int
@@ -284,20 +290,20 @@
     reuses_prefill: bool = False
 
     def has_prefill(self) -> bool:
-        """Returns whether another engine than the decode engine prefills."""
+        """Returns whether the prefill runs on an engine of its own."""
         return self.prefill_id != self.decode_id
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Refuse:
-    """Give the caller its final answer now.
+    """Reject the request with an error response.
 
     Attributes:
       request_id: The request.
-      code: Why.
-      retry_after_s: When the caller should come back.
-      wait_s: Expected wait of the last request in the queue.
-      waiting: Requests that wait here for the same pool.
+      code: The error code.
+      retry_after_s: Time after which the caller should retry.
+      wait_s: Expected queueing time of the last request in the queue.
+      waiting: Requests queued here for the same pool.
     """
 
     request_id: int
@@ -309,12 +315,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CancelAttempt:
-    """Tell the engines of a started attempt to drop it.
+    """Cancel a started attempt on its engines.
 
     Attributes:
       request_id: The request.
-      attempt: The attempt.
-      endpoint_ids: The engines that may hold memory for it.
+      attempt: Number of the attempt.
+      endpoint_ids: The engines that may hold KV cache memory for it.
     """
 
     request_id: int
@@ -324,24 +330,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SlotAsk:
-    """An entry's standing with one endpoint, sent to the endpoint's home.
+    """An entry's demand for slots of one endpoint, sent to the endpoint's home.
 
-    One message carries all asks for one home. It is a full statement, not a
-    difference, so a lost or repeated message does no harm.
+    One message carries an entry's demand for all endpoints of a home. It states
+    the full demand rather than a difference, so a lost or repeated message does
+    no harm.
 
     Attributes:
       endpoint_id: The endpoint.
-      in_use: Slots that hold running work.
-      want: Slots wanted in all, those in use included.
-      priority: Highest priority among the waiting requests.
-      deadline_in_s: Time left to the nearest deadline among these, seconds.
-      customer_wants: Waiting requests by customer, for fair sharing. Their
-        sum is the part of `want` that is needed now; the rest is a reserve.
-      customer_in_use: Running requests by customer, for fair sharing.
-      held: Slots that the entry goes on holding, those in use included; it
-        gives up any others with this message. -1 keeps all.
-      sequence: Rises with each statement of an entry, so that a home can tell
-        one that was overtaken. 0 means unnumbered.
+      in_use: Slots taken by running requests.
+      want: Total slots wanted, those in use included.
+      priority: Highest priority among the queued requests.
+      deadline_in_s: Time in seconds until the earliest deadline of the queued
+        requests.
+      customer_wants: Number of queued requests by customer, for fair sharing.
+        Their sum is the part of `want` that is needed now; the rest is a
+        reserve.
+      customer_in_use: Number of running requests by customer, for fair sharing.
+      held: Slots that the entry keeps, those in use included; it releases any
+        others with this message. -1 keeps all.
+      sequence: Increases with each message of an entry, so that the home can
+        ignore reordered ones. 0 means unnumbered.
     """
 
     endpoint_id: str
--- a/src/cowsliprill/decisions/model.py
+++ b/src/cowsliprill/decisions/model.py
@@ -1,8 +1,7 @@
-"""What the accepted settings and the VM list say, as plain data classes.
+"""Immutable data classes for the resolved settings and the VM list.
 
-Everything here is immutable. `settings.resolve` builds these from validated
-JSON; the decisions and the processes only read them. Times are seconds, sizes
-are bytes unless a name says otherwise.
+`settings.resolve` builds them from validated JSON; all other code only reads
+them. Times are in seconds and sizes in bytes unless a name says otherwise.
 """
 
 import dataclasses
@@ -11,7 +10,7 @@
 
 
 class EndpointKind(enum.StrEnum):
-    """What an endpoint does."""
+    """Type of an endpoint: the role of an engine, or a plain server."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -19,21 +18,21 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """Whether a service generates tokens or relays one plain HTTP call."""
+    """Whether a service generates tokens or proxies plain HTTP calls."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Idempotency(enum.StrEnum):
-    """Whether a request of a service may run more than once."""
+    """Whether a request of a service may be executed more than once."""
 
     REPEATABLE = "repeatable"
     UNREPEATABLE = "unrepeatable"
 
 
 class VmState(enum.StrEnum):
-    """State of a VM in the platform's list."""
+    """Lifecycle state of a VM in the platform's VM list."""
 
     JOINING = "joining"
     LIVE = "live"
@@ -41,7 +40,7 @@
 
 
 class VmRole(enum.StrEnum):
-    """Whether a VM runs our processes or an endpoint."""
+    """Whether a VM runs the router's processes or an endpoint."""
 
     ENTRY = "entry"
     ENDPOINT = "endpoint"
@@ -49,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EngineTarget:
-    """What an engine should be, a function of the revision alone.
+    """Desired state of an engine, a function of the settings revision alone.
 
     Attributes:
-      role: Role that the engine should have.
-      model: Model it should have loaded.
-      adapter: Adapter it should have loaded, empty for none.
+      role: Role of the engine.
+      model: Model to load.
+      adapter: Adapter to load, empty for none.
       version: Version of the weights.
     """
 
@@ -66,40 +65,43 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Endpoint:
-    """An engine or a plain service's server.
+    """An engine or a server of a plain service.
 
     Attributes:
       id: Unique id.
-      kind: What it does.
-      host: IP number.
+      kind: Role of an engine, or plain server.
+      host: IP address.
       port: TCP port.
-      availability_zone: Where it is.
+      availability_zone: Its availability zone.
       pool: Name of the pool that services refer to.
-      slots: Requests it holds at once.
-      prefill_tokens_per_s: Speed of a prefill, prefill engines only.
-      own_prefill_tokens_per_s: Speed at which a decode engine reads a prompt
-        itself, between the tokens of its streams. 0 where it can't.
+      slots: Capacity in slots: concurrent requests, or KV cache blocks where
+        `block_tokens` is set.
+      prefill_tokens_per_s: Prefill speed, prefill engines only.
+      own_prefill_tokens_per_s: Speed at which a decode engine runs a prefill
+        itself, interleaved with its decodes. 0 where it can't.
       seconds_per_token: Time between tokens of one stream, decode only.
-      link_bytes_per_s: Rate of its link for KV cache.
+      link_bytes_per_s: Bandwidth of its link for KV cache transfers.
       kv_bytes_per_token: Size of the KV cache of one prompt token.
-      export_ttl_s: How long a finished prefill is kept for its transfer.
-      role_change_s: How long it takes to change between prompts and answers
-        once its work has ended.
-      checks_fencing: Whether it refuses orders with an old fencing number.
-      checks_idempotency_keys: Whether it runs a key at most once by itself.
-      block_tokens: Tokens of one slot, where an engine's memory runs out
-        before its places do: `slots` then counts blocks of KV cache, and a
-        request takes as many as it is expected to fill. 0 where each request
+      export_ttl_s: Time for which the KV cache of a finished prefill is kept
+        for its transfer.
+      role_change_s: Duration of a change between prefill and decode role,
+        after the engine has drained.
+      checks_fencing: Whether it rejects commands with an old fencing token.
+      checks_idempotency_keys: Whether it executes a request at most once per
+        idempotency key.
+      block_tokens: Tokens per slot where KV cache memory limits an engine
+        before its concurrency does: `slots` then counts blocks of KV cache, and
+        a request takes as many as it is expected to fill. 0 where each request
         takes one slot.
-      connections_max: Connections that it takes from all VMs together; it
-        resets those beyond. 0 where no bound is known.
-      places: Requests that a decode engine runs at once, whatever memory they
-        take. 0 where its slots are places.
-      speeds_guessed: Whether the speeds are guesses, to be replaced by what
-        its work shows.
-      life: Tells apart lives of an engine that started again under its id.
-      target: What it should be, None for plain services.
-      vm: Id of the VM in the platform's list, empty if not listed.
+      connections_max: Maximum number of connections from all VMs together; it
+        resets those beyond. 0 where no limit is known.
+      places: Maximum number of concurrent requests of a decode engine,
+        regardless of their memory. 0 where `slots` is that limit.
+      speeds_guessed: Whether the speeds are configured defaults, to be replaced
+        by measured ones.
+      life: Distinguishes instances of an engine that restarts under its id.
+      target: Its desired state, None for plain services.
+      vm: Id of the VM in the platform's VM list, empty if not listed.
     """
 
     id: str
@@ -129,24 +131,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EngineFacts:
-    """What the settings say of all engines of one pool.
+    """Configured properties shared by all engines of one pool.
 
-    Speeds are guesses, to be replaced by what the engines' work shows.
+    Speeds are defaults, replaced by measured ones at run time.
 
     Attributes:
-      places: Requests that a decode engine runs at once.
-      memory_tokens: Tokens of KV cache that a decode engine holds.
-      block_tokens: Tokens of one block of it.
-      prefills_at_once: Prompts that a prefill engine is sent at once.
-      prefill_tokens_per_s: Speed of a prefill.
-      own_prefill_tokens_per_s: Speed at which a decode engine reads a prompt
+      places: Maximum number of concurrent requests of a decode engine.
+      memory_tokens: KV cache capacity of a decode engine, in tokens.
+      block_tokens: Tokens per KV cache block.
+      prefills_at_once: Maximum number of concurrent requests of a prefill
+        engine.
+      prefill_tokens_per_s: Prefill speed.
+      own_prefill_tokens_per_s: Speed at which a decode engine runs a prefill
         itself, 0 where it can't.
       seconds_per_token: Time between tokens of one stream.
-      link_bytes_per_s: Rate of an engine's link for KV cache.
+      link_bytes_per_s: Bandwidth of an engine's link for KV cache transfers.
       kv_bytes_per_token: Size of the KV cache of one token.
-      export_ttl_s: How long a finished prefill is kept for its transfer.
-      role_change_s: How long an engine takes to change between prompts and
-        answers once its work has ended.
+      export_ttl_s: Time for which the KV cache of a finished prefill is kept
+        for its transfer.
+      role_change_s: Duration of a change between prefill and decode role,
+        after the engine has drained.
     """
 
     places: int
@@ -162,27 +166,28 @@
     role_change_s: float
 
     def describe(self, endpoint: Endpoint, connections_max: int) -> Endpoint:
-        """Returns an engine with what the settings say of it.
+        """Returns an engine with the configured properties set.
 
         Args:
           endpoint: The engine.
-          connections_max: Connections that it takes from all VMs, 0 if unknown.
+          connections_max: Maximum number of connections from all VMs together,
+            0 if unknown.
         """
-        slots = {
+        slots_by_kind = {
             EndpointKind.PREFILL: self.prefills_at_once,
             EndpointKind.DECODE: self.memory_tokens // self.block_tokens,
         }
-        blocks = endpoint.kind is EndpointKind.DECODE
+        is_decode = endpoint.kind is EndpointKind.DECODE
         return dataclasses.replace(
             endpoint,
             connections_max=connections_max,
-            slots=slots.get(endpoint.kind, endpoint.slots),
-            block_tokens=self.block_tokens if blocks else 0,
-            places=self.places if blocks else 0,
+            slots=slots_by_kind.get(endpoint.kind, endpoint.slots),
+            block_tokens=self.block_tokens if is_decode else 0,
+            places=self.places if is_decode else 0,
             speeds_guessed=True,
             prefill_tokens_per_s=self.prefill_tokens_per_s,
             own_prefill_tokens_per_s=(
-                self.own_prefill_tokens_per_s if blocks else 0.0
+                self.own_prefill_tokens_per_s if is_decode else 0.0
             ),
             seconds_per_token=self.seconds_per_token,
             link_bytes_per_s=self.link_bytes_per_s,
@@ -194,14 +199,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class RetryRules:
-    """Budget of retries of one service.
+    """Retry budget of one service, a token bucket filled by its requests.
 
     Attributes:
-      ratio: Retries earned by each request.
-      burst: Retries that may be saved up.
-      attempts: Attempts at most for one request, the first included.
-      failed_answers: Whether a plain service's own failure (a 5xx answer to a
-        repeatable request) is tried again elsewhere.
+      ratio: Retries added to the budget by each request.
+      burst: Maximum size of the budget.
+      attempts: Maximum number of attempts per request, the first included.
+      failed_answers: Whether a 5xx response of a plain service to a repeatable
+        request is retried on another server.
     """
 
     ratio: float = 0.1
@@ -212,38 +217,39 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A service after inheritance.
+    """A service with inherited settings resolved.
 
     Attributes:
-      id: `<customer>/<name>`, the customer being the one that declares it.
+      id: `<customer>/<name>`, with the customer that declares it.
       customer: Id of the customer that declares it; its child customers may
         call it.
-      name: Name callers use as model name or path.
+      name: Name by which callers address it, as model name or path.
       kind: Whether it generates tokens.
-      model: Model name at the engines.
+      model: Name of the model at the engines.
       pool: Pool of prefill and decode engines, or of plain servers.
-      ttft_target_s: Target for the time to first token (plain: whole answer).
-      tpot_target_s: Target for the time between tokens.
-      priority: Larger goes first.
-      idempotency: Whether a request may run more than once.
-      retries: Its budget of retries.
-      may_wait_s: Longest time in a queue, at most.
-      timeout_s: Longest time for a whole request.
-      resume: Whether a cut stream may be resumed.
-      max_prompt_tokens: Limit of the prompt.
-      max_output_tokens: Limit of the answer.
-      max_body_bytes: Limit of a request's body.
-      goodput_weight: How much a request within its targets is worth.
-      wasted_prefill_weight: How much an unused prefill costs.
+      ttft_target_s: Target for the time to first token; for plain services,
+        for the whole response.
+      tpot_target_s: Target for the time per output token.
+      priority: Requests of higher priority are scheduled first.
+      idempotency: Whether a request may be executed more than once.
+      retries: Its retry budget.
+      may_wait_s: Maximum time in the queue.
+      timeout_s: Maximum time for a whole request.
+      resume: Whether a truncated stream may be resumed.
+      max_prompt_tokens: Maximum length of the prompt.
+      max_output_tokens: Maximum length of the output.
+      max_body_bytes: Maximum size of a request body.
+      goodput_weight: Value of a request that meets its targets.
+      wasted_prefill_weight: Cost of a prefill whose result isn't used.
       methods: HTTP methods of a plain service.
       echoes_request_id: Whether a plain service returns `X-Request-Id`.
-      worth_by_size: Part of a request's worth that goes by its tokens; the
-        rest is the same for all of the service.
+      worth_by_size: Fraction of a request's value that is proportional to its
+        tokens; the rest is the same for all requests of the service.
       tokens_per_event: Tokens in one event of a stream.
-      patience_s: How long callers wait for the first event of a stream before
-        they leave; 0 where none is known to.
-      retry_group: Services that name the same group share one budget of
-        retries; empty for a budget of its own.
+      patience_s: Time after which callers disconnect if no event of a stream
+        has arrived; 0 where none is known to.
+      retry_group: Services that name the same group share one retry budget;
+        empty for a budget of its own.
     """
 
     id: str
@@ -275,15 +281,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Quota:
-    """What a customer may ask for, at all VMs together: a token bucket.
+    """Rate limit of a customer over all VMs, a token bucket of cost units.
 
     Attributes:
-      per_s: Cost units that are added each second.
-      burst: Cost units that the bucket holds beyond one second's.
-      by_tokens: Whether a request costs the tokens of its prompt and of its
-        longest answer; else each costs one unit.
-      plain_cost: Cost units of a request that states no tokens, where those
-        are counted.
+      per_s: Cost units added per second.
+      burst: Capacity of the bucket beyond one second's worth of cost units.
+      by_tokens: Whether a request costs its prompt tokens plus its maximum
+        output tokens; otherwise each costs one unit.
+      plain_cost: Cost units of a request that states no tokens, where
+        `by_tokens` is set.
     """
 
     per_s: float
@@ -294,14 +300,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Which service answers the calls below one path of one host.
+    """Maps the paths below a prefix on one host to services.
 
     Attributes:
-      name: The operator's name for it.
-      host: Host that callers name.
-      path_prefix: Start of the paths; begins and ends with a slash.
-      services: Ids of services and their weights; a call goes to one of them.
-      public: Whether its calls need no API key.
+      name: Name given by the operator.
+      host: Host name in the request.
+      path_prefix: Prefix of the paths; begins and ends with a slash.
+      services: Ids and weights of services; each request goes to one of them.
+      public: Whether requests need no API key.
     """
 
     name: str
@@ -313,13 +319,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CallLimits:
-    """What a caller may send, and how long its connection may rest.
+    """HTTP limits for callers.
 
     Attributes:
-      header_bytes: Bytes of all headers.
-      body_bytes: Bytes of a body.
-      header_timeout_s: Time for the headers of one call.
-      idle_timeout_s: Time that a connection may be kept between two calls.
+      header_bytes: Maximum size of all headers.
+      body_bytes: Maximum size of a request body.
+      header_timeout_s: Timeout for receiving the headers of a request.
+      idle_timeout_s: Keep-alive timeout between two requests.
     """
 
     header_bytes: int = 16_384
@@ -330,15 +336,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Customer:
-    """A customer or one of its child customers (a firm of a consortium).
+    """A customer or a child customer, such as a firm of a consortium.
 
     Attributes:
       id: Path from the root, for example `umurongo/firm-1`.
       parent: Id of the parent customer, empty at the top.
       key_hashes: Hex SHA-256 digests of its API keys.
       share: Weight in the fair sharing of slots.
-      priority: Goes before the priority of a service, None to keep that.
-      quota: What it may ask for, None for no limit.
+      priority: Overrides the priority of a service unless None.
+      quota: Its rate limit, None for no limit.
     """
 
     id: str
@@ -351,18 +357,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Vm:
-    """A VM of the platform's list.
+    """A VM of the platform's VM list.
 
     Attributes:
       id: Unique id.
-      host: IP number.
-      availability_zone: Where it is.
-      role: Whether it runs our processes.
-      state: Whether it is leaving.
+      host: IP address.
+      availability_zone: Its availability zone.
+      role: Whether it runs the router's processes or an endpoint.
+      state: Its lifecycle state.
       settings_port: Port of its settings process, entry VMs only.
       dispatch_port: Port of its dispatch process, entry VMs only.
       entry_ports: Peer ports of its entry processes, entry VMs only.
-      cores: Processor cores that it may use, 0 if it isn't known.
+      cores: Processor cores that it may use, 0 if unknown.
     """
 
     id: str
@@ -378,19 +384,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot:
-    """One accepted revision of the settings, resolved.
+    """One accepted and resolved revision of the settings.
 
     Attributes:
-      revision: Number that only rises; 0 means none accepted yet.
-      customers_by_id: Every customer.
+      revision: Increasing revision number; 0 before any was accepted.
+      customers_by_id: All customers.
       customers_by_key_hash: The customer of each API key.
-      services_by_id: Every service.
-      endpoints_by_id: Every endpoint.
-      routes_by_prefix_by_host: Routes of callers that name no service, by
+      services_by_id: All services.
+      endpoints_by_id: All endpoints.
+      routes_by_prefix_by_host: Routes for requests that name no service, by
         host and then by path prefix.
-      limits: What callers may send.
-      keys_required: Whether callers of routes need an API key, but for the
-        public ones.
+      limits: HTTP limits for callers.
+      keys_required: Whether requests need an API key on routes that aren't
+        public.
     """
 
     revision: int = 0
@@ -413,15 +419,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Fleet:
-    """The VM list as this VM knows it, with news that the list lacks.
+    """This VM's view of the VM list, with updates that the list lacks.
 
     Attributes:
-      version: Rises with each change seen by this VM.
+      version: Increases with each change seen by this VM.
       vms_by_id: VMs of the list.
-      leaving_endpoint_ids: Endpoints known to be leaving, from the list (by
-        their VM) or from their own draining answers.
-      changing_endpoint_ids: Engines that were ordered to change between
-        prompts and answers, and aren't listed as changed yet.
+      leaving_endpoint_ids: Endpoints known to be draining, from the state of
+        their VM in the list or from their own responses.
+      changing_endpoint_ids: Engines with a role change in progress, still
+        listed in their old role.
     """
 
     version: int = 0
--- a/src/cowsliprill/decisions/speeds.py
+++ b/src/cowsliprill/decisions/speeds.py
@@ -35,16 +35,13 @@
     """Time per token in seconds, published only if it changes noticeably."""
 
     def __init__(self) -> None:
-        self.published_s = 0.0
+        self.told_s = 0.0
 
     def update(self, seconds: float) -> bool:
         """Updates the estimate; returns whether the published value changed."""
-        if (
-            abs(seconds - self.published_s)
-            <= self.published_s * _MIN_RELATIVE_CHANGE
-        ):
+        if abs(seconds - self.told_s) <= self.told_s * _MIN_RELATIVE_CHANGE:
             return False
-        self.published_s = seconds
+        self.told_s = seconds
         return True
 
 
@@ -109,8 +106,8 @@
     """Estimates the prefill and decode speeds of one pool's engines."""
 
     def __init__(self) -> None:
-        self._prefill = _PrefillTime()
-        self._decode = _DecodeTime()
+        self._prompt = _PrefillTime()
+        self._answer = _DecodeTime()
 
     def read(self, tokens: int, seconds: float) -> bool:
         """Adds the prefill of a prompt that ran alone on a prefill engine.
@@ -123,7 +120,7 @@
           Whether a published speed changed, so that `describe` must be applied
           to the engines again.
         """
-        return self._prefill.add(tokens, seconds)
+        return self._prompt.add(tokens, seconds)
 
     def wrote(self, tokens: int, seconds: float) -> bool:
         """Adds the decode of an output or a part of one.
@@ -138,11 +135,11 @@
         """
         if tokens < _MIN_DECODE_TOKENS or seconds <= 0:
             return False
-        return self._decode.add(seconds / tokens)
+        return self._answer.add(seconds / tokens)
 
     def are_known(self) -> bool:
         """Returns whether both speeds have been estimated."""
-        return self._prefill.published_s > 0 and self._decode.published_s > 0
+        return self._prompt.told_s > 0 and self._answer.told_s > 0
 
     def describe(self, endpoint: model.Endpoint) -> model.Endpoint:
         """Returns an engine with its default speeds replaced by measured ones.
@@ -154,10 +151,10 @@
         if not endpoint.speeds_guessed:
             return endpoint
         measured: dict[str, float] = {}
-        if self._decode.published_s:
-            measured["seconds_per_token"] = self._decode.published_s
-        if self._prefill.published_s:
-            speed = 1 / self._prefill.published_s
+        if self._answer.told_s:
+            measured["seconds_per_token"] = self._answer.told_s
+        if self._prompt.told_s:
+            speed = 1 / self._prompt.told_s
             default_speed = endpoint.prefill_tokens_per_s
             measured["prefill_tokens_per_s"] = speed
             measured["own_prefill_tokens_per_s"] = (
