--- a/src/cowsliprill/decisions/messages.py
+++ b/src/cowsliprill/decisions/messages.py
@@ -1,11 +1,11 @@
 """Events, actions and lease messages of the request scheduler.
 
 `scheduler.Scheduler` does no I/O: it consumes events and returns actions. The
-process around it (an entry process or the simulator) performs the actions and
+I/O layer (a process of the router, or the simulator) performs the actions and
 reports their outcomes as events. `slots.SlotLedger` runs in the dispatch
-process that owns an endpoint's slots, the endpoint's home, and answers a
-`SlotAsk` with a `SlotGrant`. All times are in seconds on the clock of the
-calling process, which keeps counting while the VM is suspended.
+process of an endpoint's coordinator and answers a `SlotAsk` with a `SlotGrant`.
+All times are in seconds on the clock of the I/O layer, which keeps counting
+while the VM is suspended.
 """
 
 import dataclasses
@@ -158,12 +158,12 @@
       refused: Whether the endpoint rejected the attempt because it is full or
         draining, rather than failed.
       unsent: Whether the attempt wasn't sent to any engine, because the
-        entry's slot lease expired first.
+        entry process's slot lease expired first.
       not_run: Whether the request is known not to have been executed.
       unreachable: Whether no connection to the endpoint could be established.
       answered: Whether the endpoint itself returned an error response.
-      kept_s: Remaining time for which the prefill engine keeps the attempt's
-        KV cache, so that another decode engine can fetch it; 0 if it doesn't.
+      kept_s: Remaining time for which the attempt's exported KV cache is kept,
+        so that another decode engine can fetch it; 0 if it isn't kept.
       resumable: Whether tokens have reached the caller and another engine may
         continue after the last of them.
     """
@@ -182,22 +182,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SlotGrant:
-    """A lease on slots of one endpoint, granted to an entry by its home.
+    """A lease on slots of one endpoint, granted to an entry process.
 
     Attributes:
       endpoint_id: The endpoint.
-      slots: Total slots that the entry holds now, those in use included.
-      expires_at: End of the lease on the entry's clock, after which no new
-        request may be placed on it. Running requests keep their slots as long
-        as the entry reports them in use.
-      report_age_s: Age of the endpoint's latest load report at the home.
-      waiting: Unmet demand of other entries. Above 0, slots are scarce and
-        unused ones must be released at once.
+      slots: Total slots that the entry process holds now, those in use
+        included.
+      expires_at: End of the lease on the entry process's clock, after which no
+        new request may be placed on it. Running requests keep their slots as
+        long as the entry process reports them in use.
+      report_age_s: Age of the endpoint's latest load report at its
+        coordinator.
+      waiting: Unmet demand of other entry processes. Above 0, slots are scarce
+        and unused ones must be released at once.
       prefix_hashes: Prefix blocks newly reported as cached.
       prefix_hashes_gone: Prefix blocks newly reported as evicted.
       prefix_epoch: Epoch of the prefix block reports. If it differs from that
         of the previous grant, earlier reports may be stale; 0 means unknown.
-      used: Slots of the endpoint in use by all entries, as last reported.
+      used: Slots of the endpoint in use by all entry processes, as last
+        reported.
       sequence: The `SlotAsk.sequence` that this answers.
     """
 
@@ -215,7 +218,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeUnreachable:
-    """The home of these endpoints didn't respond."""
+    """The coordinator of these endpoints didn't respond."""
 
     endpoint_ids: tuple[str, ...]
 
@@ -261,15 +264,15 @@
 class Start:
     """Run the prefill, the KV cache transfer and the decode on these engines.
 
-    If both ids name the same engine, the decode engine runs the prefill itself.
+    If both ids name the same engine, the prefill is local to the decode engine.
 
     Attributes:
       request_id: The request.
       attempt: Number of this attempt, from 0.
       prefill_id: The prefill engine.
       decode_id: The decode engine on which slots are reserved.
-      decided_at: Time of the decision, set by the process that performs it.
-        Before each step it checks that the slot leases were held without
+      decided_at: Time of the decision, set by the I/O layer. Before each
+        step the I/O layer checks that the slot leases were held without
         interruption since.
       slots: Slots of the decode engine that the request takes.
       used: Slots of the decode engine in use by other requests, as last
@@ -330,9 +333,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SlotAsk:
-    """An entry's demand for slots of one endpoint, sent to the endpoint's home.
+    """An entry process's demand for slots, sent to an endpoint's coordinator.
 
-    One message carries an entry's demand for all endpoints of a home. It states
+    A message carries the demand for all endpoints of one coordinator. It states
     the full demand rather than a difference, so a lost or repeated message does
     no harm.
 
@@ -343,14 +346,14 @@
       priority: Highest priority among the queued requests.
       deadline_in_s: Time in seconds until the earliest deadline of the queued
         requests.
-      customer_wants: Number of queued requests by customer, for fair sharing.
+      customer_wants: Queued requests by customer, for fair sharing.
         Their sum is the part of `want` that is needed now; the rest is a
         reserve.
-      customer_in_use: Number of running requests by customer, for fair sharing.
-      held: Slots that the entry keeps, those in use included; it releases any
-        others with this message. -1 keeps all.
-      sequence: Increases with each message of an entry, so that the home can
-        ignore reordered ones. 0 means unnumbered.
+      customer_in_use: Running requests by customer, for fair sharing.
+      held: Slots that the entry process keeps, those in use included; it
+        releases any others with this message. -1 keeps all.
+      sequence: Increases with each message of an entry process, so that the
+        coordinator can ignore reordered ones. 0 means unnumbered.
     """
 
     endpoint_id: str
--- a/src/cowsliprill/decisions/model.py
+++ b/src/cowsliprill/decisions/model.py
@@ -77,13 +77,13 @@
       slots: Capacity in slots: concurrent requests, or KV cache blocks where
         `block_tokens` is set.
       prefill_tokens_per_s: Prefill speed, prefill engines only.
-      own_prefill_tokens_per_s: Speed at which a decode engine runs a prefill
-        itself, interleaved with its decodes. 0 where it can't.
+      own_prefill_tokens_per_s: Speed of local prefills on a decode engine,
+        interleaved with its decodes. 0 where it can't run any.
       seconds_per_token: Time between tokens of one stream, decode only.
       link_bytes_per_s: Bandwidth of its link for KV cache transfers.
       kv_bytes_per_token: Size of the KV cache of one prompt token.
-      export_ttl_s: Time for which the KV cache of a finished prefill is kept
-        for its transfer.
+      export_ttl_s: Time for which the exported KV cache of a finished prefill
+        is kept for its transfer.
       role_change_s: Duration of a change between prefill and decode role,
         after the engine has drained.
       checks_fencing: Whether it rejects commands with an old fencing token.
@@ -99,7 +99,7 @@
         regardless of their memory. 0 where `slots` is that limit.
       speeds_guessed: Whether the speeds are configured defaults, to be replaced
         by measured ones.
-      life: Distinguishes instances of an engine that restarts under its id.
+      life: Distinguishes incarnations of an engine that restarts under its id.
       target: Its desired state, None for plain services.
       vm: Id of the VM in the platform's VM list, empty if not listed.
     """
@@ -142,13 +142,13 @@
       prefills_at_once: Maximum number of concurrent requests of a prefill
         engine.
       prefill_tokens_per_s: Prefill speed.
-      own_prefill_tokens_per_s: Speed at which a decode engine runs a prefill
-        itself, 0 where it can't.
+      own_prefill_tokens_per_s: Speed of local prefills on a decode engine,
+        0 where it can't run any.
       seconds_per_token: Time between tokens of one stream.
       link_bytes_per_s: Bandwidth of an engine's link for KV cache transfers.
       kv_bytes_per_token: Size of the KV cache of one token.
-      export_ttl_s: Time for which the KV cache of a finished prefill is kept
-        for its transfer.
+      export_ttl_s: Time for which the exported KV cache of a finished prefill
+        is kept for its transfer.
       role_change_s: Duration of a change between prefill and decode role,
         after the engine has drained.
     """
@@ -205,7 +205,7 @@
       ratio: Retries added to the budget by each request.
       burst: Maximum size of the budget.
       attempts: Maximum number of attempts per request, the first included.
-      failed_answers: Whether a 5xx response of a plain service to a repeatable
+      failed_answers: Whether a 5xx response of a plain service to an idempotent
         request is retried on another server.
     """
 
--- a/src/cowsliprill/decisions/roles.py
+++ b/src/cowsliprill/decisions/roles.py
@@ -2,7 +2,7 @@
 
 Prefill is bound by compute, decode by KV cache memory, and a pool's throughput
 is limited by whichever role is short. The planner therefore splits the engines
-in proportion to the recent load and requests role changes one at a time. Pools
+in proportion to the recent load and orders role changes one at a time. Pools
 are often provisioned with too many prefill engines: four engines served 74% of
 the request value when split 2:2, because requests waited for decode memory, and
 97% when split into one prefill and three decode engines.
@@ -14,10 +14,10 @@
 
 from cowsliprill.decisions import model
 
-# Prefill's share of a pool's load, assumed until requests have been seen: a
+# Prefill's fraction of a pool's load, assumed until it has been estimated: a
 # prompt of a few thousand tokens occupies a prefill engine for 0.1 s, and its
 # output fills a tenth of a decode engine's memory for several seconds.
-DEFAULT_PREFILL_SHARE = 0.22
+DEFAULT_PREFILL_FRACTION = 0.22
 
 # Factor by which a new split must raise the pool's capacity. An engine is
 # unavailable for seconds while it changes, and a smaller threshold makes
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """A role change of one engine.
+    """An order to an engine to change its role.
 
     Attributes:
       endpoint: The engine to change, in its current role.
@@ -50,8 +50,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class _PendingChange:
-    requested_at: float
+class _PendingOrder:
+    sent_at: float
     kind: model.EndpointKind
     acknowledged: bool = False
 
@@ -60,32 +60,32 @@
     """Plans the role changes of one pool and tracks those in progress."""
 
     def __init__(self) -> None:
-        self._pending_by_instance: dict[tuple[str, str], _PendingChange] = {}
+        self._pending_by_incarnation: dict[tuple[str, str], _PendingOrder] = {}
         self._imbalance: tuple[model.EndpointKind, float] | None = None
 
     def next_order(
         self,
         endpoints: Iterable[model.Endpoint],
         now: float,
-        prefill_share: float | None = None,
+        prefill_fraction: float | None = None,
     ) -> Order | None:
-        """Returns the role change to request next, None if none is due.
+        """Returns the next role change to order, None if none is due.
 
         Args:
           endpoints: The pool's engines, without those that are draining.
           now: Current time in seconds.
-          prefill_share: Prefill's share of the pool's load, from 0 to 1; None
-            while unknown.
+          prefill_fraction: Prefill's fraction of the pool's load, from 0 to 1;
+            None while unknown.
         """
         self._expire_pending(now)
-        if prefill_share is None:
-            prefill_share = DEFAULT_PREFILL_SHARE
+        if prefill_fraction is None:
+            prefill_fraction = DEFAULT_PREFILL_FRACTION
         engines = [item for item in endpoints if item.kind is not _Kind.PLAIN]
         prefills, decodes = self._split_by_role(engines)
         kind = _kind_to_add(
             len(prefills),
             len(decodes),
-            prefill_share,
+            prefill_fraction,
             in_progress=any(self._is_changing(item) for item in engines),
         )
         if not self._is_sustained(kind, engines, now):
@@ -96,29 +96,29 @@
         return _select(self._without_pending(donors), donors, kind)
 
     def ordered(self, order: Order, now: float) -> None:
-        """Records that a role change is being requested.
+        """Records that an order is being sent.
 
-        The request counts as pending even if its delivery is never confirmed.
+        It counts as pending even if its delivery is never confirmed.
 
         Args:
-          order: The role change.
+          order: The order.
           now: Current time in seconds.
         """
-        change = _PendingChange(requested_at=now, kind=order.kind)
-        self._pending_by_instance[_instance(order.endpoint)] = change
+        pending = _PendingOrder(sent_at=now, kind=order.kind)
+        self._pending_by_incarnation[_incarnation(order.endpoint)] = pending
 
     def answered(self, order: Order) -> None:
-        """Records that the engine acknowledged a requested role change."""
-        instance = _instance(order.endpoint)
-        change = self._pending_by_instance[instance]
-        self._pending_by_instance[instance] = dataclasses.replace(
-            change, acknowledged=True
+        """Records that the engine acknowledged an order."""
+        incarnation = _incarnation(order.endpoint)
+        pending = self._pending_by_incarnation[incarnation]
+        self._pending_by_incarnation[incarnation] = dataclasses.replace(
+            pending, acknowledged=True
         )
 
     def changing(
         self, endpoints: Iterable[model.Endpoint]
     ) -> list[tuple[str, str]]:
-        """Returns id and new role of each engine with an acknowledged change.
+        """Returns id and new role of each engine with an acknowledged order.
 
         Args:
           endpoints: The pool's engines. One that is listed in its new role
@@ -126,15 +126,19 @@
         """
         found = []
         for item in endpoints:
-            change = self._pending_by_instance.get(_instance(item))
-            if change and change.acknowledged and change.kind is not item.kind:
-                found.append((item.id, change.kind.value))
+            pending = self._pending_by_incarnation.get(_incarnation(item))
+            if (
+                pending
+                and pending.acknowledged
+                and pending.kind is not item.kind
+            ):
+                found.append((item.id, pending.kind.value))
         return found
 
     def _split_by_role(
         self, engines: list[model.Endpoint]
     ) -> tuple[list[model.Endpoint], list[model.Endpoint]]:
-        """Returns prefill and decode engines, pending changes included."""
+        """Returns prefill and decode engines, pending orders included."""
         prefills: list[model.Endpoint] = []
         decodes: list[model.Endpoint] = []
         for engine in engines:
@@ -143,8 +147,8 @@
         return prefills, decodes
 
     def _planned_kind(self, endpoint: model.Endpoint) -> model.EndpointKind:
-        change = self._pending_by_instance.get(_instance(endpoint))
-        return change.kind if change else endpoint.kind
+        pending = self._pending_by_incarnation.get(_incarnation(endpoint))
+        return pending.kind if pending else endpoint.kind
 
     def _is_sustained(
         self,
@@ -196,23 +200,23 @@
         return [
             item
             for item in endpoints
-            if _instance(item) not in self._pending_by_instance
+            if _incarnation(item) not in self._pending_by_incarnation
         ]
 
     def _expire_pending(self, now: float) -> None:
-        self._pending_by_instance = {
-            instance: change
-            for instance, change in self._pending_by_instance.items()
-            if now - change.requested_at < ROLE_CHANGE_COOLDOWN_S
+        self._pending_by_incarnation = {
+            incarnation: pending
+            for incarnation, pending in self._pending_by_incarnation.items()
+            if now - pending.sent_at < ROLE_CHANGE_COOLDOWN_S
         }
 
 
-def optimal_prefill_count(engines: int, prefill_share: float) -> int:
+def optimal_prefill_count(engines: int, prefill_fraction: float) -> int:
     """Returns the number of prefill engines that maximizes pool capacity.
 
     Args:
       engines: Number of engines in the pool.
-      prefill_share: Prefill's share of the pool's load, from 0 to 1.
+      prefill_fraction: Prefill's fraction of the pool's load, from 0 to 1.
 
     Returns:
       At least 1, and at least one less than `engines`; 0 for fewer than two
@@ -221,38 +225,40 @@
     return max(
         range(1, engines),
         key=lambda prefills: _capacity(
-            prefills, engines - prefills, prefill_share
+            prefills, engines - prefills, prefill_fraction
         ),
         default=0,
     )
 
 
-def _capacity(prefills: int, decodes: int, prefill_share: float) -> float:
+def _capacity(prefills: int, decodes: int, prefill_fraction: float) -> float:
     """Returns a split's capacity as an equivalent number of mixed engines."""
     return min(
-        prefills / prefill_share if prefill_share > 0 else float("inf"),
-        decodes / (1 - prefill_share) if prefill_share < 1 else float("inf"),
+        prefills / prefill_fraction if prefill_fraction > 0 else float("inf"),
+        decodes / (1 - prefill_fraction)
+        if prefill_fraction < 1
+        else float("inf"),
     )
 
 
 def _kind_to_add(
-    prefills: int, decodes: int, prefill_share: float, *, in_progress: bool
+    prefills: int, decodes: int, prefill_fraction: float, *, in_progress: bool
 ) -> model.EndpointKind | None:
     """Returns the role that needs one more engine, None if neither does.
 
     Args:
-      prefills: Number of prefill engines, pending changes included.
-      decodes: Number of decode engines, pending changes included.
-      prefill_share: Prefill's share of the pool's load, from 0 to 1.
+      prefills: Number of prefill engines, pending orders included.
+      decodes: Number of decode engines, pending orders included.
+      prefill_fraction: Prefill's fraction of the pool's load, from 0 to 1.
       in_progress: Whether engines are changing already. A rebalancing that
         passed the minimum gain is completed at any gain.
     """
     engines = prefills + decodes
-    target = optimal_prefill_count(engines, prefill_share)
+    target = optimal_prefill_count(engines, prefill_fraction)
     if target in (0, prefills):
         return None
-    capacity = _capacity(prefills, decodes, prefill_share)
-    target_capacity = _capacity(target, engines - target, prefill_share)
+    capacity = _capacity(prefills, decodes, prefill_fraction)
+    target_capacity = _capacity(target, engines - target, prefill_fraction)
     if target_capacity <= capacity * (
         1.0 if in_progress else MIN_CAPACITY_GAIN
     ):
@@ -280,5 +286,5 @@
     return Order(endpoint=endpoint, kind=kind)
 
 
-def _instance(endpoint: model.Endpoint) -> tuple[str, str]:
+def _incarnation(endpoint: model.Endpoint) -> tuple[str, str]:
     return (endpoint.id, endpoint.life)
--- a/src/cowsliprill/decisions/workload.py
+++ b/src/cowsliprill/decisions/workload.py
@@ -6,7 +6,7 @@
 # engine that changed its role for one would be unavailable for half of it.
 _DECAY_S = 15.0
 
-# Below this decayed count, the share reflects the sizes of single requests
+# Below this decayed count, the fraction reflects the sizes of single requests
 # rather than the traffic.
 _MIN_REQUESTS = 20.0
 
@@ -36,10 +36,10 @@
         self._decode_s = self._decode_s * decay + answer_s
 
     def prompt_part(self) -> float | None:
-        """Returns prefill's share of the load, from 0 to 1.
+        """Returns prefill's fraction of the load, from 0 to 1.
 
         Returns:
-          The share, or None if too few requests arrived recently.
+          The fraction, or None if too few requests arrived recently.
         """
         total_s = self._prefill_s + self._decode_s
         if self._requests < _MIN_REQUESTS or total_s <= 0:
--- a/tests/test_ablate.py
+++ b/tests/test_ablate.py
@@ -1,4 +1,4 @@
-"""Tests of `tools.ablate`: what a mechanism is worth."""
+"""Tests of `tools.ablate`: goodput lost without a mechanism."""
 
 import json
 
@@ -28,23 +28,23 @@
 
 
 class TestParse:
-    """The bench's text."""
+    """Parsing of the benchmark's output."""
 
-    def test_a_day(self):
+    def test_row(self):
         assert ablate.parse(_TEXT, "scale-2") == (0.458, 0.676, "")
 
-    def test_a_broken_rule(self):
+    def test_broken_rule(self):
         assert ablate.parse(_TEXT, "trouble-1") == (-0.12, 0.3, "LOST")
 
-    def test_a_day_that_wasnt_played(self):
+    def test_missing_row(self):
         with pytest.raises(ValueError, match="quiet-1"):
             ablate.parse(_TEXT, "quiet-1")
 
 
 class TestTable:
-    """What is lost without each."""
+    """Loss of goodput without each mechanism."""
 
-    def test_only_days_that_both_have_are_compared(self):
+    def test_compares_only_rows_present_in_both(self):
         lines = ablate.table(
             [
                 _play("none", "d1", 0.7),
@@ -59,9 +59,9 @@
 
 
 class TestSetting:
-    """The copy's template differs in one setting."""
+    """The setting written into the copied configuration template."""
 
-    def test_a_process_takes_it(self, tmp_path):
+    def test_process_loads_disabled_mechanism(self, tmp_path):
         template = tmp_path / "settings.json"
         template.write_text(
             json.dumps(
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Parts of the decisions that can be switched off."""
+"""Tests of `decisions.mechanisms`: switches for ablation studies."""
 
 import json
 
@@ -36,10 +36,10 @@
 )
 
 
-class TestDescriptions:
-    """Most mechanisms rest on what decisions are told."""
+class TestOverrides:
+    """Disabling a mechanism clears the fields that it depends on."""
 
-    def test_all_are_on_by_default(self):
+    def test_nothing_is_disabled_by_default(self):
         assert mechanisms.endpoint(_ENDPOINT, ()) is _ENDPOINT
         services = {"s": _SERVICE}
         assert mechanisms.services(services, ()) is services
@@ -53,7 +53,7 @@
             (_Mechanism.OWN_READING, "own_prefill_tokens_per_s"),
         ],
     )
-    def test_of_an_endpoint(self, mechanism, field):
+    def test_clears_endpoint_field(self, mechanism, field):
         found = mechanisms.endpoint(_ENDPOINT, {mechanism})
         assert not getattr(found, field)
 
@@ -64,11 +64,11 @@
             (_Mechanism.SIZE_WORTH, "worth_by_size"),
         ],
     )
-    def test_of_a_service(self, mechanism, field):
+    def test_clears_service_field(self, mechanism, field):
         found = mechanisms.services({"s": _SERVICE}, {mechanism})
         assert not getattr(found["s"], field)
 
-    def test_servers_that_arent_compared(self):
+    def test_servers_without_comparison(self):
         health = server_health.Uncompared()
         health.answered_with_failure("a", ["b"], 0.0)
         assert health.is_alone("a", 0.9)
@@ -76,7 +76,7 @@
 
 
 class TestSetting:
-    """The process's own file names them."""
+    """The setting `mechanisms_off` of a process's configuration file."""
 
     @staticmethod
     def _load(tmp_path, names):
@@ -93,13 +93,13 @@
         path.write_text(json.dumps(fields))
         return node.load(path)
 
-    def test_known_ones(self, tmp_path):
+    def test_known_names(self, tmp_path):
         loaded = self._load(tmp_path, ["role_orders", "peer_news"])
         off = {_Mechanism.ROLE_ORDERS, _Mechanism.PEER_NEWS}
         assert loaded.mechanisms_off == off
         assert loaded.environment().mechanisms_off == off
 
-    def test_an_unknown_one(self, tmp_path):
-        """A misspelt name would be an experiment with everything on."""
+    def test_unknown_name(self, tmp_path):
+        """A misspelled name would silently disable nothing."""
         with pytest.raises(environment.EnvironmentFileError, match="rolls"):
             self._load(tmp_path, ["rolls"])
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -1,4 +1,4 @@
-"""What engines' work tells of their speeds."""
+"""Tests of `decisions.speeds`: estimates of engine speeds."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def _engine(**changes):
-    facts = {
+    fields = {
         "id": "e",
         "kind": model.EndpointKind.DECODE,
         "host": "10.0.0.1",
@@ -20,80 +20,83 @@
         "seconds_per_token": 0.008,
         "speeds_guessed": True,
     }
-    return model.Endpoint(**{**facts, **changes})
+    return model.Endpoint(**{**fields, **changes})
 
 
-def _read(known, fixed_s, slow=0):
+def _add_prefills(estimator, fixed_s, slow_prompts=0):
     for number in range(31):
         tokens = 1_000 + 137 * number
         seconds = fixed_s + tokens / 50_000
-        known.read(tokens, seconds + (0.5 if number < slow else 0.0))
+        estimator.read(
+            tokens, seconds + (0.5 if number < slow_prompts else 0.0)
+        )
 
 
 class TestSpeeds:
-    """Guesses hold until work was watched."""
+    """Measured speeds replace configured defaults."""
 
-    def test_a_guess_holds_at_first(self):
+    def test_default_is_used_without_samples(self):
         assert speeds.Speeds().describe(_engine()) == _engine()
 
-    def test_what_is_watched_replaces_it(self):
-        """Engines are twelve times as fast as guessed.
+    def test_measured_speeds_replace_defaults(self):
+        """Engines are twelve times as fast as the configured defaults.
 
-        By the guess a third of the callers of a calm day asks for more than
-        there is, and is refused while half of the memory is free.
+        With the defaults, a third of the requests at moderate load seems to
+        exceed the capacity and is rejected while half of the memory is free.
         """
-        known = speeds.Speeds()
-        assert known.wrote(6_000, 4.2)
-        _read(known, fixed_s=0.0)
-        found = known.describe(_engine())
+        estimator = speeds.Speeds()
+        assert estimator.wrote(6_000, 4.2)
+        _add_prefills(estimator, fixed_s=0.0)
+        found = estimator.describe(_engine())
         assert round(found.seconds_per_token, 6) == 0.0007
         assert round(found.prefill_tokens_per_s) == 50_000
         assert round(found.own_prefill_tokens_per_s) == 25_000
 
     @pytest.mark.parametrize("fixed_s", [0.0, 0.02, 0.12])
-    def test_the_fixed_part_of_a_prompt_isnt_reading(self, fixed_s):
-        """Each prompt takes a tenth of a second beside its reading.
+    def test_fixed_overhead_per_prompt_is_excluded(self, fixed_s):
+        """Each prompt has a fixed overhead of about 0.1 s besides its prefill.
 
-        Engines seem to read a third as fast as they do, so half of a pool is
-        told to read prompts, and callers are refused for lack of the others.
+        If it counted as prefill time, prefill speed would appear to be a third
+        of the real one, half of a pool would be assigned to prefill, and
+        requests would be rejected for lack of decode engines.
         """
-        known = speeds.Speeds()
-        _read(known, fixed_s)
-        found = known.describe(_engine()).prefill_tokens_per_s
+        estimator = speeds.Speeds()
+        _add_prefills(estimator, fixed_s)
+        found = estimator.describe(_engine()).prefill_tokens_per_s
         assert found == pytest.approx(50_000, rel=0.1)
 
-    def test_a_few_slow_prompts_hardly_count(self):
-        known = speeds.Speeds()
-        _read(known, 0.05, slow=4)
-        found = known.describe(_engine()).prefill_tokens_per_s
+    def test_robust_to_a_few_slow_prompts(self):
+        estimator = speeds.Speeds()
+        _add_prefills(estimator, 0.05, slow_prompts=4)
+        found = estimator.describe(_engine()).prefill_tokens_per_s
         assert found == pytest.approx(50_000, rel=0.35)
 
-    def test_prompts_of_one_length_tell_nothing(self):
-        known = speeds.Speeds()
+    def test_prompts_of_equal_length_are_ignored(self):
+        estimator = speeds.Speeds()
         for _ in range(40):
-            assert not known.read(3_000, 0.2)
+            assert not estimator.read(3_000, 0.2)
 
-    def test_stated_speeds_stay(self):
-        known = speeds.Speeds()
-        known.wrote(6_000, 4.2)
+    def test_explicit_speeds_are_kept(self):
+        estimator = speeds.Speeds()
+        estimator.wrote(6_000, 4.2)
         stated = _engine(speeds_guessed=False)
-        assert known.describe(stated) == stated
+        assert estimator.describe(stated) == stated
 
-    def test_one_slow_engine_of_four_doesnt_count(self):
-        known = speeds.Speeds()
+    def test_robust_to_one_slow_engine_of_four(self):
+        estimator = speeds.Speeds()
         for number in range(40):
-            known.wrote(1_000, 8.0 if number % 4 == 0 else 1.0)
-        assert known.describe(_engine()).seconds_per_token == 0.001
+            estimator.wrote(1_000, 8.0 if number % 4 == 0 else 1.0)
+        assert estimator.describe(_engine()).seconds_per_token == 0.001
 
-    def test_a_change_of_all_is_followed(self):
-        known = speeds.Speeds()
+    def test_follows_a_change_of_all_engines(self):
+        estimator = speeds.Speeds()
         for _ in range(40):
-            known.wrote(1_000, 1.0)
-        told = [known.wrote(1_000, 3.0) for _ in range(31)]
-        assert told.count(True) == 1
-        assert known.describe(_engine()).seconds_per_token == 0.003
-
-    def test_short_work_says_nothing(self):
-        known = speeds.Speeds()
-        assert not known.wrote(3, 1.0)
-        assert known.describe(_engine()) == _engine()
+            estimator.wrote(1_000, 1.0)
+        published = [estimator.wrote(1_000, 3.0) for _ in range(31)]
+        assert published.count(True) == 1
+        assert estimator.describe(_engine()).seconds_per_token == 0.003
+
+    def test_short_outputs_are_ignored(self):
+        estimator = speeds.Speeds()
+        assert not estimator.wrote(3, 1.0)
+        assert estimator.describe(_engine()) == _engine()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.stream`."""
+"""Tests of `decisions.stream`: validation of relayed token streams."""
 
 import json
 
@@ -29,7 +29,7 @@
     return f"id: {request_id}/{number}\ndata: {data}\n\n".encode()
 
 
-def _answer(tokens: int, request_id: str = _ID) -> list[bytes]:
+def _output_events(tokens: int, request_id: str = _ID) -> list[bytes]:
     events = [_event(number, request_id) for number in range(1, tokens)]
     return [*events, _event(tokens, request_id, tokens), _DONE]
 
@@ -43,16 +43,16 @@
     return delivered, result
 
 
-def _pieces(data: bytes, cuts: list[int]) -> list[bytes]:
-    edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
-    return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
+def _split(data: bytes, cuts: list[int]) -> list[bytes]:
+    offsets = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
+    return [data[a:b] for a, b in zip(offsets, offsets[1:], strict=False)]
 
 
-class _NaiveChecker:
-    """Parses the whole stream anew, every event's JSON included."""
+class _ReferenceValidator:
+    """Reference implementation that parses every event of the whole stream."""
 
-    def judge(self, data: bytes) -> tuple[bytes, str]:
-        """Returns what may be delivered, and a verdict."""
+    def validate(self, data: bytes) -> tuple[bytes, str]:
+        """Returns the bytes to deliver and the verdict on the stream."""
         delivered, last, held = b"", 0, None
         for block in data.split(b"\n\n")[:-1]:
             if block.startswith(b":"):
@@ -77,59 +77,61 @@
         return delivered, "open"
 
 
-class TestWholeStream:
+class TestCompleteStream:
     """A stream without faults."""
 
     @_settings
     @hypothesis.given(
         strategies.integers(1, 6), strategies.lists(strategies.integers(0))
     )
-    def test_any_split_gives_the_same_bytes(self, tokens, cuts) -> None:
-        data = b"".join(_answer(tokens))
+    def test_delivers_the_same_bytes_for_any_chunking(
+        self, tokens, cuts
+    ) -> None:
+        data = b"".join(_output_events(tokens))
         checker = stream.Checker(_ID)
-        delivered, result = _feed(checker, _pieces(data, cuts))
+        delivered, result = _feed(checker, _split(data, cuts))
         assert delivered == data
         assert checker.complete and result.last_token == tokens
 
-    def test_first_token_does_not_wait_for_the_second(self) -> None:
+    def test_first_token_is_delivered_at_once(self) -> None:
         checker = stream.Checker(_ID)
         assert checker.feed(_event(1)) == stream.Events(_event(1), 1)
 
-    def test_an_answer_without_tokens_is_whole(self) -> None:
+    def test_output_without_tokens_is_complete(self) -> None:
         checker = stream.Checker(_ID)
         _, result = _feed(checker, [_event(0, count=0), _DONE])
         assert isinstance(result, stream.Complete)
         assert result.last_token == 0
 
-    def test_comments_are_left_out(self) -> None:
-        first, *rest = _answer(3)
+    def test_comments_are_skipped(self) -> None:
+        first, *rest = _output_events(3)
         chunks = [first, b": still here\n\n", *rest]
         delivered, result = _feed(stream.Checker(_ID), chunks)
-        assert delivered == b"".join(_answer(3))
+        assert delivered == b"".join(_output_events(3))
         assert isinstance(result, stream.Complete)
 
     def test_nothing_is_delivered_after_the_end(self) -> None:
-        """An engine sends a doubled or late answer behind the whole one.
+        """An engine sends repeated or late events after `[DONE]`.
 
-        The caller would see tokens after the end of its answer.
+        The caller would receive tokens after the end of its output.
         """
-        data = b"".join(_answer(2))
+        data = b"".join(_output_events(2))
         delivered, _ = _feed(
             stream.Checker(_ID), [data + _event(3), _event(4), data]
         )
         assert delivered == data
 
 
-class TestCutStream:
-    """The connection ends before the answer does."""
+class TestTruncatedStream:
+    """The connection is closed before the stream is complete."""
 
-    def test_cut_at_every_byte_then_resumed(self) -> None:
-        """An engine or a network drops the connection, anywhere.
+    def test_truncated_at_every_byte_and_resumed(self) -> None:
+        """The connection is dropped after an arbitrary byte.
 
-        The caller would see a shortened answer with a clean end, or tokens
-        twice or not at all where the two connections meet.
+        The caller would receive a truncated output that looks complete, or
+        repeated or missing tokens where the stream is resumed.
         """
-        events = _answer(4)
+        events = _output_events(4)
         data = b"".join(events)
         for cut in range(len(data)):
             checker = stream.Checker(_ID)
@@ -142,27 +144,27 @@
             assert delivered + rest == data, cut
             assert isinstance(result, stream.Complete)
 
-    @pytest.mark.parametrize("early", [1, 2, 3])
-    def test_resumed_stream_that_overlaps(self, early) -> None:
-        """An engine resumes before the token that was asked for.
+    @pytest.mark.parametrize("overlap", [1, 2, 3])
+    def test_resumed_stream_repeats_tokens(self, overlap) -> None:
+        """An engine resumes before the requested token.
 
-        The caller would read some tokens twice.
+        The caller would receive some tokens twice.
         """
-        events = _answer(5)
+        events = _output_events(5)
         checker = stream.Checker(_ID)
         delivered, _ = _feed(checker, events[:3])
         checker.end()
         checker.resume()
-        rest, result = _feed(checker, events[3 - early :])
+        rest, result = _feed(checker, events[3 - overlap :])
         assert delivered + rest == b"".join(events)
         assert isinstance(result, stream.Complete)
 
-    def test_resumed_stream_that_skips(self) -> None:
-        """An engine resumes after the token that was asked for.
+    def test_resumed_stream_skips_a_token(self) -> None:
+        """An engine resumes after the requested token.
 
-        The caller would miss a token without knowing.
+        The caller would miss a token without noticing.
         """
-        events = _answer(5)
+        events = _output_events(5)
         checker = stream.Checker(_ID)
         _feed(checker, events[:2])
         checker.end()
@@ -170,13 +172,13 @@
         result = checker.feed(events[3])
         assert result == stream.Broken(b"", 2, stream.Reason.OUT_OF_ORDER)
 
-    def test_stall_is_told_from_a_cut(self) -> None:
+    def test_stalled_stream_is_reported_as_such(self) -> None:
         broken = stream.Checker(_ID).end(stream.Reason.STALLED)
         assert broken.reason is stream.Reason.STALLED
 
 
-class TestForeignAndFalseStream:
-    """The engine sends what isn't this answer."""
+class TestInvalidStream:
+    """The engine sends events that don't belong to this stream."""
 
     @pytest.mark.parametrize(
         ("events", "reason"),
@@ -192,17 +194,20 @@
             ([_event(1), b"x" * 1_100_000], stream.Reason.MALFORMED),
         ],
     )
-    def test_only_what_came_before_is_delivered(self, events, reason) -> None:
-        """An engine mixes up answers or miscounts its tokens.
+    def test_delivers_only_events_before_the_fault(
+        self, events, reason
+    ) -> None:
+        """An engine mixes up streams or miscounts its tokens.
 
-        The caller would read another's words, or take a part for the whole.
+        The caller would receive output of another request, or take a truncated
+        output for a complete one.
         """
         delivered, result = _feed(stream.Checker(_ID), events)
         assert delivered == _event(1)
         assert isinstance(result, stream.Broken)
         assert result.reason is reason
 
-    def test_a_wrong_count_may_not_be_resumed(self) -> None:
+    def test_stream_with_wrong_count_is_not_resumable(self) -> None:
         assert not stream.Reason.WRONG_COUNT.resumable
         assert stream.Reason.CUT.resumable
 
@@ -218,16 +223,18 @@
             max_size=4,
         ),
     )
-    def test_delivers_a_prefix_of_the_true_stream(self, tokens, faults) -> None:
-        """Events are swapped, lost, doubled, or another answer's.
+    def test_delivers_a_prefix_of_the_correct_stream(
+        self, tokens, faults
+    ) -> None:
+        """Events are reordered, lost, repeated or from another stream.
 
-        The caller would read a garbled answer that looks whole.
+        The caller would receive a corrupted output that looks complete.
         """
-        true = _answer(tokens)
-        foreign = _answer(6, _OTHER)
-        events = list(true)
-        for kind, place in faults:
-            index = place % max(len(events), 1)
+        correct = _output_events(tokens)
+        foreign = _output_events(6, _OTHER)
+        events = list(correct)
+        for kind, position in faults:
+            index = position % max(len(events), 1)
             match kind:
                 case "swap":
                     events[index : index + 2] = events[index : index + 2][::-1]
@@ -239,8 +246,8 @@
                     events.insert(index, foreign[index % 6])
         checker = stream.Checker(_ID)
         delivered, _ = _feed(checker, events)
-        assert b"".join(true).startswith(delivered)
-        assert checker.complete == (delivered == b"".join(true))
+        assert b"".join(correct).startswith(delivered)
+        assert checker.complete == (delivered == b"".join(correct))
 
     @_settings
     @hypothesis.given(
@@ -262,11 +269,11 @@
         strategies.lists(strategies.integers(0), max_size=8),
     )
     @hypothesis.example([_event(1), _event(1, count=1), _DONE], [])
-    def test_agrees_with_parsing_everything(self, events, cuts) -> None:
+    def test_agrees_with_reference_implementation(self, events, cuts) -> None:
         data = b"".join(events)
         checker = stream.Checker(_ID)
-        delivered, result = _feed(checker, _pieces(data, cuts))
-        expected, verdict = _NaiveChecker().judge(data)
+        delivered, result = _feed(checker, _split(data, cuts))
+        expected, verdict = _ReferenceValidator().validate(data)
         assert delivered == expected
         match verdict:
             case "complete":
@@ -278,18 +285,18 @@
 
 
 class TestCollector:
-    """The answer for callers who don't stream."""
+    """Responses of non-streaming calls."""
 
-    def test_joins_the_text_of_a_completion(self) -> None:
+    def test_joins_text_of_a_completion(self) -> None:
         collector = stream.Collector()
-        for event in _answer(3):
+        for event in _output_events(3):
             collector.add(event)
         answer = collector.answer()
         assert answer["choices"][0]["text"] == "".join(_TEXTS[1:4])
         assert answer["usage"]["completion_tokens"] == 3
         assert answer["object"] == "text_completion"
 
-    def test_joins_the_text_of_a_chat_completion(self) -> None:
+    def test_joins_text_of_a_chat_completion(self) -> None:
         pieces = [{"delta": {"role": "assistant"}}, {"delta": {"content": "y"}}]
         collector = stream.Collector()
         for piece in pieces:
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -1,37 +1,37 @@
-"""How work divides between prompts and answers."""
+"""Tests of `decisions.workload`: prefill's fraction of the load."""
 
 from cowsliprill.decisions import workload
 
 
-def _after(requests, prompt_s, answer_s, known=None, begin=0.0):
-    known = known or workload.Workload()
+def _load_after(requests, prompt_s, answer_s, load=None, start=0.0):
+    load = load or workload.Workload()
     for number in range(requests):
-        known.add(prompt_s, answer_s, begin + number * 0.25)
-    return known
+        load.add(prompt_s, answer_s, start + number * 0.25)
+    return load
 
 
 class TestWorkload:
-    """The part that prompts are."""
+    """Prefill's fraction of recent requests."""
 
-    def test_a_few_requests_say_nothing(self):
-        assert _after(0, 0.1, 0.4).prompt_part() is None
-        assert _after(15, 0.1, 0.4).prompt_part() is None
+    def test_fraction_is_unknown_after_few_requests(self):
+        assert _load_after(0, 0.1, 0.4).prompt_part() is None
+        assert _load_after(15, 0.1, 0.4).prompt_part() is None
 
-    def test_the_part_of_the_time(self):
-        assert round(_after(60, 0.1, 0.4).prompt_part(), 3) == 0.2
+    def test_fraction_of_engine_time(self):
+        assert round(_load_after(60, 0.1, 0.4).prompt_part(), 3) == 0.2
 
-    def test_a_turn_of_the_traffic_is_followed(self):
-        """Callers turn to long prompts with short answers and stay with it.
+    def test_follows_a_lasting_shift(self):
+        """Traffic shifts to long prompts with short outputs for good.
 
-        Engines divided for the traffic before would have prompts queue for as
-        long as it lasts.
+        With engines split for the earlier traffic, prefills would queue for as
+        long as the shift lasts.
         """
-        known = _after(60, 0.1, 0.4)
-        _after(240, 0.4, 0.1, known, begin=15.0)
-        assert known.prompt_part() > 0.7
-
-    def test_a_burst_moves_it_little(self):
-        known = _after(120, 0.1, 0.4)
-        before = known.prompt_part()
-        _after(4, 0.4, 0.1, known, begin=30.0)
-        assert known.prompt_part() - before < 0.1
+        load = _load_after(60, 0.1, 0.4)
+        _load_after(240, 0.4, 0.1, load, start=15.0)
+        assert load.prompt_part() > 0.7
+
+    def test_burst_has_little_influence(self):
+        load = _load_after(120, 0.1, 0.4)
+        before = load.prompt_part()
+        _load_after(4, 0.4, 0.1, load, start=30.0)
+        assert load.prompt_part() - before < 0.1
