--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -30,17 +30,20 @@
 
 
 def _orders(
-    engines, plan=None, now=0.0, prefill_fraction=roles.DEFAULT_PREFILL_FRACTION
+    engines,
+    planner=None,
+    now=0.0,
+    prefill_fraction=roles.DEFAULT_PREFILL_FRACTION,
 ):
     """Returns the orders issued once an imbalance is sustained."""
-    plan = plan or roles.Roles()
-    plan.next_order(engines, now, prefill_fraction)
+    planner = planner or roles.Roles()
+    planner.next_order(engines, now, prefill_fraction)
     now += _SUSTAINED_S
     orders = []
     while (
-        order := plan.next_order(engines, now, prefill_fraction)
+        order := planner.next_order(engines, now, prefill_fraction)
     ) is not None:
-        plan.ordered(order, now)
+        planner.ordered(order, now)
         orders.append(order)
     return orders
 
@@ -111,15 +114,15 @@
         A decode engine that replaces it at once is unavailable for 6 s, and so
         is the one that has to change back: callers wait for 13 s.
         """
-        plan = roles.Roles()
-        assert plan.next_order(_pool(0, 3), 0.0) is None
-        assert plan.next_order(_pool(0, 3), 2.0) is None
+        planner = roles.Roles()
+        assert planner.next_order(_pool(0, 3), 0.0) is None
+        assert planner.next_order(_pool(0, 3), 2.0) is None
         with_restarted = [
             _engine(9, model.EndpointKind.PREFILL, life="2"),
             *_pool(0, 3),
         ]
         for tenths in range(21, 200):
-            assert plan.next_order(with_restarted, tenths / 10) is None
+            assert planner.next_order(with_restarted, tenths / 10) is None
 
     def test_rolling_restart_causes_no_surplus(self):
         """A rolling restart starts a prefill engine before the old one stops.
@@ -127,18 +130,20 @@
         If the new one were changed to decode, the pool would be left without a
         prefill engine as soon as the old one stops.
         """
-        plan = roles.Roles()
+        planner = roles.Roles()
         old_and_new = [*_pool(1, 3), _engine(9, model.EndpointKind.PREFILL)]
-        assert plan.next_order(_pool(1, 3), 0.0) is None
-        assert plan.next_order(old_and_new, 1.0) is None
+        assert planner.next_order(_pool(1, 3), 0.0) is None
+        assert planner.next_order(old_and_new, 1.0) is None
         assert (
-            plan.next_order(
+            planner.next_order(
                 old_and_new, 1.0 + roles.MIN_SURPLUS_DURATION_S - 0.1
             )
             is None
         )
         assert (
-            plan.next_order(old_and_new[1:], 1.0 + roles.MIN_SURPLUS_DURATION_S)
+            planner.next_order(
+                old_and_new[1:], 1.0 + roles.MIN_SURPLUS_DURATION_S
+            )
             is None
         )
 
@@ -171,25 +176,25 @@
         The registry lists its old role until then. A second order would be
         useless and might come from a process that is no longer the leader.
         """
-        plan = roles.Roles()
+        planner = roles.Roles()
         engines = _pool(2, 2)
-        (first,) = _orders(engines, plan, 0.0)
+        (first,) = _orders(engines, planner, 0.0)
         ends = _SUSTAINED_S + roles.ROLE_CHANGE_COOLDOWN_S
-        assert plan.next_order(engines, ends - 0.1) is None
-        assert _orders(engines, plan, ends) == [first]
+        assert planner.next_order(engines, ends - 0.1) is None
+        assert _orders(engines, planner, ends) == [first]
 
     def test_restarted_engine_is_ordered_again(self):
-        plan = roles.Roles()
+        planner = roles.Roles()
         decodes = [_engine(4, model.EndpointKind.DECODE)]
         prefills = [
             _engine(number, model.EndpointKind.PREFILL) for number in (1, 2)
         ]
-        (order,) = _orders(prefills + decodes, plan, 0.0)
+        (order,) = _orders(prefills + decodes, planner, 0.0)
         restarted = [
             _engine(number, model.EndpointKind.PREFILL, life="2")
             for number in (1, 2)
         ]
-        orders = _orders(restarted + decodes, plan, _SUSTAINED_S + 1.0)
+        orders = _orders(restarted + decodes, planner, _SUSTAINED_S + 1.0)
         assert [item.endpoint.id for item in orders] == [order.endpoint.id]
 
     def test_no_order_while_the_opposite_change_is_pending(self):
@@ -199,12 +204,12 @@
         exchange, the pool would have no prefill engine until the first has
         changed.
         """
-        plan = roles.Roles()
+        planner = roles.Roles()
         engines = _pool(1, 3)
-        (order,) = _orders(engines, plan, 0.0, prefill_fraction=0.6)
+        (order,) = _orders(engines, planner, 0.0, prefill_fraction=0.6)
         assert order.kind is model.EndpointKind.PREFILL
         assert (
-            _orders(engines, plan, _SUSTAINED_S + 1.0, prefill_fraction=0.1)
+            _orders(engines, planner, _SUSTAINED_S + 1.0, prefill_fraction=0.1)
             == []
         )
 
@@ -214,7 +219,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.plan = roles.Roles()
+        self.planner = roles.Roles()
         self.prefill_fraction = roles.DEFAULT_PREFILL_FRACTION
         self.next_number = 4
         self.engines = {item.id: item for item in _pool(2, 2)}
@@ -236,12 +241,12 @@
                 self._remove()
             case 3:
                 self.prefill_fraction = self.rng.uniform(0.05, 0.9)
-        order = self.plan.next_order(
+        order = self.planner.next_order(
             self.engines.values(), now, self.prefill_fraction
         )
         if order is not None:
             self.check(order)
-            self.plan.ordered(order, now)
+            self.planner.ordered(order, now)
             changed = dataclasses.replace(order.endpoint, kind=order.kind)
             del self.engines[order.endpoint.id]
             self.pending_starts.append((now + 7.0, changed))
