--- a/src/cowsliprill/decisions/mechanisms.py
+++ b/src/cowsliprill/decisions/mechanisms.py
@@ -19,14 +19,15 @@
 
     Attributes:
       CONNECTION_SHARES: Limit on each VM's connections to an endpoint.
-      DECODE_PLACES: Limit on an engine's concurrent decodes besides the one on
-        its KV cache memory.
-      FEW_READERS: Only a few VMs of each zone watch the registry's store.
-      LATE_QUEUE: Requests stay queued past their target while the output is
-        still of use, until their callers are expected to disconnect.
+      DECODE_PLACES: Limit on an engine's concurrent decodes
+        besides the one on its KV cache memory.
+      FEW_READERS: Only a few VMs of each availability zone watch
+        the registry's store.
+      LATE_QUEUE: Requests stay queued past their target while the
+        output is still of use, until callers are expected to disconnect.
       LEARNT_SPEEDS: Measured engine speeds replace the configured defaults.
-      ONE_LIFE_AN_ADDRESS: Of several registry entries with one address, only
-        the latest incarnation is used.
+      ONE_LIFE_AN_ADDRESS: Of several registry entries with one
+        address, only the latest incarnation is used.
       OWN_READING: Local prefill on decode engines.
       PEER_NEWS: VMs get registry updates from each other.
       ROLE_ORDERS: Engines are switched between prefill and decode.
--- a/src/cowsliprill/decisions/messages.py
+++ b/src/cowsliprill/decisions/messages.py
@@ -3,9 +3,9 @@
 `scheduler.Scheduler` does no I/O: it consumes events and returns actions. The
 I/O layer (a process of the router, or the simulator) performs the actions and
 reports their outcomes as events. `slots.SlotLedger` runs in the dispatch
-process of an endpoint's coordinator and answers a `SlotAsk` with a `SlotGrant`.
-All times are in seconds on the clock of the I/O layer, which keeps counting
-while the VM is suspended.
+process of an endpoint's coordinator and answers a `SlotAsk` with a
+`SlotGrant`. All times are in seconds on the clock of the I/O layer, which keeps
+counting while the VM is suspended.
 """
 
 import dataclasses
--- a/src/cowsliprill/decisions/model.py
+++ b/src/cowsliprill/decisions/model.py
@@ -139,8 +139,8 @@
       places: Maximum number of concurrent requests of a decode engine.
       memory_tokens: KV cache capacity of a decode engine, in tokens.
       block_tokens: Tokens per KV cache block.
-      prefills_at_once: Maximum number of concurrent requests of a prefill
-        engine.
+      prefills_at_once: Maximum number of concurrent requests of a
+        prefill engine.
       prefill_tokens_per_s: Prefill speed.
       own_prefill_tokens_per_s: Speed of local prefills on a decode engine,
         0 where it can't run any.
