--- a/src/cowsliprill/decisions/home_choice.py
+++ b/src/cowsliprill/decisions/home_choice.py
@@ -1,108 +1,113 @@
-"""Which VM an entry takes for the home of one pool.
+"""Client-side choice of the home VM of a pool or of another key.
 
-Pure. It is the first by the entry's own list of VMs, unless another VM has just
-named a better one, or it can't be reached.
+The home is the first VM of the rendezvous ranking over the local VM list. A
+redirect from another VM overrides the ranking for a short time, and a VM that
+doesn't answer is skipped for a short time. No I/O.
 """
 
 from cowsliprill.decisions import model
 from cowsliprill.decisions import ownership
 
-# Failed calls in a row after which the next VM is asked, and for how long.
+# After this many consecutive failed calls the home is skipped for
+# `_SKIP_S`, and the next VM of the ranking is called.
 FAILURES_MAX = 2
-_ASIDE_S = 2.0
+_SKIP_S = 2.0
 
-# How long an entry takes another VM's word on who is the home, before its own
-# view of the VMs counts again.
-_NAMED_S = 1.0
+# A redirect overrides the ranking over the local VM list for this long.
+_REDIRECT_VALID_S = 1.0
 
 
 class HomeChoice:
-    """Chooses the home of one pool.
+    """Chooses the home VM of one key.
 
     Args:
-      pool: The pool.
+      key: Key of the rendezvous ranking: the name of a pool, or of anything
+        else that has a home, such as a customer's quota.
 
     Attributes:
-      home: The VM that is asked, None while none is known.
+      home: The VM to call, None while none is known.
     """
 
-    def __init__(self, pool: str) -> None:
+    def __init__(self, key: str) -> None:
         self.home: model.Vm | None = None
-        self._pool = pool
+        self._key = key
         self._ranking = ownership.HomeRanking()
-        self._named: model.Vm | None = None
-        self._named_until = 0.0
-        self._aside_until_by_vm: dict[str, float] = {}
-        self._failures = 0
+        self._redirect_target: model.Vm | None = None
+        self._redirect_until = 0.0
+        self._skipped_until_by_vm: dict[str, float] = {}
+        self._consecutive_failures = 0
 
     def look_up(self, vms_by_id: dict[str, model.Vm], now: float) -> bool:
-        """Chooses by what is known now.
+        """Updates `home` from the VM list, redirects and recent failures.
+
+        Where every VM is being skipped, the first of the ranking is the home
+        nevertheless.
 
         Args:
           vms_by_id: The VM list.
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          Whether it is another VM than before.
+          Whether the home has changed.
         """
-        if self._named is not None and now < self._named_until:
-            return self._turn_to(self._named)
-        ranked = self._ranking.of(self._pool, vms_by_id)
+        if self._redirect_target is not None and now < self._redirect_until:
+            return self._set_home(self._redirect_target)
+        ranked = self._ranking.of(self._key, vms_by_id)
         avoided = self.avoided(now)
-        near = [vm for vm in ranked if vm.id not in avoided]
-        return self._turn_to(next(iter(near or ranked), None))
+        available = [vm for vm in ranked if vm.id not in avoided]
+        return self._set_home(next(iter(available or ranked), None))
 
-    def follow(self, asked: model.Vm, named: model.Vm, now: float) -> bool:
-        """Turns to the home that another VM names.
+    def follow(self, called: model.Vm, target: model.Vm, now: float) -> bool:
+        """Follows a redirect to another VM.
 
-        The one that was asked is put aside meanwhile, so that two which name
-        each other don't send the entry to and fro.
+        The redirecting VM is skipped for as long as the redirect is valid, so
+        that two VMs which redirect to each other can't cause a loop.
 
         Args:
-          asked: The VM that names another.
-          named: The home by its word.
-          now: Time, seconds.
+          called: The VM that answered with the redirect.
+          target: The home according to that VM.
+          now: Current time in seconds.
 
         Returns:
-          Whether it is another VM than before.
+          Whether the home has changed.
         """
-        self._aside_until_by_vm[asked.id] = now + _NAMED_S
-        self._named = named
-        self._named_until = now + _NAMED_S
-        return self._turn_to(named)
+        self._skipped_until_by_vm[called.id] = now + _REDIRECT_VALID_S
+        self._redirect_target = target
+        self._redirect_until = now + _REDIRECT_VALID_S
+        return self._set_home(target)
 
     def avoided(self, now: float) -> tuple[str, ...]:
-        """Returns the ids of the VMs that are not asked just now."""
+        """Returns the ids of the VMs that are skipped at this time."""
         return tuple(
-            vm for vm, until in self._aside_until_by_vm.items() if until > now
+            vm for vm, until in self._skipped_until_by_vm.items() if until > now
         )
 
     def answered(self) -> None:
-        """Notes that a call was answered."""
-        self._failures = 0
+        """Records a successful call; resets the count of failures."""
+        self._consecutive_failures = 0
 
-    def failed(self, asked: model.Vm, now: float) -> int:
-        """Notes that a call was not answered.
+    def failed(self, called: model.Vm, now: float) -> int:
+        """Records a call that failed or timed out.
 
         Args:
-          asked: The VM that was called.
-          now: Time, seconds.
+          called: The VM that was called.
+          now: Current time in seconds.
 
         Returns:
-          How many calls in a row the home hasn't answered; from
-          `FAILURES_MAX` on it is put aside. 0 where the VM isn't the home any
-          more.
+          The number of consecutive failures of the home, 0 if the VM is no
+          longer the home. At `FAILURES_MAX` the VM is skipped for a while and
+          the count starts again.
         """
-        if self.home is None or asked.id != self.home.id:
+        if self.home is None or called.id != self.home.id:
             return 0
-        self._failures += 1
-        failures = self._failures
+        self._consecutive_failures += 1
+        failures = self._consecutive_failures
         if failures >= FAILURES_MAX:
-            self._failures = 0
-            self._aside_until_by_vm[asked.id] = now + _ASIDE_S
-            self._named = None
+            self._consecutive_failures = 0
+            self._skipped_until_by_vm[called.id] = now + _SKIP_S
+            self._redirect_target = None
         return failures
 
-    def _turn_to(self, home: model.Vm | None) -> bool:
+    def _set_home(self, home: model.Vm | None) -> bool:
         before, self.home = self.home, home
         return (before and before.id) != (home and home.id)
--- a/src/cowsliprill/decisions/leases.py
+++ b/src/cowsliprill/decisions/leases.py
@@ -1,4 +1,4 @@
-"""The entry's side of slot leases: what it holds at each endpoint."""
+"""Client side of slot leases: an entry process's slots at one endpoint."""
 
 import dataclasses
 import math
@@ -9,26 +9,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Holding:
-    """Slots of one endpoint held by this entry.
+    """Lease and usage of one endpoint's slots by this entry process.
 
     Attributes:
-      in_use: Slots with running work of this entry.
-      slots: Slots held in all, as far as the lease is valid.
-      expires_at: When no new work may be placed any more.
-      fallback: Slots this entry may use without a lease, because the home
-        can't be reached.
-      others_waiting: Requests of other entries that wait for a slot.
-      used: Slots in use by all entries.
-      full_until: Until when the endpoint is taken for full because it said so
-        itself, unless something ends there before.
-      running: Requests with work in those slots.
-      prompts: Prompts that were sent there, those that are read included.
+      in_use: Slots occupied by running requests of this entry process.
+      slots: Slots leased, including those in use.
+      expires_at: When the lease expires; no new work may be placed after it.
+      fallback: Slots that may be used without a lease while the home VM is
+        unreachable.
+      others_waiting: Requests of other entry processes waiting for a slot.
+      used: Slots in use by all entry processes.
+      full_until: Until when the endpoint counts as full after it has refused
+        a request for lack of capacity; reset when a request ends there.
+      running: Number of requests that occupy the slots in use.
+      prompts: Number of prompts sent to the endpoint so far, including those
+        still being processed.
       in_use_by_customer: `in_use` by customer.
-      cached: Prompt blocks cached there.
-      prefix_epoch: Epoch of the home's news of cached blocks.
-      stated_need: Waiting requests in the newest statement.
-      answered: Sequence of the newest statement answered.
-      unanswered: Sequence and held slots of statements not answered yet.
+      cached: Prompt blocks in the endpoint's prefix cache.
+      prefix_epoch: Epoch of the home's updates on the prefix cache.
+      requested_need: Slots for waiting requests in the newest lease request.
+      last_answered: Sequence number of the newest answered lease request.
+      unanswered_requests: Sequence number and held slots of each lease request
+        without an answer.
     """
 
     in_use: int = 0
@@ -45,41 +47,43 @@
         default_factory=prefixes.CachedBlocks
     )
     prefix_epoch: int = 0
-    stated_need: int = 0
-    answered: int = 0
-    unanswered: list[tuple[int, int]] = dataclasses.field(default_factory=list)
+    requested_need: int = 0
+    last_answered: int = 0
+    unanswered_requests: list[tuple[int, int]] = dataclasses.field(
+        default_factory=list
+    )
 
     def own(self, slots: int) -> None:
-        """Takes slots that need no lease.
+        """Assigns slots permanently, without a lease.
 
         Args:
-          slots: Slots of the endpoint that are all this scheduler's to use.
+          slots: Slots of the endpoint reserved for this scheduler.
         """
         self.slots = slots
         self.expires_at = math.inf
-        # A small part of an engine may be less than one request needs.
+        # The assigned slots may be fewer than one request needs.
         self.fallback = 1
 
     def held(self, now: float) -> int:
-        """Returns the slots held, work that outlived its lease included."""
+        """Returns the slots held, including those of work past its lease."""
         leased = self.slots if self.expires_at > now else 0
         return max(leased, self.in_use)
 
     def free(self, now: float) -> int:
-        """Returns the slots on which new work may be placed now."""
+        """Returns the number of slots available for new work."""
         leased = self.slots if self.expires_at > now else 0
         return max(leased, self.fallback) - self.in_use
 
     def fits(self, slots: int, now: float) -> bool:
-        """Returns whether a request that takes some slots may be placed.
+        """Returns whether a request may be placed at the endpoint now.
 
-        Without a lease one request at a time may, whatever it takes: a small
-        share of an engine may be less than one request needs, and all would
-        be refused while the engine has room.
+        With fallback slots one request at a time may be placed, whatever its
+        size: the share of an engine may be smaller than one request needs, and
+        all requests would be refused although the engine has room.
 
         Args:
-          slots: Slots that it takes.
-          now: Time, seconds.
+          slots: Slots that the request needs.
+          now: Current time in seconds.
         """
         if now < self.full_until:
             return False
@@ -88,11 +92,11 @@
         return bool(self.fallback) and not self.in_use
 
     def idle(self, now: float) -> int:
-        """Returns the leased slots without work."""
+        """Returns the number of held slots that aren't in use."""
         return self.held(now) - self.in_use
 
     def take(self, customer: str, slots: int = 1) -> None:
-        """Takes slots for a request of a customer."""
+        """Marks slots as in use by a request of a customer."""
         self.running += 1
         self.in_use += slots
         self.used += slots
@@ -101,48 +105,49 @@
         )
 
     def release(self, customer: str, slots: int = 1) -> None:
-        """Frees the slots of a customer's request."""
+        """Frees the slots of a request that ended."""
         self.running -= 1
         self.full_until = 0.0
         self.in_use -= slots
         self.used = max(self.used - slots, self.in_use)
-        left = self.in_use_by_customer[customer] - slots
-        if left:
-            self.in_use_by_customer[customer] = left
+        remaining = self.in_use_by_customer[customer] - slots
+        if remaining:
+            self.in_use_by_customer[customer] = remaining
         else:
             del self.in_use_by_customer[customer]
 
     def grant(self, grant: messages.SlotGrant) -> None:
-        """Takes in a home's answer.
+        """Applies a grant from the home VM.
 
-        A grant that crossed a newer statement on its way must not bring back
-        slots that this statement gave up: the home may have leased them to
-        another entry since.
+        A grant that answers an older lease request must not bring back slots
+        that a newer request has given up: the home may have leased them to
+        another entry process since. Outdated grants are ignored.
 
         Args:
-          grant: The answer.
+          grant: The grant.
         """
-        if grant.sequence < self.answered:
+        if grant.sequence < self.last_answered:
             return
-        self.answered = grant.sequence
-        self.unanswered = [
+        self.last_answered = grant.sequence
+        self.unanswered_requests = [
             (sequence, held)
-            for sequence, held in self.unanswered
+            for sequence, held in self.unanswered_requests
             if sequence > grant.sequence
         ]
-        given_up_to = min(
-            (held for _, held in self.unanswered), default=grant.slots
+        max_slots = min(
+            (held for _, held in self.unanswered_requests), default=grant.slots
         )
-        self.slots = min(grant.slots, given_up_to)
+        self.slots = min(grant.slots, max_slots)
         self.expires_at = grant.expires_at
         self.fallback = 0
         self.others_waiting = grant.waiting
         self.used = max(grant.used, self.in_use)
-        self._take_prefixes(grant)
+        self._apply_prefix_update(grant)
 
-    def _take_prefixes(self, grant: messages.SlotGrant) -> None:
-        # Cache events come with gaps. After one, evictions may have gone
-        # unheard, and old news would draw requests to blocks that are gone.
+    def _apply_prefix_update(self, grant: messages.SlotGrant) -> None:
+        # The home starts a new epoch after a gap in the cache events. Evictions
+        # may have been missed in the gap, and the old entries would route
+        # requests to blocks that are no longer cached.
         if grant.prefix_epoch != self.prefix_epoch:
             self.prefix_epoch = grant.prefix_epoch
             self.cached = prefixes.CachedBlocks()
@@ -150,17 +155,22 @@
         self.cached.add(grant.prefix_hashes)
 
     def drop_free(self, until: float = 0.0) -> None:
-        """Gives up free slots: the endpoint itself said that it is full.
+        """Gives up the free slots after the endpoint reported that it is full.
 
         Args:
-          until: Until when it isn't asked again, unless work of ours ends there
-            before.
+          until: Until when nothing is placed there, unless a request of this
+            entry process ends there before.
         """
         self.full_until = until
         self.slots = min(self.slots, self.in_use)
         self.fallback = min(self.fallback, self.in_use)
 
     def state(self, sequence: int, held: int) -> None:
-        """Notes a statement that gives up all but `held` slots."""
+        """Records a sent lease request that gives up all but `held` slots.
+
+        Args:
+          sequence: Sequence number of the lease request.
+          held: Slots kept, including those in use.
+        """
         self.slots = min(self.slots, held)
-        self.unanswered.append((sequence, held))
+        self.unanswered_requests.append((sequence, held))
--- a/src/cowsliprill/decisions/ownership.py
+++ b/src/cowsliprill/decisions/ownership.py
@@ -1,4 +1,8 @@
-"""Which VM is home to an endpoint: rendezvous hashing over the VM list."""
+"""Assigns keys, such as endpoints and pools, to home VMs by rendezvous hashing.
+
+The home VM of an endpoint runs the dispatch process that leases the endpoint's
+slots.
+"""
 
 from collections.abc import Iterable
 
@@ -6,57 +10,72 @@
 
 from cowsliprill.decisions import model
 
-# A VM with less than this part of the strongest one's processor does work for
-# others only where there is no stronger one.
-_WEAK_PART = 0.5
+# A VM with fewer cores than this fraction of the largest VM's is a home only
+# where there is no larger VM.
+_WEAK_CORES_FRACTION = 0.5
+
+_STATES_BY_PREFERENCE = (
+    model.VmState.LIVE,
+    model.VmState.LEAVING,
+    model.VmState.JOINING,
+)
 
-_STATES = (model.VmState.LIVE, model.VmState.LEAVING, model.VmState.JOINING)
 
+def score(vm_id: str, key: str) -> int:
+    """Returns the rendezvous score of a VM for a key; the highest score wins.
 
-def score(vm_id: str, endpoint_id: str) -> int:
-    """Ranks a VM for something that needs one; the highest has it."""
-    return xxhash.xxh3_64_intdigest(f"{vm_id}\0{endpoint_id}".encode())
+    Args:
+      vm_id: The VM.
+      key: The key to assign, for example the id of an endpoint.
+    """
+    return xxhash.xxh3_64_intdigest(f"{vm_id}\0{key}".encode())
 
 
 def is_weak(cores: float, strongest: float) -> bool:
-    """Returns whether a VM should leave work for others to stronger ones.
+    """Returns whether a VM is too small to do work on behalf of other VMs.
 
     Args:
-      cores: Its processor cores.
-      strongest: Those of the strongest VM.
+      cores: Number of the VM's processor cores.
+      strongest: Number of cores of the largest VM.
     """
-    return cores < strongest * _WEAK_PART
+    return cores < strongest * _WEAK_CORES_FRACTION
 
 
 def homes_in_order(key: str, vms: Iterable[model.Vm]) -> list[model.Vm]:
-    """Ranks the VMs that may be home to something, the home first.
+    """Ranks the entry VMs for a key; the first is its home.
 
-    Those that leave, or don't know enough yet, come last, but are not left
-    out: where all VMs are stopped at once their callers would else wait for a
-    home until the end. A home does work for all entries, so that the weak ones
-    come after the strong.
+    Live VMs come first, then VMs that are leaving, then VMs that are still
+    joining. The latter two are not excluded: when all VMs are stopped at once,
+    their callers would otherwise wait for a home until the processes end.
+    Among VMs of one state small ones come last, because a home does work for
+    all entry processes.
 
     Args:
-      key: What needs a home.
-      vms: VMs of any role and state; only entry VMs are taken.
+      key: The key to assign.
+      vms: VMs of any role and state; only entry VMs are ranked.
 
     Returns:
-      The VMs; without the first, the second would be the home.
+      The VMs by rank. If the first one is removed, the second is the home.
     """
     candidates = [vm for vm in vms if vm.role is model.VmRole.ENTRY]
     strongest = max((vm.cores for vm in candidates), default=0.0)
 
     def rank(vm: model.Vm) -> tuple[int, bool, int, str]:
         weak = is_weak(vm.cores, strongest)
-        return (_STATES.index(vm.state), weak, -score(vm.id, key), vm.id)
+        return (
+            _STATES_BY_PREFERENCE.index(vm.state),
+            weak,
+            -score(vm.id, key),
+            vm.id,
+        )
 
     return sorted(candidates, key=rank)
 
 
 class HomeRanking:
-    """Remembers the order of `homes_in_order` while the VM list stays.
+    """Caches the results of `homes_in_order` until the VM list changes.
 
-    Asked for each request it would hash the names of all VMs each time.
+    Without the cache every request would hash the ids of all VMs.
     """
 
     def __init__(self) -> None:
@@ -64,11 +83,12 @@
         self._ranked_by_key: dict[str, list[model.Vm]] = {}
 
     def of(self, key: str, vms_by_id: dict[str, model.Vm]) -> list[model.Vm]:
-        """Ranks the VMs that may be home to something, the home first.
+        """Returns the entry VMs ranked for a key, the home first.
 
         Args:
-          key: What needs a home.
-          vms_by_id: The VM list; a changed list is another dictionary.
+          key: The key to assign.
+          vms_by_id: The VM list. A change is detected by object identity, so
+            a changed list must be a new dictionary.
         """
         if vms_by_id is not self._vms_by_id:
             self._vms_by_id = vms_by_id
@@ -81,15 +101,15 @@
 
 
 def home_of(endpoint_id: str, vms: Iterable[model.Vm]) -> model.Vm | None:
-    """Finds the VM whose dispatch process is home to an endpoint.
+    """Returns the VM whose dispatch process is home to an endpoint.
 
-    Two VMs with different lists may name different homes. That costs grants
-    above an engine's slots, which the engine itself refuses; it never costs
-    correctness.
+    VMs with different VM lists may compute different homes. Both homes may
+    then grant leases on more slots than the engine has, and the engine itself
+    refuses the excess. Correctness doesn't depend on a single home.
 
     Args:
       endpoint_id: The endpoint.
-      vms: VMs of any role and state; only live entry VMs are taken.
+      vms: VMs of any role and state; only live entry VMs can be homes.
 
     Returns:
       The home, or None if there is no live entry VM.
--- a/src/cowsliprill/decisions/shares.py
+++ b/src/cowsliprill/decisions/shares.py
@@ -1,4 +1,4 @@
-"""Customers' shares, looked up one by one."""
+"""Read-only mapping from customers to their fair-share weights."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -7,10 +7,11 @@
 
 
 class Shares(Mapping[str, float]):
-    """The share of each customer of the settings.
+    """Fair-share weight of each configured customer, read on access.
 
-    Customers are kept packed. Copying the shares of all of them reads tens of
-    thousands at every change of the settings, for the few whose requests wait.
+    The settings store customers in packed form. Copying all shares into a
+    dictionary would unpack tens of thousands of customers at every change of
+    the settings, while only the few with waiting requests are needed.
 
     Args:
       customers_by_id: Customers of the settings.
@@ -23,7 +24,7 @@
         """Returns a customer's share.
 
         Raises:
-          KeyError: The settings name no such customer.
+          KeyError: The customer isn't in the settings.
         """
         return self._customers_by_id[customer_id].share
 
--- a/src/cowsliprill/decisions/slot_asks.py
+++ b/src/cowsliprill/decisions/slot_asks.py
@@ -1,4 +1,4 @@
-"""What an entry asks the homes of a pool's endpoints for."""
+"""Builds the lease requests that an entry process sends to home VMs."""
 
 from collections.abc import Iterator
 
@@ -9,17 +9,17 @@
 from cowsliprill.decisions import pool as pools
 from cowsliprill.decisions import queue
 
-# Slots kept at each endpoint beyond those in use while nobody waits, so that
-# a calm pool needs no message for a request.
-_RESERVE = 1
+# Idle slots kept leased at each endpoint while no requests wait, so that a
+# request to a pool with free capacity is placed without a lease request.
+_RESERVE_SLOTS = 1
 
 
 class SlotAsks:
-    """States an entry's standing with the endpoints of one pool.
+    """Builds lease requests for the slots of one pool's endpoints.
 
     Args:
       pool: The pool.
-      engine_health: What is known of the engines.
+      engine_health: Health of the engines.
     """
 
     def __init__(self, pool: pools.Pool, engine_health: health.Health) -> None:
@@ -29,38 +29,43 @@
     def state(
         self, now: float, sequence: int, *, only_urgent: bool
     ) -> Iterator[messages.SlotAsk]:
-        """States this entry's standing with the pool's endpoints.
+        """Builds the lease requests for the pool's endpoints.
 
-        A decode slot is asked for first, and a prefill slot beyond the
-        reserve only once a decode slot is held. With one order for all, no
-        two entries can each hold what the other lacks.
+        Decode slots are requested first, and prefill slots beyond the reserve
+        only for as many requests as idle decode slots are held. The same
+        acquisition order in all entry processes prevents deadlocks, in which
+        two processes each hold the slot that the other one needs.
 
         Args:
-          now: Time, seconds.
-          sequence: Number of these statements.
-          only_urgent: Leave out those that can wait for the next renewal.
+          now: Current time in seconds.
+          sequence: Sequence number of these lease requests.
+          only_urgent: Skip those that can wait for the next renewal.
 
         Yields:
-          One ask per endpoint.
+          At most one lease request per endpoint.
         """
         waiting = len(self._pool.queue)
-        if only_urgent and not waiting and not self._has_unsettled():
+        if only_urgent and not waiting and not self._may_need_update():
             return
-        held = yield from self._asks_of(
+        held = yield from self._build_for(
             self._pool.decodes, waiting, now, sequence, only_urgent
         )
-        yield from self._asks_of(
+        yield from self._build_for(
             self._pool.prefills, min(waiting, held), now, sequence, only_urgent
         )
 
-    def _has_unsettled(self) -> bool:
-        """Returns whether any home waits for a word of this entry."""
+    def _may_need_update(self) -> bool:
+        """Returns whether a home needs an update before the next renewal.
+
+        That is so where other entry processes wait for slots, or where the
+        last lease request stated a need that has since gone.
+        """
         return any(
-            holding.others_waiting or holding.stated_need
+            holding.others_waiting or holding.requested_need
             for holding in self._pool.holdings_by_endpoint.values()
         )
 
-    def _asks_of(
+    def _build_for(
         self,
         endpoints: list[model.Endpoint],
         needed: int,
@@ -68,73 +73,81 @@
         sequence: int,
         only_urgent: bool,
     ) -> Iterator[messages.SlotAsk]:
-        """Yields asks and returns how many idle slots are held."""
+        """Yields lease requests and returns how many idle slots are held."""
         holdings = [self._pool.holding(item.id) for item in endpoints]
-        # Idle slots of an engine that is left alone serve no one.
+        # Idle slots of an engine that isn't usable can't serve requests.
         idle = sum(
             holding.idle(now)
             for endpoint, holding in zip(endpoints, holdings, strict=True)
             if self._health.usable(endpoint.id, now)
         )
-        unmet = max(needed - idle, 0)
-        spare = max(idle - needed, 0)
-        first: queue.Waiting | None = None
+        missing = max(needed - idle, 0)
+        surplus = max(idle - needed, 0)
+        first_waiting: queue.Waiting | None = None
         for endpoint, holding in zip(endpoints, holdings, strict=True):
-            own_idle = holding.idle(now)
-            scarce = holding.others_waiting > 0
+            endpoint_idle = holding.idle(now)
+            contended = holding.others_waiting > 0
             if self._health.usable(endpoint.id, now):
-                given_up = min(own_idle, spare) if scarce else 0
-                spare -= given_up
-                need = own_idle - given_up + unmet if needed else 0
+                released = min(endpoint_idle, surplus) if contended else 0
+                surplus -= released
+                need = endpoint_idle - released + missing if needed else 0
             else:
-                given_up = own_idle if scarce else 0
+                released = endpoint_idle if contended else 0
                 need = 0
-            stale = need > holding.stated_need or (
-                need == 0 and holding.stated_need > 0
+            outdated = need > holding.requested_need or (
+                need == 0 and holding.requested_need > 0
             )
-            if only_urgent and not given_up and not stale:
+            if only_urgent and not released and not outdated:
                 continue
-            if first is None and need:
-                first = self._pool.queue.first(self._pool.over_share)
-            yield self._ask(
-                endpoint.id, holding, need, given_up, first, now, sequence
+            if first_waiting is None and need:
+                first_waiting = self._pool.queue.first(self._pool.over_share)
+            yield self._build_one(
+                endpoint.id,
+                holding,
+                need,
+                released,
+                first_waiting,
+                now,
+                sequence,
             )
         return idle
 
-    def _ask(
+    def _build_one(
         self,
         endpoint_id: str,
         holding: leases.Holding,
         need: int,
-        given_up: int,
-        first: queue.Waiting | None,
+        released: int,
+        first_waiting: queue.Waiting | None,
         now: float,
         sequence: int,
     ) -> messages.SlotAsk:
-        held = holding.held(now) - given_up
+        held = holding.held(now) - released
         usable = self._health.usable(endpoint_id, now)
-        reserve = _RESERVE if usable and not holding.others_waiting else 0
-        holding.stated_need = need
+        reserve = _RESERVE_SLOTS if usable and not holding.others_waiting else 0
+        holding.requested_need = need
         holding.state(sequence, held)
-        first = first if need else None
+        first_waiting = first_waiting if need else None
         return messages.SlotAsk(
             endpoint_id=endpoint_id,
             in_use=holding.in_use,
             want=max(holding.in_use + max(need, reserve), held),
-            priority=first.submit.priority if first else 0,
-            deadline_in_s=first.urgency() - now if first else 0.0,
-            customer_wants=self._wants(need),
+            priority=first_waiting.submit.priority if first_waiting else 0,
+            deadline_in_s=first_waiting.urgency() - now
+            if first_waiting
+            else 0.0,
+            customer_wants=self._customer_wants(need),
             customer_in_use=tuple(holding.in_use_by_customer.items()),
             held=held,
             sequence=sequence,
         )
 
-    def _wants(self, need: int) -> tuple[tuple[str, int], ...]:
+    def _customer_wants(self, need: int) -> tuple[tuple[str, int], ...]:
         wants = []
-        left = need
+        remaining = need
         for customer, count in self._pool.queue.wants():
-            taken = min(count, left)
-            if taken:
-                wants.append((customer, taken))
-            left -= taken
+            allotted = min(count, remaining)
+            if allotted:
+                wants.append((customer, allotted))
+            remaining -= allotted
         return tuple(wants)
--- a/src/cowsliprill/decisions/slots.py
+++ b/src/cowsliprill/decisions/slots.py
@@ -1,8 +1,9 @@
-"""The home's ledger of one endpoint's slots.
+"""Server side of slot leases: an endpoint's ledger, kept by its home VM.
 
-Pure state machine: asks of entries in, grants out. The ledger never has more
-slots leased than the endpoint has. A lease is permission to place new work
-until it expires; work that runs keeps its slot while its entry reports it.
+State machine without I/O that answers the lease requests of entry processes
+with grants. It never grants more slots than the endpoint has. A lease permits
+an entry process to place new work until the lease expires; running work keeps
+its slot for as long as the entry process reports it.
 """
 
 import dataclasses
@@ -11,57 +12,59 @@
 
 LEASE_S = 2.0
 
-# The ledger believes in a lease a little longer than it tells the entry, so
-# that clocks which drift apart don't make it hand a slot out twice.
-_GRACE_S = 0.1
+# The ledger keeps a lease this much longer than it promises to the entry
+# process, so that clock drift can't lead to a slot being leased twice.
+_CLOCK_DRIFT_MARGIN_S = 0.1
 
-# An entry that falls silent may still have work at the endpoint. If its slots
-# were free at once, the next entry's prefill would find the decode engine
-# full. All that it was leased is kept this long, for it may have filled it
-# without a word, or until `observe` says what really runs.
-_LINGER_S = 5.0
+# Slots of an expired lease stay reserved for this long, or until `observe`
+# reports what the endpoint really runs. An unresponsive entry process may have
+# filled all of its leased slots; if they were reassigned at once, the prefill
+# of the next request would complete only to find the decode engine full.
+_EXPIRED_RESERVED_S = 5.0
 
-# Reserve slots are leased only while at least this many remain unleased.
-_UNLEASED_MIN = 2
+# Slots beyond the immediate need are granted only while at least this many
+# remain unleased.
+_MIN_UNLEASED_SLOTS = 2
 
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
-    """What one entry holds and last stated.
+    """The lease and the newest lease request of one entry process.
 
     Attributes:
-      ask: The entry's newest statement.
-      slots: Slots leased, those in use included.
-      expires_at: When the permission to place new work ends.
-      deadline: Nearest deadline of its waiting requests, on this clock.
-      told_slots: Slots in the newest grant sent.
-      told_waiting: Whether the newest grant sent spoke of others waiting.
+      ask: The newest lease request.
+      slots: Slots leased, including those in use.
+      expires_at: When the ledger stops counting the lease as valid.
+      deadline: Nearest deadline of the waiting requests, on this clock.
+      sent_slots: Slots in the last grant sent.
+      sent_waiting: Whether the last grant sent reported requests of other
+        entry processes waiting.
     """
 
     ask: messages.SlotAsk
     slots: int = 0
     expires_at: float = 0.0
     deadline: float = 0.0
-    told_slots: int = 0
-    told_waiting: bool = False
+    sent_slots: int = 0
+    sent_waiting: bool = False
 
-    def needed(self) -> int:
-        """Returns how many slots its waiting requests still lack."""
+    def unmet_slots(self) -> int:
+        """Returns the number of slots missing for its waiting requests."""
         waiting = sum(count for _, count in self.ask.customer_wants)
         idle = self.slots - self.ask.in_use
-        short = self.ask.want - self.slots
-        return max(min(waiting - idle, short), 0)
+        missing = self.ask.want - self.slots
+        return max(min(waiting - idle, missing), 0)
 
 
 class SlotLedger:
-    """Leases the slots of one endpoint to entries.
+    """Leases the slots of one endpoint to entry processes.
 
     Args:
       endpoint_id: The endpoint.
-      slots: Slots it has.
-      silent_until: A new home doesn't know what an earlier one leased. Until
-        this time it only confirms what entries say they hold, because slots
-        leased by the other home may still be unexpired.
+      slots: Number of slots of the endpoint.
+      silent_until: End of the reclaim period. Until then a new home only
+        confirms slots that entry processes report as held, because it doesn't
+        know which leases of the previous home are still valid.
     """
 
     def __init__(
@@ -70,46 +73,47 @@
         self.endpoint_id = endpoint_id
         self.slots = slots
         self.shares_by_customer: dict[str, float] = {}
-        self._silent_until = silent_until
+        self._reclaim_until = silent_until
         self._leases_by_entry: dict[str, _Lease] = {}
 
     def ask(
         self, entry: str, ask: messages.SlotAsk, now: float
     ) -> messages.SlotGrant:
-        """Answers an entry's statement.
+        """Handles the lease request of an entry process.
 
         Args:
-          entry: Incarnation of the asking entry process.
-          ask: Its statement.
-          now: Time, seconds.
+          entry: Incarnation of the entry process.
+          ask: The lease request.
+          now: Current time in seconds.
 
         Returns:
-          What the entry holds from now on; `expires_at` is on this clock. The
-          entry must count the lease from when it sent the ask, not from when
-          the answer arrived.
+          The slots leased to the entry process; `expires_at` is on this clock.
+          The entry process must start the lease at the time it sent the
+          request, not at the time the answer arrived.
         """
         self._expire(now)
         lease = self._leases_by_entry.get(entry)
-        # A statement that was overtaken by a newer one, or that comes twice,
-        # would take back slots which the entry has been granted since.
+        # A reordered or duplicated request would take back slots that have
+        # been granted to the entry process since.
         if lease and 0 < ask.sequence <= lease.ask.sequence:
             return self._grant(lease)
-        self._state(entry, lease, ask, now)
+        self._apply_request(entry, lease, ask, now)
         self._allocate(now)
         return self._grant(self._leases_by_entry[entry])
 
     def regrant(self, now: float) -> list[tuple[str, messages.SlotGrant]]:
-        """Finds entries that should hear from the home without asking.
+        """Returns the changed grants to push to entry processes.
 
-        These are entries whose grants grew, and entries that hold idle slots
-        for which others have begun to wait. Each is named once; the shell
-        answers their long polls.
+        These are grants with more slots than the last one sent, and grants of
+        entry processes with idle slots for which requests of others have
+        started to wait. Each change is returned once; the caller sends it as
+        the answer to a pending long poll.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          Pairs of entry and its present grant.
+          Pairs of the entry process's incarnation and its current grant.
         """
         self._expire(now)
         self._allocate(now)
@@ -118,28 +122,31 @@
             if lease.expires_at <= now:
                 continue
             idle = lease.slots - lease.ask.in_use
-            scarce = self._waiting_besides(lease) > 0
-            recalled = scarce and idle > 0 and not lease.told_waiting
-            if lease.slots > lease.told_slots or recalled:
+            contended = self._waiting_elsewhere(lease) > 0
+            recalled = contended and idle > 0 and not lease.sent_waiting
+            if lease.slots > lease.sent_slots or recalled:
                 changed.append((entry, self._grant(lease)))
         return changed
 
     def waiting(self) -> int:
-        """Returns how many waiting requests lack a slot here."""
-        return sum(lease.needed() for lease in self._leases_by_entry.values())
+        """Returns how many waiting requests still need a slot."""
+        return sum(
+            lease.unmet_slots() for lease in self._leases_by_entry.values()
+        )
 
     def used(self) -> int:
-        """Returns how many slots entries say are in use."""
+        """Returns the number of slots that entry processes report in use."""
         return sum(lease.ask.in_use for lease in self._leases_by_entry.values())
 
     def leased(self) -> int:
-        """Returns how many slots are leased or in use, for metrics."""
+        """Returns the number of slots leased, including those in use."""
         return sum(lease.slots for lease in self._leases_by_entry.values())
 
     def next_expiry(self) -> float | None:
-        """Returns when the next lease runs out, None if there is none.
+        """Returns when the next lease expires, None without any lease.
 
-        The shell calls `regrant` then: slots of a silent entry become free.
+        The caller should call `regrant` at that time, because slots of an
+        unresponsive entry process may become free then.
         """
         return min(
             (lease.expires_at for lease in self._leases_by_entry.values()),
@@ -147,11 +154,12 @@
         )
 
     def observe(self, running_by_entry: dict[str, int], now: float) -> None:
-        """Corrects what silent entries hold by what the endpoint runs.
+        """Reduces expired leases to the slots the endpoint really uses.
 
         Args:
-          running_by_entry: Requests that the endpoint holds, by entry.
-          now: Time, seconds.
+          running_by_entry: Number of requests at the endpoint by incarnation
+            of the entry process.
+          now: Current time in seconds.
         """
         for entry, lease in list(self._leases_by_entry.items()):
             if lease.expires_at > now:
@@ -160,7 +168,7 @@
             if not lease.slots:
                 del self._leases_by_entry[entry]
 
-    def _state(
+    def _apply_request(
         self,
         entry: str,
         lease: _Lease | None,
@@ -170,26 +178,27 @@
         if lease is None:
             lease = _Lease(ask)
             self._leases_by_entry[entry] = lease
-            # Running work is a fact; what is merely held must still be free.
-            lease.slots = ask.in_use + self._confirm(ask)
+            # Running work occupies its slot in any case; idle slots are
+            # confirmed only if they are still unleased.
+            lease.slots = ask.in_use + self._confirmed_idle_slots(ask)
         elif ask.held >= 0:
             lease.slots = max(min(lease.slots, ask.held), ask.in_use)
         lease.ask = ask
         lease.slots = max(min(lease.slots, ask.want), ask.in_use)
-        lease.expires_at = now + LEASE_S + _GRACE_S
+        lease.expires_at = now + LEASE_S + _CLOCK_DRIFT_MARGIN_S
         lease.deadline = now + ask.deadline_in_s
 
-    def _confirm(self, ask: messages.SlotAsk) -> int:
+    def _confirmed_idle_slots(self, ask: messages.SlotAsk) -> int:
         idle = max(ask.held - ask.in_use, 0)
-        return min(idle, max(self._free() - ask.in_use, 0))
+        return min(idle, max(self._free_slots() - ask.in_use, 0))
 
-    def _free(self) -> int:
+    def _free_slots(self) -> int:
         return self.slots - self.leased()
 
     def _allocate(self, now: float) -> None:
-        if now < self._silent_until:
+        if now < self._reclaim_until:
             return
-        free = self._free()
+        free = self._free_slots()
         live = [
             lease
             for lease in self._leases_by_entry.values()
@@ -197,29 +206,37 @@
         ]
         ranks = self._ranks(live) if free > 0 else {}
         while free > 0:
-            needy = [lease for lease in live if lease.needed() > 0]
-            if not needy:
+            unmet = [lease for lease in live if lease.unmet_slots() > 0]
+            if not unmet:
                 break
-            first = min(needy, key=lambda lease: ranks[id(lease)])
-            granted = min(first.needed(), free)
-            first.slots += granted
+            next_lease = min(unmet, key=lambda lease: ranks[id(lease)])
+            granted = min(next_lease.unmet_slots(), free)
+            next_lease.slots += granted
             free -= granted
         for lease in live:
-            reserve = min(lease.ask.want - lease.slots, free - _UNLEASED_MIN)
-            if reserve > 0:
-                lease.slots += reserve
-                free -= reserve
+            extra = min(
+                lease.ask.want - lease.slots, free - _MIN_UNLEASED_SLOTS
+            )
+            if extra > 0:
+                lease.slots += extra
+                free -= extra
 
     def _ranks(
         self, leases: list[_Lease]
     ) -> dict[int, tuple[bool, int, float]]:
-        """Orders entries: customers below their share, priority, deadline."""
+        """Ranks leases for free slots; the lowest rank is served first.
+
+        Entry processes with a customer below its fair share come first, then
+        higher priorities, then earlier deadlines.
+        """
         usage_by_customer = self._usage_by_customer()
-        weight = sum(
+        total_share = sum(
             self.shares_by_customer.get(customer, 1.0)
             for customer in usage_by_customer
         )
-        fair = self.slots / weight if weight else float(self.slots)
+        fair_usage = (
+            self.slots / total_share if total_share else float(self.slots)
+        )
         ranks = {}
         for lease in leases:
             usage = min(
@@ -230,7 +247,7 @@
                 default=0.0,
             )
             ranks[id(lease)] = (
-                usage >= fair,
+                usage >= fair_usage,
                 -lease.ask.priority,
                 lease.deadline,
             )
@@ -247,17 +264,17 @@
                 usage_by_customer[customer] = used + count / share
         return usage_by_customer
 
-    def _waiting_besides(self, lease: _Lease) -> int:
-        return self.waiting() - lease.needed()
+    def _waiting_elsewhere(self, lease: _Lease) -> int:
+        return self.waiting() - lease.unmet_slots()
 
     def _grant(self, lease: _Lease) -> messages.SlotGrant:
-        waiting = self._waiting_besides(lease)
-        lease.told_slots = lease.slots
-        lease.told_waiting = waiting > 0
+        waiting = self._waiting_elsewhere(lease)
+        lease.sent_slots = lease.slots
+        lease.sent_waiting = waiting > 0
         return messages.SlotGrant(
             endpoint_id=self.endpoint_id,
             slots=lease.slots,
-            expires_at=lease.expires_at - _GRACE_S,
+            expires_at=lease.expires_at - _CLOCK_DRIFT_MARGIN_S,
             waiting=waiting,
             used=self.used(),
             sequence=lease.ask.sequence,
@@ -265,6 +282,8 @@
 
     def _expire(self, now: float) -> None:
         for entry, lease in list(self._leases_by_entry.items()):
-            ends_at = lease.expires_at + (_LINGER_S if lease.slots else 0.0)
-            if ends_at <= now:
+            reserved_until = lease.expires_at + (
+                _EXPIRED_RESERVED_S if lease.slots else 0.0
+            )
+            if reserved_until <= now:
                 del self._leases_by_entry[entry]
--- a/src/cowsliprill/decisions/subset.py
+++ b/src/cowsliprill/decisions/subset.py
@@ -1,6 +1,7 @@
-"""Which engines an entry uses that holds leases, when there are many.
+"""Limits how many engines of a large pool an entry process leases slots on.
 
-One that places the requests of all entries uses all of a pool's engines.
+A scheduler that places the requests of all entry processes isn't limited; it
+uses every engine of the pool.
 """
 
 from collections.abc import Iterable
@@ -9,8 +10,9 @@
 
 from cowsliprill.decisions import model
 
-# Engines of each kind that an entry uses of one pool. With fifty requests a
-# second of some seconds each an entry fills about a dozen decode engines.
+# Engines of one pool, per kind, that an entry process uses. At 50 requests per
+# second of a few seconds each, an entry process fills about a dozen decode
+# engines.
 PREFILLS_MAX = 8
 DECODES_MAX = 24
 
@@ -21,33 +23,36 @@
     seed: int,
     availability_zone: str,
 ) -> list[model.Endpoint]:
-    """Picks an entry's engines by rendezvous hashing.
+    """Picks the engines of an entry process by rendezvous hashing.
 
-    Engines of the entry's own availability zone make up at most half, so that
-    the loss of a zone leaves the entry with engines. A change of one engine
-    changes one choice at most.
+    At most half of the limit is reserved for engines of the process's own
+    availability zone, so that engines remain when that zone fails. Adding or
+    removing one engine changes at most one pick.
 
     Args:
       endpoints: Engines of one kind and pool.
-      limit: How many to pick.
-      seed: Tells entries apart.
-      availability_zone: Where the entry is.
+      limit: Maximum number of engines.
+      seed: Seed of the hash, different for each entry process.
+      availability_zone: Availability zone of the entry process.
 
     Returns:
-      All engines if there are few, else `limit` of them, by id.
+      All engines if there are at most `limit`, otherwise `limit` of them;
+      sorted by id.
     """
-    found = list(endpoints)
-    if len(found) <= limit:
-        return sorted(found, key=lambda endpoint: endpoint.id)
-    ranked = sorted(found, key=lambda endpoint: _score(seed, endpoint.id))
-    near = [
+    candidates = list(endpoints)
+    if len(candidates) <= limit:
+        return sorted(candidates, key=lambda endpoint: endpoint.id)
+    ranked = sorted(candidates, key=lambda endpoint: _score(seed, endpoint.id))
+    own_zone = [
         endpoint
         for endpoint in ranked
         if endpoint.availability_zone == availability_zone
     ][: limit // 2]
-    near_ids = {endpoint.id for endpoint in near}
-    rest = [endpoint for endpoint in ranked if endpoint.id not in near_ids]
-    picked = near + rest[: limit - len(near)]
+    own_zone_ids = {endpoint.id for endpoint in own_zone}
+    remaining = [
+        endpoint for endpoint in ranked if endpoint.id not in own_zone_ids
+    ]
+    picked = own_zone + remaining[: limit - len(own_zone)]
     return sorted(picked, key=lambda endpoint: endpoint.id)
 
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -11,7 +11,7 @@
 
 _SLOTS = 4
 
-# Beyond this a silent entry's slots go to others, see slots._LINGER_S.
+# Beyond this a silent entry's slots go to others, see slots._EXPIRED_RESERVED_S.
 _SILENCE_MAX_S = 6.0
 _ENTRIES = ("a", "b", "c")
 
