--- a/src/cowsliprill/decisions/cancels.py
+++ b/src/cowsliprill/decisions/cancels.py
@@ -1,8 +1,9 @@
-"""Cancel orders that are repeated until the engine acknowledges them.
+"""Cancellations that are retried until the engine acknowledges them.
 
-Pure state machine, used by entry processes for their own requests and by homes
-for orphans. A cancel order is idempotent, and engines accept it for ids they
-have never seen, so that repeating one does no harm.
+State machine without I/O, used by coordinators for the cancellations of
+orphaned requests and for those that entry processes hand over. A cancellation
+is idempotent, and engines accept it for unknown request ids, so retrying is
+always safe.
 """
 
 import dataclasses
@@ -10,21 +11,23 @@
 
 FIRST_RETRY_S = 0.1
 LONGEST_RETRY_S = 2.0
-# While an engine doesn't answer, only this many of its orders are tried at a
-# time: a dead engine must not turn the cancels of all its requests into load.
+# Maximum number of cancellations per attempt while an engine fails to answer.
+# Without it a dead engine would turn the cancellations of all its requests into
+# retry load.
 ORDERS_PER_TRY = 4
-# An engine that is back after this long is swept by its home, which cancels
-# requests of this age whoever owned them.
+# Cancellations are dropped after this time. If the engine recovers later, its
+# coordinator finds requests of this age by orphan detection and cancels them
+# whoever owns them.
 KEEP_S = 600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CancelOrder:
-    """One request that an engine has to drop.
+    """Cancellation of one request at one engine.
 
     Attributes:
       endpoint_id: The engine.
-      request_id: Attempt id.
+      request_id: Attempt id of the request.
     """
 
     endpoint_id: str
@@ -32,159 +35,172 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Order:
-    since: float
+class _PendingCancel:
+    """Retry state of one cancellation, times in seconds."""
+
+    added_at: float
     next_at: float
-    tries: int = 0
+    retries: int = 0
 
 
 @dataclasses.dataclass(slots=True)
-class _Engine:
-    orders_by_request: dict[str, _Order]
+class _EngineState:
+    """Pending cancellations and retry backoff of one engine."""
+
+    cancels_by_id: dict[str, _PendingCancel]
     failing: bool = False
     retry_s: float = FIRST_RETRY_S
     blocked_until: float = float("-inf")
 
 
 class CancelBook:
-    """The orders that no engine has acknowledged yet."""
+    """Cancellations that haven't been acknowledged by their engines."""
 
     def __init__(self) -> None:
-        self._engines_by_id: dict[str, _Engine] = {}
+        self._engines_by_id: dict[str, _EngineState] = {}
 
-    def add(self, order: CancelOrder, now: float) -> None:
-        """Takes an order; one that is already here stays as it is.
+    def add(self, cancellation: CancelOrder, now: float) -> None:
+        """Adds a cancellation; has no effect if it is already pending.
 
         Args:
-          order: The order.
-          now: Time, seconds.
+          cancellation: The cancellation.
+          now: Current time in seconds.
         """
-        engine = self._engines_by_id.setdefault(order.endpoint_id, _Engine({}))
-        engine.orders_by_request.setdefault(
-            order.request_id, _Order(since=now, next_at=now)
+        engine = self._engines_by_id.setdefault(
+            cancellation.endpoint_id, _EngineState({})
+        )
+        engine.cancels_by_id.setdefault(
+            cancellation.request_id, _PendingCancel(added_at=now, next_at=now)
         )
 
     def due(self, now: float) -> list[CancelOrder]:
-        """Returns the orders to send now.
+        """Returns the cancellations to send now.
 
-        An order whose outcome is never reported is due again after
-        `LONGEST_RETRY_S`, so that one that got lost on the way, or with the
-        task that sent it, is repeated like a refused one.
+        A cancellation without a reported outcome is due again after
+        `LONGEST_RETRY_S`, so that one lost in the network, or with the task
+        that was sending it, is retried like a refused one.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
         """
         found = []
         for endpoint_id, engine in self._engines_by_id.items():
-            request_ids = self._due_at(engine, now)
+            request_ids = self._due_request_ids(engine, now)
             if request_ids and engine.failing:
                 engine.retry_s = min(2 * engine.retry_s, LONGEST_RETRY_S)
                 engine.blocked_until = now + engine.retry_s
             for request_id in request_ids:
-                order = engine.orders_by_request[request_id]
-                order.next_at = now + LONGEST_RETRY_S
+                cancellation = engine.cancels_by_id[request_id]
+                cancellation.next_at = now + LONGEST_RETRY_S
                 found.append(
                     CancelOrder(endpoint_id=endpoint_id, request_id=request_id)
                 )
         return found
 
-    def acknowledge(self, order: CancelOrder, now: float) -> None:
-        """Notes that the engine holds nothing for an order any more.
+    def acknowledge(self, cancellation: CancelOrder, now: float) -> None:
+        """Removes a cancellation that the engine has acknowledged.
+
+        The first acknowledgment after a failure also resets the engine's
+        retry backoff.
 
         Args:
-          order: The order.
-          now: Time, seconds.
+          cancellation: The cancellation.
+          now: Current time in seconds.
         """
-        engine = self._engines_by_id.get(order.endpoint_id)
+        engine = self._engines_by_id.get(cancellation.endpoint_id)
         if engine is None:
             return
-        engine.orders_by_request.pop(order.request_id, None)
-        if not engine.orders_by_request:
-            del self._engines_by_id[order.endpoint_id]
+        engine.cancels_by_id.pop(cancellation.request_id, None)
+        if not engine.cancels_by_id:
+            del self._engines_by_id[cancellation.endpoint_id]
         elif engine.failing:
             engine.failing = False
             engine.retry_s = FIRST_RETRY_S
             engine.blocked_until = now
 
-    def fail(self, order: CancelOrder, now: float) -> None:
-        """Notes that an order was refused or got no answer.
+    def fail(self, cancellation: CancelOrder, now: float) -> None:
+        """Schedules a retry of a cancellation that was refused or timed out.
 
         Args:
-          order: The order.
-          now: Time, seconds.
+          cancellation: The cancellation.
+          now: Current time in seconds.
         """
-        engine = self._engines_by_id.get(order.endpoint_id)
-        if engine is None or order.request_id not in engine.orders_by_request:
+        engine = self._engines_by_id.get(cancellation.endpoint_id)
+        if (
+            engine is None
+            or cancellation.request_id not in engine.cancels_by_id
+        ):
             return
         if not engine.failing:
             engine.failing = True
             engine.blocked_until = now + engine.retry_s
-        state = engine.orders_by_request[order.request_id]
-        state.next_at = now + min(
-            FIRST_RETRY_S * 2**state.tries, LONGEST_RETRY_S
+        pending_cancel = engine.cancels_by_id[cancellation.request_id]
+        pending_cancel.next_at = now + min(
+            FIRST_RETRY_S * 2**pending_cancel.retries, LONGEST_RETRY_S
         )
-        state.tries += 1
+        pending_cancel.retries += 1
 
     def expire(self, known_endpoint_ids: Container[str], now: float) -> int:
-        """Drops orders to endpoints that are no more, and very old ones.
+        """Drops cancellations for removed endpoints or older than `KEEP_S`.
 
         Args:
           known_endpoint_ids: Endpoints of the settings in force.
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          How many were dropped.
+          The number of dropped cancellations.
         """
         before = self.pending
         for endpoint_id, engine in list(self._engines_by_id.items()):
-            engine.orders_by_request = {
-                request_id: order
-                for request_id, order in engine.orders_by_request.items()
+            engine.cancels_by_id = {
+                request_id: cancellation
+                for request_id, cancellation in engine.cancels_by_id.items()
                 if endpoint_id in known_endpoint_ids
-                and now - order.since < KEEP_S
+                and now - cancellation.added_at < KEEP_S
             }
-            if not engine.orders_by_request:
+            if not engine.cancels_by_id:
                 del self._engines_by_id[endpoint_id]
         return before - self.pending
 
     def next_at(self) -> float | None:
-        """Returns when `due` has orders again, None while there are none."""
+        """Returns when the next cancellation is due, None without any."""
         times = []
         for engine in self._engines_by_id.values():
-            orders = engine.orders_by_request.values()
-            earliest = min(order.next_at for order in orders)
+            cancellations = engine.cancels_by_id.values()
+            earliest = min(
+                cancellation.next_at for cancellation in cancellations
+            )
             times.append(max(earliest, engine.blocked_until))
         return min(times, default=None)
 
     def all(self) -> list[CancelOrder]:
-        """Returns every order, to hand them over when the process leaves."""
+        """Returns all pending cancellations, for the handover at shutdown."""
         return [
             CancelOrder(endpoint_id=endpoint_id, request_id=request_id)
             for endpoint_id, engine in self._engines_by_id.items()
-            for request_id in engine.orders_by_request
+            for request_id in engine.cancels_by_id
         ]
 
     @property
     def pending(self) -> int:
-        """Number of orders not yet acknowledged."""
+        """Number of unacknowledged cancellations."""
         return sum(
-            len(engine.orders_by_request)
-            for engine in self._engines_by_id.values()
+            len(engine.cancels_by_id) for engine in self._engines_by_id.values()
         )
 
-    def _due_at(self, engine: _Engine, now: float) -> list[str]:
+    def _due_request_ids(self, engine: _EngineState, now: float) -> list[str]:
         if engine.failing and now < engine.blocked_until:
             return []
         request_ids = [
             request_id
-            for request_id, order in engine.orders_by_request.items()
-            if order.next_at <= now
+            for request_id, cancellation in engine.cancels_by_id.items()
+            if cancellation.next_at <= now
         ]
         if not engine.failing:
             return request_ids
-        # Those that have waited longest go first: orders which the engine
-        # can't cope with must not keep back the rest.
+        # Longest overdue first, so that cancellations which the engine always
+        # fails on can't starve the others.
         request_ids.sort(
-            key=lambda request_id: engine.orders_by_request[request_id].next_at
+            key=lambda request_id: engine.cancels_by_id[request_id].next_at
         )
         return request_ids[:ORDERS_PER_TRY]
--- a/src/cowsliprill/decisions/fencing.py
+++ b/src/cowsliprill/decisions/fencing.py
@@ -1,15 +1,17 @@
-"""Orders to engines: when a home may send one, and with which number.
-
-What an engine should be is a function of the accepted revision alone, and the
-fencing number is the revision, so that two homes of the same revision send the
-same order. An engine that checks the number refuses every late order. One that
-doesn't takes whatever comes, so the home checks itself before each order, and
-reads back what is in force each `READ_S` and corrects it.
-
-What remains, for engines that don't check: a home that is paused after its
-last check and before its order has left, or an order that lies in a network
-buffer meanwhile. Such an order stands until the present home reads back, at
-most `READ_S`, and has sent its own, which `ORDER_GAP_S` may delay further.
+"""Reconciles the target role and model of engines, with fencing tokens.
+
+An order is a command that sets an engine's target. The target depends only on
+the accepted settings revision, and the fencing token is that revision, so two
+coordinators at the same revision send the same order. An engine that checks
+fencing tokens refuses every outdated order. For engines that don't, the
+coordinator checks its own state before each order, reads the engine's actual
+target back every `READ_S` seconds and corrects it.
+
+Known limitation for engines that don't check tokens: if a coordinator is paused
+between its last check and sending the order, or the order is delayed in a
+network buffer, an outdated order takes effect. It stays in effect until the
+current coordinator reads the engine back, at most `READ_S` later, and sends its
+own order, which `ORDER_GAP_S` may delay further.
 """
 
 import dataclasses
@@ -19,21 +21,31 @@
 from cowsliprill.decisions import model
 
 READ_S = 5.0
-# The weight store is rate limited and shared by all homes. A home loads
-# something new at most this often.
+# Minimum interval between orders of a coordinator that make an engine load a
+# model, because the weight store is rate limited and shared by all
+# coordinators.
 ORDER_GAP_S = 2.0
-# The process' own tasks run much more often than this. A longer gap between
-# two looks at the clock means that the process or its VM was paused.
+# A longer gap between two clock readings means that the process or its VM was
+# paused; the clock is normally read several times a second.
 PAUSE_S = 1.0
-# After a pause the settings and the VM list may be as old as the pause. Within
-# this time the VM's settings process has heard from its peers again.
+# Orders are held for this long after a pause, because the settings and the VM
+# list may be as old as the pause. Within this time the VM's settings process
+# exchanges updates with its peers again.
 SETTLE_S = 5.0
-# What the zone's VMs said counts for this long.
+# Validity of the answers from the other VMs of the availability zone.
 HEARD_S = 2.0
 
 
 class Hold(enum.StrEnum):
-    """Why a home doesn't send an order now."""
+    """Why a coordinator holds an order back.
+
+    Attributes:
+      NOT_HOME: This VM isn't the engine's coordinator.
+      JUST_WOKEN: The process resumed from a pause shortly before.
+      BEHIND: The order's revision is outdated.
+      CUT_OFF: The VM can't reach a majority of its availability zone.
+      RATE: The coordinator's last order that loads a model was too recent.
+    """
 
     NOT_HOME = "not_home"
     JUST_WOKEN = "just_woken"
@@ -44,13 +56,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ZoneReport:
-    """What the other entry VMs of the own zone said when asked.
+    """Answers of the other entry VMs of this VM's availability zone.
 
     Attributes:
-      listed: How many the list names as live.
-      heard: How many of these answered.
-      highest_revision: Highest revision in force at any that answered.
-      at: When they were asked, seconds.
+      listed: Number of those VMs that the VM list marks as live.
+      heard: How many of them answered.
+      highest_revision: Highest revision in force at the VMs that answered.
+      at: When the VMs were asked, seconds.
     """
 
     listed: int
@@ -59,17 +71,17 @@
     at: float
 
     def hears_most(self) -> bool:
-        """Whether more than half of the zone, this VM included, is heard."""
+        """Returns whether this VM and those that answered are a majority."""
         return 2 * (self.heard + 1) > self.listed + 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ReadBack:
-    """What an engine says of itself.
+    """State reported by an engine.
 
     Attributes:
-      fencing: Number of its newest order, 0 for none.
-      target: What it is.
+      fencing: Fencing token of its newest order, 0 for none.
+      target: The role and model that it serves.
     """
 
     fencing: int
@@ -78,12 +90,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """An order to send.
+    """A command that sets the target of an engine.
 
     Attributes:
       endpoint_id: The engine.
-      fencing: Its fencing number, the revision.
-      target: What the engine should be.
+      fencing: Fencing token, which is the revision.
+      target: The role and model that the engine should serve.
     """
 
     endpoint_id: str
@@ -92,77 +104,92 @@
 
 
 def fencing_number(revision: int) -> int:
-    """Returns the fencing number of the orders of a revision.
+    """Returns the fencing token of a revision's orders.
 
-    It is the revision itself: it only rises, and every home of a revision has
-    the same, so that the second home's order is a repetition, not a rival.
+    The revision itself serves as the token: it only increases and is the same
+    at all coordinators, so that an order from a second coordinator at the same
+    revision repeats the first one instead of conflicting with it.
     """
     return revision
 
 
 @dataclasses.dataclass(slots=True)
-class _Engine:
+class _EngineState:
+    """Desired and last reported state of one engine.
+
+    Attributes:
+      target: The role and model that the engine should serve.
+      checks_fencing: Whether the engine refuses outdated fencing tokens.
+      min_revision: Revision that set the target.
+      highest_token: Highest fencing token that the engine is known to have
+        accepted.
+      read_at: When the engine was last read back.
+      read: State reported then, None if the call failed.
+    """
+
     target: model.EngineTarget
     checks_fencing: bool
-    fencing_min: int
-    highest_seen: int = 0
+    min_revision: int
+    highest_token: int = 0
     read_at: float = float("-inf")
     read: ReadBack | None = None
 
 
 class OrderBook:
-    """The orders of the engines that are homed here.
+    """Decides which orders the engines of this coordinator need, and when.
 
     Args:
-      now: Time at the start, seconds.
+      now: Current time in seconds.
     """
 
     def __init__(self, now: float) -> None:
         self._revision = 0
-        self._engines_by_id: dict[str, _Engine] = {}
-        self._looked_at = now
-        self._woke_at = float("-inf")
-        self._sent_at = float("-inf")
+        self._engines_by_id: dict[str, _EngineState] = {}
+        self._last_checked_at = now
+        self._resumed_at = float("-inf")
+        self._load_sent_at = float("-inf")
 
     def look(self, now: float) -> bool:
-        """Notes that the process runs; called several times a second.
+        """Detects pauses of the process; to be called several times a second.
 
         Args:
-          now: Time, seconds, on a clock that counts suspension.
+          now: Current time in seconds, on a clock that also runs while the
+            VM is suspended.
 
         Returns:
-          Whether the process has just woken from a pause.
+          Whether the process has just resumed from a pause.
         """
-        paused = now - self._looked_at > PAUSE_S
-        self._looked_at = now
+        paused = now - self._last_checked_at > PAUSE_S
+        self._last_checked_at = now
         if paused:
-            self._woke_at = now
+            self._resumed_at = now
         return paused
 
     def see_engines(
         self, revision: int, endpoints: Iterable[model.Endpoint]
     ) -> None:
-        """Takes the settings in force and which engines are homed here.
+        """Replaces the set of engines and their targets.
 
         Args:
-          revision: The accepted revision; a lower one than before is ignored.
-          endpoints: The engines that are homed here; those without a target
-            are passed over.
+          revision: The accepted revision. The call is ignored if it is lower
+            than an earlier one.
+          endpoints: The engines whose coordinator is this VM. Engines without a
+            target are skipped.
         """
         if revision < self._revision:
             return
         self._revision = revision
         self._engines_by_id = {
-            endpoint.id: self._kept_or_new(endpoint, endpoint.target)
+            endpoint.id: self._updated_engine(endpoint, endpoint.target)
             for endpoint in endpoints
             if endpoint.target is not None
         }
 
     def to_read(self, now: float) -> list[str]:
-        """Returns the engines to read back now.
+        """Returns the ids of the engines that are due to be read back.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
         """
         return [
             endpoint_id
@@ -173,12 +200,12 @@
     def see_read_back(
         self, endpoint_id: str, read: ReadBack | None, now: float
     ) -> None:
-        """Takes what an engine said, None if it gave no answer.
+        """Records the result of reading an engine back.
 
         Args:
           endpoint_id: The engine.
-          read: Its answer.
-          now: Time at which it was asked, seconds.
+          read: State reported by the engine, None if the call failed.
+          now: When the engine was called, seconds.
         """
         engine = self._engines_by_id.get(endpoint_id)
         if engine is None:
@@ -189,28 +216,30 @@
             self.see_fencing(endpoint_id, read.fencing)
 
     def see_fencing(self, endpoint_id: str, fencing: int) -> None:
-        """Takes a fencing number that an engine has seen.
+        """Records a fencing token that an engine has accepted.
 
         Args:
           endpoint_id: The engine.
-          fencing: The number.
+          fencing: The fencing token.
         """
         engine = self._engines_by_id.get(endpoint_id)
         if engine is not None:
-            engine.highest_seen = max(engine.highest_seen, fencing)
+            engine.highest_token = max(engine.highest_token, fencing)
 
     def wanted(self, now: float) -> list[Order]:
-        """Returns the orders that should be sent once `hold` allows it.
+        """Returns the orders to send as soon as `hold` permits them.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
         """
         orders = []
         for endpoint_id, engine in self._engines_by_id.items():
             read = engine.read
             if read is None or now - engine.read_at > READ_S:
                 continue
-            if read.target == engine.target and _is_raised(engine, read):
+            if read.target == engine.target and _has_current_token(
+                engine, read
+            ):
                 continue
             orders.append(
                 Order(
@@ -229,24 +258,25 @@
         zone: ZoneReport | None,
         now: float,
     ) -> Hold | None:
-        """Decides right before sending whether an order may go out.
+        """Checks immediately before sending whether an order may be sent.
 
         Args:
           order: The order.
-          is_home: Whether the newest list names this VM as the home.
-          zone: What the zone's other VMs said last.
-          now: Time, seconds, read right before.
+          is_home: Whether this VM is the engine's coordinator by the newest VM
+            list.
+          zone: Last answers of the zone's other VMs, None before the first.
+          now: Current time in seconds, read right before the call.
 
         Returns:
-          Why it may not, None if it may.
+          The reason to hold the order back, or None if it may be sent.
         """
         self.look(now)
         engine = self._engines_by_id.get(order.endpoint_id)
         if engine is None or not is_home:
             return Hold.NOT_HOME
-        if now - self._woke_at < SETTLE_S:
+        if now - self._resumed_at < SETTLE_S:
             return Hold.JUST_WOKEN
-        if engine.highest_seen > order.fencing:
+        if engine.highest_token > order.fencing:
             return Hold.BEHIND
         if order.fencing != fencing_number(self._revision):
             return Hold.BEHIND
@@ -254,43 +284,46 @@
             return Hold.CUT_OFF
         if zone.highest_revision > self._revision:
             return Hold.BEHIND
-        loads = engine.read is not None and engine.read.target != order.target
-        if loads and now - self._sent_at < ORDER_GAP_S:
+        causes_load = (
+            engine.read is not None and engine.read.target != order.target
+        )
+        if causes_load and now - self._load_sent_at < ORDER_GAP_S:
             return Hold.RATE
         return None
 
     def sent(self, order: Order, now: float) -> None:
-        """Notes that an order has gone out; the engine is read back next.
+        """Records that an order was sent and schedules a read-back.
 
         Args:
           order: The order.
-          now: Time, seconds.
+          now: Current time in seconds.
         """
         engine = self._engines_by_id.get(order.endpoint_id)
         if engine is None:
             return
         if engine.read is not None and engine.read.target != order.target:
-            self._sent_at = now
+            self._load_sent_at = now
         engine.read_at = float("-inf")
 
-    def _kept_or_new(
+    def _updated_engine(
         self, endpoint: model.Endpoint, target: model.EngineTarget
-    ) -> _Engine:
+    ) -> _EngineState:
         engine = self._engines_by_id.get(endpoint.id)
         if engine is None:
-            return _Engine(
-                target, endpoint.checks_fencing, fencing_min=self._revision
+            return _EngineState(
+                target, endpoint.checks_fencing, min_revision=self._revision
             )
         if engine.target != target:
-            # Without the new number an older home could still turn back an
-            # engine that happens to be what it should be already.
+            # Even an engine that already serves the new target needs an order
+            # with the new token. Otherwise a coordinator at an older revision
+            # could still revert it.
             engine.target = target
-            engine.fencing_min = self._revision
+            engine.min_revision = self._revision
         engine.checks_fencing = endpoint.checks_fencing
         return engine
 
 
-def _is_raised(engine: _Engine, read: ReadBack) -> bool:
+def _has_current_token(engine: _EngineState, read: ReadBack) -> bool:
     if not engine.checks_fencing:
         return True
-    return read.fencing >= fencing_number(engine.fencing_min)
+    return read.fencing >= fencing_number(engine.min_revision)
--- a/src/cowsliprill/decisions/home_map.py
+++ b/src/cowsliprill/decisions/home_map.py
@@ -1,10 +1,10 @@
-"""Incrementally updated map from endpoints to their home VMs.
+"""Incrementally updated map from endpoints to their coordinators.
 
-Returns the same homes as `ownership.home_of`. Computing that for every endpoint
-at each change of the VM list costs endpoints times VMs hashes: with 5,900
-engines and 690 VMs four million, which is seconds of CPU time about every three
-seconds. With rendezvous hashing a new VM can only take endpoints over, and a
-removed VM only releases its own, so a change of one VM costs one hash per
+Returns the same coordinators as `ownership.home_of`. Computing that for every
+endpoint at each change of the VM list costs endpoints times VMs hashes: with
+5,900 engines and 690 VMs four million, which is seconds of CPU time about every
+three seconds. With rendezvous hashing a new VM can only take endpoints over,
+and a removed VM only releases its own, so a change of one VM costs one hash per
 endpoint.
 """
 
@@ -16,7 +16,7 @@
 
 
 class HomeMap:
-    """Caches the home VM of each endpoint that was looked up."""
+    """Caches the coordinator of each endpoint that was looked up."""
 
     def __init__(self) -> None:
         self._vms_by_id: dict[str, model.Vm] = {}
@@ -24,12 +24,13 @@
         self._best_by_endpoint: dict[str, tuple[int, str]] = {}
 
     def update(self, vms: Iterable[model.Vm]) -> None:
-        """Replaces the VM list and updates the cached homes.
+        """Replaces the VM list and updates the cached coordinators.
 
         Args:
-          vms: VMs of any role and state; only live entry VMs can be homes.
+          vms: VMs of any role and state; only live entry VMs can be
+            coordinators.
         """
-        vms_by_id = {vm.id: vm for vm in vms if _can_be_home(vm)}
+        vms_by_id = {vm.id: vm for vm in vms if _is_eligible(vm)}
         removed = self._vms_by_id.keys() - vms_by_id.keys()
         added = vms_by_id.keys() - self._vms_by_id.keys()
         self._vms_by_id = vms_by_id
@@ -38,10 +39,10 @@
             for vm_id in vms_by_id
         }
         if removed or added:
-            self._update_homes(removed, added)
+            self._update_assignments(removed, added)
 
     def home_of(self, endpoint_id: str) -> model.Vm | None:
-        """Returns the home VM of an endpoint, None without a live entry VM.
+        """Returns the coordinator of an endpoint, None without a live entry VM.
 
         Args:
           endpoint_id: The endpoint.
@@ -55,7 +56,7 @@
         return self._vms_by_id[best[1]]
 
     def keep_only(self, endpoint_ids: Iterable[str]) -> None:
-        """Drops the cached homes of endpoints that no longer exist.
+        """Drops the cached coordinators of endpoints that no longer exist.
 
         Args:
           endpoint_ids: The existing endpoints.
@@ -67,7 +68,7 @@
             if endpoint_id in best_by_endpoint
         }
 
-    def _update_homes(self, removed: set[str], added: set[str]) -> None:
+    def _update_assignments(self, removed: set[str], added: set[str]) -> None:
         added_prefixes = {
             vm_id: self._hash_prefixes_by_vm[vm_id] for vm_id in added
         }
@@ -92,5 +93,5 @@
         )
 
 
-def _can_be_home(vm: model.Vm) -> bool:
+def _is_eligible(vm: model.Vm) -> bool:
     return vm.role is model.VmRole.ENTRY and vm.state is model.VmState.LIVE
--- a/src/cowsliprill/decisions/identity.py
+++ b/src/cowsliprill/decisions/identity.py
@@ -1,31 +1,31 @@
-"""Names of process incarnations, requests and attempts.
+"""Identifiers of process incarnations and of attempts at requests.
 
-An incarnation is one life of one process. A request id names the incarnation
-that owns the request, so that whoever finds the id at an engine knows whom to
-ask about it.
+An incarnation is one run of a process, from start to exit. The id of a request
+contains the incarnation that owns it, so that the owner of a request found at
+an engine can be determined from its id.
 """
 
 import dataclasses
 import re
 from typing import Self
 
-_PART = re.compile(r"[a-z0-9-]+")
-_INCARNATION_PARTS = 3
-_ATTEMPT_PARTS = 5
+_PART_PATTERN = re.compile(r"[a-z0-9-]+")
+_INCARNATION_PART_COUNT = 3
+_ATTEMPT_PART_COUNT = 5
 
 
 class IdentityError(ValueError):
-    """Raised for text that is not an id of the expected form."""
+    """Raised when a string isn't an id in the expected format."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One life of one process, written `<vm>.<process>.<nonce>`.
+    """One run of one process, formatted as `<vm>.<process>.<nonce>`.
 
     Attributes:
       vm: Id of the VM.
       process: Name of the process on its VM, for example `e0`.
-      nonce: Random text drawn at the process's start.
+      nonce: Random string generated when the process starts.
     """
 
     vm: str
@@ -37,36 +37,37 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Reads an incarnation.
+        """Parses an incarnation.
 
         Args:
-          text: `<vm>.<process>.<nonce>`, each of `[a-z0-9-]+`.
+          text: `<vm>.<process>.<nonce>`, each part matching `[a-z0-9-]+`.
 
         Returns:
           The incarnation.
 
         Raises:
-          IdentityError: The text has another form.
+          IdentityError: The text has a different format.
         """
         parts = text.split(".")
-        if len(parts) != _INCARNATION_PARTS:
-            raise IdentityError(f"not an incarnation: {text!r}")
-        if not all(_PART.fullmatch(part) for part in parts):
-            raise IdentityError(f"not an incarnation: {text!r}")
+        if len(parts) != _INCARNATION_PART_COUNT:
+            raise IdentityError(f"invalid incarnation: {text!r}")
+        if not all(_PART_PATTERN.fullmatch(part) for part in parts):
+            raise IdentityError(f"invalid incarnation: {text!r}")
         return cls(*parts)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptId:
-    """One attempt at one request, written `<incarnation>.<number>.<attempt>`.
+    """Attempt at a request, formatted as `<incarnation>.<number>.<attempt>`.
 
-    Engines see this as `X-Request-Id`. Each attempt has its own id, so that a
-    late answer of an abandoned attempt can't pass for the present one's.
+    Sent to engines as `X-Request-Id`. Each attempt has an id of its own, so
+    that a late response to an abandoned attempt can't be mistaken for the
+    response to the current one.
 
     Attributes:
       incarnation: The entry process that owns the request.
       number: Number of the request within the incarnation.
-      attempt: Counts from 0.
+      attempt: Number of the attempt, starting at 0.
     """
 
     incarnation: Incarnation
@@ -78,7 +79,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Reads an attempt id.
+        """Parses an attempt id.
 
         Args:
           text: `<vm>.<process>.<nonce>.<number>.<attempt>`.
@@ -87,12 +88,12 @@
           The attempt id.
 
         Raises:
-          IdentityError: The text has another form.
+          IdentityError: The text has a different format.
         """
         parts = text.split(".")
-        if len(parts) != _ATTEMPT_PARTS or not all(
+        if len(parts) != _ATTEMPT_PART_COUNT or not all(
             part.isascii() and part.isdigit() for part in parts[3:]
         ):
-            raise IdentityError(f"not an attempt id: {text!r}")
+            raise IdentityError(f"invalid attempt id: {text!r}")
         incarnation = Incarnation.parse(".".join(parts[:3]))
         return cls(incarnation, int(parts[3]), int(parts[4]))
--- a/src/cowsliprill/decisions/leases.py
+++ b/src/cowsliprill/decisions/leases.py
@@ -15,7 +15,7 @@
       in_use: Slots occupied by running requests of this entry process.
       slots: Slots leased, including those in use.
       expires_at: When the lease expires; no new work may be placed after it.
-      fallback: Slots that may be used without a lease while the home VM is
+      fallback: Slots that may be used without a lease while the coordinator is
         unreachable.
       others_waiting: Requests of other entry processes waiting for a slot.
       used: Slots in use by all entry processes.
@@ -26,10 +26,10 @@
         still being processed.
       in_use_by_customer: `in_use` by customer.
       cached: Prompt blocks in the endpoint's prefix cache.
-      prefix_epoch: Epoch of the home's updates on the prefix cache.
-      requested_need: Slots for waiting requests in the newest lease request.
-      last_answered: Sequence number of the newest answered lease request.
-      unanswered_requests: Sequence number and held slots of each lease request
+      prefix_epoch: Epoch of the coordinator's updates on the prefix cache.
+      demanded_slots: Slots for waiting requests in the newest slot demand.
+      last_answered: Sequence number of the newest answered slot demand.
+      unanswered_demands: Sequence number and held slots of each slot demand
         without an answer.
     """
 
@@ -47,9 +47,9 @@
         default_factory=prefixes.CachedBlocks
     )
     prefix_epoch: int = 0
-    requested_need: int = 0
+    demanded_slots: int = 0
     last_answered: int = 0
-    unanswered_requests: list[tuple[int, int]] = dataclasses.field(
+    unanswered_demands: list[tuple[int, int]] = dataclasses.field(
         default_factory=list
     )
 
@@ -117,10 +117,10 @@
             del self.in_use_by_customer[customer]
 
     def grant(self, grant: messages.SlotGrant) -> None:
-        """Applies a grant from the home VM.
+        """Applies a grant from the coordinator.
 
-        A grant that answers an older lease request must not bring back slots
-        that a newer request has given up: the home may have leased them to
+        A grant that answers an older slot demand must not bring back slots that
+        a newer demand has given up: the coordinator may have leased them to
         another entry process since. Outdated grants are ignored.
 
         Args:
@@ -129,13 +129,13 @@
         if grant.sequence < self.last_answered:
             return
         self.last_answered = grant.sequence
-        self.unanswered_requests = [
+        self.unanswered_demands = [
             (sequence, held)
-            for sequence, held in self.unanswered_requests
+            for sequence, held in self.unanswered_demands
             if sequence > grant.sequence
         ]
         max_slots = min(
-            (held for _, held in self.unanswered_requests), default=grant.slots
+            (held for _, held in self.unanswered_demands), default=grant.slots
         )
         self.slots = min(grant.slots, max_slots)
         self.expires_at = grant.expires_at
@@ -145,9 +145,9 @@
         self._apply_prefix_update(grant)
 
     def _apply_prefix_update(self, grant: messages.SlotGrant) -> None:
-        # The home starts a new epoch after a gap in the cache events. Evictions
-        # may have been missed in the gap, and the old entries would route
-        # requests to blocks that are no longer cached.
+        # The coordinator starts a new epoch after a gap in the cache events.
+        # Evictions may have been missed in the gap, and the old entries would
+        # route requests to blocks that are no longer cached.
         if grant.prefix_epoch != self.prefix_epoch:
             self.prefix_epoch = grant.prefix_epoch
             self.cached = prefixes.CachedBlocks()
@@ -166,11 +166,11 @@
         self.fallback = min(self.fallback, self.in_use)
 
     def state(self, sequence: int, held: int) -> None:
-        """Records a sent lease request that gives up all but `held` slots.
+        """Records a sent slot demand that gives up all but `held` slots.
 
         Args:
-          sequence: Sequence number of the lease request.
+          sequence: Sequence number of the slot demand.
           held: Slots kept, including those in use.
         """
         self.slots = min(self.slots, held)
-        self.unanswered_requests.append((sequence, held))
+        self.unanswered_demands.append((sequence, held))
--- a/src/cowsliprill/decisions/orphans.py
+++ b/src/cowsliprill/decisions/orphans.py
@@ -1,26 +1,29 @@
-"""Which requests at an engine belong to an entry process that is gone.
-
-Pure state machine of an engine's home. Observations go in (the VM list, what
-entries and their ports answered, what engines run), cancel orders come out.
-
-The hard part is not to cancel for a live owner that only this home can't
-reach. Silence therefore never counts as an end; these do:
-
-* For `ENDED_S` without a break, each port that the list gives for the VM's
-  entry processes either answered as another incarnation or refused the
-  connection, and the owner itself was not heard. A refusal comes from the VM's
-  own kernel; a partition is silent.
-* The VM was dropped from the platform's list for `ABSENT_S`, none of its ports
-  answered in that time, and this home reaches most of its own zone, so that it
-  isn't the one cut off.
-* The request is older at the engine than any request may become: a live owner
-  has given it up by itself. (The shell knows how old that is.)
-
-What remains: a VM that is dropped from the list, alive, and cut off from this
-home but not from the engine for `ABSENT_S` loses its running streams there;
-and so does an entry that no longer asks for its slots while the list gives
-wrong ports for its VM, after `ENDED_S`. Their callers get an error event, never
-a wrong answer.
+"""Detects requests at engines whose owning entry process no longer exists.
+
+State machine without I/O, run by an engine's coordinator. Inputs are the VM
+list, heartbeats of entry processes, results of probing their ports, and the
+requests that engines run; the output is the list of orphaned requests to
+cancel.
+
+A request of a live owner that is only unreachable from this coordinator must
+not be canceled. Missing responses alone are therefore no evidence of a failure.
+The owner of a request is considered gone in these cases:
+
+* For an uninterrupted `ENDED_S`, each of the VM's listed entry ports either
+  answered with another incarnation or refused the connection, and the owner
+  sent no heartbeat. A refusal is sent by the VM's kernel, whereas a network
+  partition causes timeouts.
+* The VM has been missing from the platform's list for `ABSENT_S`, none of its
+  ports answered in that time, and this coordinator reaches a majority of its
+  own availability zone, so that the coordinator itself isn't partitioned.
+* The request has been at the engine for longer than any request may take, so
+  a live owner has already abandoned it. The caller supplies that limit.
+
+Known limitations: running streams are canceled although their owner is alive if
+its VM is missing from the list and partitioned from this coordinator, but not
+from the engine, for `ABSENT_S`; or if the entry process sends no more slot
+demands while the list has wrong ports for its VM for `ENDED_S`. Clients receive
+an error event in these cases, never a wrong answer.
 """
 
 import dataclasses
@@ -35,28 +38,32 @@
 ENDED_S = 4.0
 ABSENT_S = 60.0
 OVERAGE_MARGIN_S = 30.0
-# Observations further apart than this don't count as one unbroken time: the
-# home itself may have been paused between them and seen nothing.
+# Observations further apart than this don't count as uninterrupted, because the
+# coordinator itself may have been paused in between.
 MAX_GAP_S = 4.0
-_SILENT_PROBE_S = 5.0
-_FORGET_S = 3_600.0
+_UNANSWERED_PROBE_INTERVAL_S = 5.0
+_RECORD_TTL_S = 3_600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """A port answered with the incarnation behind it."""
+    """A process answered on the port.
+
+    Attributes:
+      incarnation: Incarnation of the process.
+    """
 
     incarnation: identity.Incarnation
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The VM's kernel answered that nothing listens on the port."""
+    """The VM's kernel refused the connection; no process listens."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Silent:
-    """No usable answer: a timeout, an unreachable host, something else."""
+    """No usable answer, for example a timeout or an unreachable host."""
 
 
 PortReply = Answered | Refused | Silent
@@ -64,12 +71,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Running:
-    """One request as an engine reports it.
+    """A request reported by an engine.
 
     Attributes:
       endpoint_id: The engine.
-      request_id: Attempt id, or a foreign id.
-      age_s: How long the engine has held it, seconds.
+      request_id: Attempt id, or an id that wasn't issued by this router.
+      age_s: Time since the engine received the request, seconds.
     """
 
     endpoint_id: str
@@ -78,7 +85,13 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request's owner counts as gone."""
+    """Why the owner of a request is considered gone.
+
+    Attributes:
+      ENDED: No entry port of the owner's VM belongs to the owner any more.
+      ABSENT: The owner's VM is missing from the VM list and unreachable.
+      OVERAGE: The request is older than any request may become.
+    """
 
     ENDED = "ended"
     ABSENT = "absent"
@@ -87,12 +100,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Orphan:
-    """A request to cancel.
+    """A request whose owner is gone and that is to be canceled.
 
     Attributes:
-      endpoint_id: The engine that holds it.
-      request_id: Its id there.
-      reason: Why its owner counts as gone.
+      endpoint_id: The engine that runs the request.
+      request_id: Id of the request at the engine.
+      reason: Why the owner is considered gone.
     """
 
     endpoint_id: str
@@ -102,101 +115,116 @@
 
 @dataclasses.dataclass(slots=True)
 class _VmRecord:
+    """Observations of one VM.
+
+    Attributes:
+      vm: The newest entry of the VM list.
+      absent_since: When the VM was first missing from the list, None while it
+        is listed.
+      probed_at: When its entry ports were last probed.
+      all_responding_since: Since when each port answered or refused every
+        probe, None after a probe without an answer.
+      answered_at: When a process last answered on one of its ports.
+    """
+
     vm: model.Vm
     absent_since: float | None = None
     probed_at: float = float("-inf")
-    no_silence_since: float | None = None
+    all_responding_since: float | None = None
     answered_at: float = float("-inf")
 
 
 class OrphanSweep:
-    """Judges the owners of running requests.
+    """Tracks the owners of running requests and finds orphaned requests.
 
     Args:
-      now: Time at which this home started to listen, seconds.
+      now: When this coordinator started to receive heartbeats, seconds.
     """
 
     def __init__(self, now: float) -> None:
         self._started_at = now
-        self._list_seen_at = float("-inf")
+        self._list_updated_at = float("-inf")
         self._records_by_vm: dict[str, _VmRecord] = {}
-        self._heard_by_incarnation: dict[identity.Incarnation, float] = {}
+        self._last_seen_by_incarnation: dict[identity.Incarnation, float] = {}
 
     def see_list(self, vms: Iterable[model.Vm], now: float) -> None:
-        """Takes the VM list; called at least each `MAX_GAP_S`.
+        """Records the VM list; to be called at least every `MAX_GAP_S`.
 
         Args:
-          vms: VMs of the list.
-          now: Time, seconds.
+          vms: The listed VMs.
+          now: Current time in seconds.
         """
-        unbroken = now - self._list_seen_at <= MAX_GAP_S
-        self._list_seen_at = now
+        uninterrupted = now - self._list_updated_at <= MAX_GAP_S
+        self._list_updated_at = now
         listed = {vm.id: vm for vm in vms if vm.role is model.VmRole.ENTRY}
         for vm in listed.values():
-            self._note_listed(vm)
+            self._update_listed_vm(vm)
         for vm_id, record in self._records_by_vm.items():
             if vm_id in listed:
                 continue
-            if record.absent_since is None or not unbroken:
+            if record.absent_since is None or not uninterrupted:
                 record.absent_since = now
-        self._forget(now)
+        self._drop_old_records(now)
 
     def hear(self, incarnation: identity.Incarnation, now: float) -> None:
-        """Takes a sign of life: an ask for slots or a port's answer.
+        """Records a heartbeat: a slot demand or an answer to a port probe.
 
         Args:
-          incarnation: Who gave it.
-          now: Time, seconds.
+          incarnation: The entry process that sent it.
+          now: Current time in seconds.
         """
-        self._heard_by_incarnation[incarnation] = now
+        self._last_seen_by_incarnation[incarnation] = now
 
     def see_ports(
         self, vm_id: str, replies: Iterable[PortReply], now: float
     ) -> None:
-        """Takes one round of questions to all entry ports of a VM.
+        """Records the results of probing all entry ports of a VM.
 
         Args:
           vm_id: The VM.
-          replies: What each of its listed ports answered.
-          now: Time, seconds.
+          replies: The result for each of its listed ports.
+          now: Current time in seconds.
         """
         record = self._records_by_vm.get(vm_id)
         if record is None:
             return
-        silent = False
+        any_unanswered = False
         for reply in replies:
             match reply:
                 case Answered(incarnation):
                     self.hear(incarnation, now)
                     record.answered_at = now
                 case Silent():
-                    silent = True
+                    any_unanswered = True
                 case Refused():
                     pass
-        unbroken = now - record.probed_at <= MAX_GAP_S
+        uninterrupted = now - record.probed_at <= MAX_GAP_S
         record.probed_at = now
-        if silent:
-            record.no_silence_since = None
-        elif record.no_silence_since is None or not unbroken:
-            record.no_silence_since = now
+        if any_unanswered:
+            record.all_responding_since = None
+        elif record.all_responding_since is None or not uninterrupted:
+            record.all_responding_since = now
 
     def suspects(
         self, running: Iterable[Running], now: float
     ) -> list[model.Vm]:
-        """Finds the VMs whose entry ports should be asked now.
+        """Returns the VMs whose entry ports should be probed now.
 
         Args:
-          running: What the engines run.
-          now: Time, seconds.
+          running: The requests that the engines run.
+          now: Current time in seconds.
 
         Returns:
-          VMs with an owner that has been quiet for a while, the ones asked
-          longest ago first.
+          VMs with an owner that has sent no heartbeat for `SUSPECT_S`; those
+          with the oldest probe come first.
         """
         records_by_vm = {}
         for request in running:
             owner = _owner(request)
-            if owner is None or self._quiet_s(owner, now) < SUSPECT_S:
+            if (
+                owner is None
+                or self._time_since_heartbeat_s(owner, now) < SUSPECT_S
+            ):
                 continue
             record = self._records_by_vm.get(owner.vm)
             if record is not None and self._should_probe(record, now):
@@ -214,28 +242,29 @@
         reaches_zone: bool,
         now: float,
     ) -> list[Orphan]:
-        """Finds the requests whose owner is gone.
+        """Returns the requests whose owner is gone.
 
         Args:
-          running: What the engines run.
+          running: The requests that the engines run.
           longest_request_s: Largest `timeout_s` of any service in any
             revision that may still be in use.
-          reaches_zone: Whether this home reached most of its zone lately.
-          now: Time, seconds.
+          reaches_zone: Whether this coordinator recently reached a majority of
+            its availability zone.
+          now: Current time in seconds.
 
         Returns:
           The requests to cancel.
         """
         found = []
-        overage_s = longest_request_s + OVERAGE_MARGIN_S
+        max_age_s = longest_request_s + OVERAGE_MARGIN_S
         for request in running:
             owner = _owner(request)
             if owner is None:
                 continue
-            if request.age_s > overage_s:
+            if request.age_s > max_age_s:
                 reason = Reason.OVERAGE
             else:
-                reason = self._gone(owner, reaches_zone, now)
+                reason = self._gone_reason(owner, reaches_zone, now)
             if reason is not None:
                 found.append(
                     Orphan(
@@ -246,12 +275,13 @@
                 )
         return found
 
-    def _gone(
+    def _gone_reason(
         self, owner: identity.Incarnation, reaches_zone: bool, now: float
     ) -> Reason | None:
         record = self._records_by_vm.get(owner.vm)
         if record is None:
-            # A VM that this home's list has never shown may be a new one.
+            # A VM that was never in this coordinator's list may have just
+            # started.
             return None
         if self._has_ended(record, owner):
             return Reason.ENDED
@@ -262,10 +292,12 @@
     def _has_ended(
         self, record: _VmRecord, owner: identity.Incarnation
     ) -> bool:
-        since = record.no_silence_since
+        since = record.all_responding_since
         if since is None:
             return False
-        return record.probed_at - max(since, self._heard_at(owner)) >= ENDED_S
+        return (
+            record.probed_at - max(since, self._last_seen_at(owner)) >= ENDED_S
+        )
 
     def _is_absent(
         self, record: _VmRecord, owner: identity.Incarnation, now: float
@@ -273,44 +305,50 @@
         since = record.absent_since
         if since is None:
             return False
-        signs = (self._heard_at(owner), record.answered_at, since)
+        last_contacts = (
+            self._last_seen_at(owner),
+            record.answered_at,
+            since,
+        )
         probed = record.probed_at > since
-        return probed and now - max(signs) >= ABSENT_S
+        return probed and now - max(last_contacts) >= ABSENT_S
 
     def _should_probe(self, record: _VmRecord, now: float) -> bool:
-        if record.no_silence_since is not None:
+        if record.all_responding_since is not None:
             return True
-        return now - record.probed_at >= _SILENT_PROBE_S
+        return now - record.probed_at >= _UNANSWERED_PROBE_INTERVAL_S
 
-    def _heard_at(self, owner: identity.Incarnation) -> float:
-        return self._heard_by_incarnation.get(owner, self._started_at)
+    def _last_seen_at(self, owner: identity.Incarnation) -> float:
+        return self._last_seen_by_incarnation.get(owner, self._started_at)
 
-    def _quiet_s(self, owner: identity.Incarnation, now: float) -> float:
-        return now - self._heard_at(owner)
+    def _time_since_heartbeat_s(
+        self, owner: identity.Incarnation, now: float
+    ) -> float:
+        return now - self._last_seen_at(owner)
 
-    def _note_listed(self, vm: model.Vm) -> None:
+    def _update_listed_vm(self, vm: model.Vm) -> None:
         record = self._records_by_vm.get(vm.id)
         if record is None:
             self._records_by_vm[vm.id] = _VmRecord(vm)
             return
         record.absent_since = None
-        moved = record.vm.host != vm.host
-        if moved or record.vm.entry_ports != vm.entry_ports:
-            # What the old ports answered says nothing about the new ones.
-            record.no_silence_since = None
+        host_changed = record.vm.host != vm.host
+        if host_changed or record.vm.entry_ports != vm.entry_ports:
+            # Probe results of the old ports don't apply to the new ones.
+            record.all_responding_since = None
         record.vm = vm
 
-    def _forget(self, now: float) -> None:
-        old = now - _FORGET_S
-        self._heard_by_incarnation = {
-            incarnation: heard_at
-            for incarnation, heard_at in self._heard_by_incarnation.items()
-            if heard_at > old
+    def _drop_old_records(self, now: float) -> None:
+        expired_at = now - _RECORD_TTL_S
+        self._last_seen_by_incarnation = {
+            incarnation: seen_at
+            for incarnation, seen_at in self._last_seen_by_incarnation.items()
+            if seen_at > expired_at
         }
         self._records_by_vm = {
             vm_id: record
             for vm_id, record in self._records_by_vm.items()
-            if record.absent_since is None or record.absent_since > old
+            if record.absent_since is None or record.absent_since > expired_at
         }
 
 
@@ -318,11 +356,12 @@
     return _owner_of(request.request_id)
 
 
-# Each request is judged every second of its life.
+# Cached because each running request is checked every second.
 @functools.lru_cache(maxsize=4_096)
 def _owner_of(request_id: str) -> identity.Incarnation | None:
     try:
         return identity.AttemptId.parse(request_id).incarnation
     except identity.IdentityError:
-        # Not one of ours, for example an operator's own request to the engine.
+        # Not issued by this router, for example an operator's direct request
+        # to the engine.
         return None
--- a/src/cowsliprill/decisions/ownership.py
+++ b/src/cowsliprill/decisions/ownership.py
@@ -1,7 +1,9 @@
-"""Assigns keys, such as endpoints and pools, to home VMs by rendezvous hashing.
+"""Selects the coordinator of a key by rendezvous hashing over the VM list.
 
-The home VM of an endpoint runs the dispatch process that leases the endpoint's
-slots.
+A key is for example the id of an endpoint or the name of a pool.
+
+The coordinator of an endpoint runs the dispatch process that leases the
+endpoint's slots.
 """
 
 from collections.abc import Iterable
@@ -10,8 +12,8 @@
 
 from cowsliprill.decisions import model
 
-# A VM with fewer cores than this fraction of the largest VM's is a home only
-# where there is no larger VM.
+# A VM with fewer cores than this fraction of the largest VM's is a coordinator
+# only where there is no larger VM.
 _WEAK_CORES_FRACTION = 0.5
 
 _STATES_BY_PREFERENCE = (
@@ -42,20 +44,21 @@
 
 
 def homes_in_order(key: str, vms: Iterable[model.Vm]) -> list[model.Vm]:
-    """Ranks the entry VMs for a key; the first is its home.
+    """Ranks the entry VMs for a key; the first is its coordinator.
 
-    Live VMs come first, then VMs that are leaving, then VMs that are still
-    joining. The latter two are not excluded: when all VMs are stopped at once,
-    their callers would otherwise wait for a home until the processes end.
-    Among VMs of one state small ones come last, because a home does work for
-    all entry processes.
+    Live VMs come first, then leaving VMs, then joining VMs, whose state isn't
+    complete yet. The latter two are not excluded: when all VMs are stopped at
+    once, their callers would otherwise wait for a coordinator until the
+    processes end. Among VMs of one state small ones come last, because a
+    coordinator does work for all entry processes.
 
     Args:
       key: The key to assign.
       vms: VMs of any role and state; only entry VMs are ranked.
 
     Returns:
-      The VMs by rank. If the first one is removed, the second is the home.
+      The VMs by rank. If the first one is removed, the second is the
+      coordinator.
     """
     candidates = [vm for vm in vms if vm.role is model.VmRole.ENTRY]
     strongest = max((vm.cores for vm in candidates), default=0.0)
@@ -83,7 +86,7 @@
         self._ranked_by_key: dict[str, list[model.Vm]] = {}
 
     def of(self, key: str, vms_by_id: dict[str, model.Vm]) -> list[model.Vm]:
-        """Returns the entry VMs ranked for a key, the home first.
+        """Returns the entry VMs ranked for a key, the coordinator first.
 
         Args:
           key: The key to assign.
@@ -101,18 +104,19 @@
 
 
 def home_of(endpoint_id: str, vms: Iterable[model.Vm]) -> model.Vm | None:
-    """Returns the VM whose dispatch process is home to an endpoint.
+    """Returns the VM whose dispatch process is an endpoint's coordinator.
 
-    VMs with different VM lists may compute different homes. Both homes may
-    then grant leases on more slots than the engine has, and the engine itself
-    refuses the excess. Correctness doesn't depend on a single home.
+    VMs with different VM lists may compute different coordinators. Both
+    coordinators may then grant leases on more slots than the engine has, and
+    the engine itself refuses the excess. Correctness doesn't depend on a single
+    coordinator.
 
     Args:
       endpoint_id: The endpoint.
-      vms: VMs of any role and state; only live entry VMs can be homes.
+      vms: VMs of any role and state; only live entry VMs can be coordinators.
 
     Returns:
-      The home, or None if there is no live entry VM.
+      The coordinator, or None if there is no live entry VM.
     """
     candidates = [
         vm
--- a/src/cowsliprill/decisions/slot_asks.py
+++ b/src/cowsliprill/decisions/slot_asks.py
@@ -1,4 +1,4 @@
-"""Builds the lease requests that an entry process sends to home VMs."""
+"""Builds the slot demands that an entry process sends to coordinators."""
 
 from collections.abc import Iterator
 
@@ -10,12 +10,12 @@
 from cowsliprill.decisions import queue
 
 # Idle slots kept leased at each endpoint while no requests wait, so that a
-# request to a pool with free capacity is placed without a lease request.
+# request to a pool with free capacity is placed without a slot demand.
 _RESERVE_SLOTS = 1
 
 
 class SlotAsks:
-    """Builds lease requests for the slots of one pool's endpoints.
+    """Builds slot demands for the slots of one pool's endpoints.
 
     Args:
       pool: The pool.
@@ -29,7 +29,7 @@
     def state(
         self, now: float, sequence: int, *, only_urgent: bool
     ) -> Iterator[messages.SlotAsk]:
-        """Builds the lease requests for the pool's endpoints.
+        """Builds the slot demands for the pool's endpoints.
 
         Decode slots are requested first, and prefill slots beyond the reserve
         only for as many requests as idle decode slots are held. The same
@@ -38,11 +38,11 @@
 
         Args:
           now: Current time in seconds.
-          sequence: Sequence number of these lease requests.
+          sequence: Sequence number of these slot demands.
           only_urgent: Skip those that can wait for the next renewal.
 
         Yields:
-          At most one lease request per endpoint.
+          At most one slot demand per endpoint.
         """
         waiting = len(self._pool.queue)
         if only_urgent and not waiting and not self._may_need_update():
@@ -55,13 +55,13 @@
         )
 
     def _may_need_update(self) -> bool:
-        """Returns whether a home needs an update before the next renewal.
+        """Returns whether a coordinator may need an update before renewal.
 
-        That is so where other entry processes wait for slots, or where the
-        last lease request stated a need that has since gone.
+        That is so where other entry processes wait for slots, or where the last
+        slot demand stated a need that has since gone.
         """
         return any(
-            holding.others_waiting or holding.requested_need
+            holding.others_waiting or holding.demanded_slots
             for holding in self._pool.holdings_by_endpoint.values()
         )
 
@@ -73,7 +73,7 @@
         sequence: int,
         only_urgent: bool,
     ) -> Iterator[messages.SlotAsk]:
-        """Yields lease requests and returns how many idle slots are held."""
+        """Yields slot demands and returns how many idle slots are held."""
         holdings = [self._pool.holding(item.id) for item in endpoints]
         # Idle slots of an engine that isn't usable can't serve requests.
         idle = sum(
@@ -94,8 +94,8 @@
             else:
                 released = endpoint_idle if contended else 0
                 need = 0
-            outdated = need > holding.requested_need or (
-                need == 0 and holding.requested_need > 0
+            outdated = need > holding.demanded_slots or (
+                need == 0 and holding.demanded_slots > 0
             )
             if only_urgent and not released and not outdated:
                 continue
@@ -125,7 +125,7 @@
         held = holding.held(now) - released
         usable = self._health.usable(endpoint_id, now)
         reserve = _RESERVE_SLOTS if usable and not holding.others_waiting else 0
-        holding.requested_need = need
+        holding.demanded_slots = need
         holding.state(sequence, held)
         first_waiting = first_waiting if need else None
         return messages.SlotAsk(
--- a/src/cowsliprill/decisions/slots.py
+++ b/src/cowsliprill/decisions/slots.py
@@ -1,9 +1,9 @@
-"""Server side of slot leases: an endpoint's ledger, kept by its home VM.
+"""Server side of slot leases: an endpoint's ledger, kept by its coordinator.
 
-State machine without I/O that answers the lease requests of entry processes
-with grants. It never grants more slots than the endpoint has. A lease permits
-an entry process to place new work until the lease expires; running work keeps
-its slot for as long as the entry process reports it.
+State machine without I/O that answers the slot demands of entry processes with
+grants. It never grants more slots than the endpoint has. A lease permits an
+entry process to place new work until the lease expires; running work keeps its
+slot for as long as the entry process reports it.
 """
 
 import dataclasses
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
-    """The lease and the newest lease request of one entry process.
+    """The lease and the newest slot demand of one entry process.
 
     Attributes:
-      ask: The newest lease request.
+      ask: The newest slot demand.
       slots: Slots leased, including those in use.
       expires_at: When the ledger stops counting the lease as valid.
       deadline: Nearest deadline of the waiting requests, on this clock.
@@ -62,9 +62,9 @@
     Args:
       endpoint_id: The endpoint.
       slots: Number of slots of the endpoint.
-      silent_until: End of the reclaim period. Until then a new home only
+      silent_until: End of the reclaim period. Until then a new coordinator only
         confirms slots that entry processes report as held, because it doesn't
-        know which leases of the previous home are still valid.
+        know which leases of the previous coordinator are still valid.
     """
 
     def __init__(
@@ -79,25 +79,25 @@
     def ask(
         self, entry: str, ask: messages.SlotAsk, now: float
     ) -> messages.SlotGrant:
-        """Handles the lease request of an entry process.
+        """Handles the slot demand of an entry process.
 
         Args:
           entry: Incarnation of the entry process.
-          ask: The lease request.
+          ask: The slot demand.
           now: Current time in seconds.
 
         Returns:
           The slots leased to the entry process; `expires_at` is on this clock.
           The entry process must start the lease at the time it sent the
-          request, not at the time the answer arrived.
+          demand, not at the time the answer arrived.
         """
         self._expire(now)
         lease = self._leases_by_entry.get(entry)
-        # A reordered or duplicated request would take back slots that have
+        # A reordered or duplicated demand would take back slots that have
         # been granted to the entry process since.
         if lease and 0 < ask.sequence <= lease.ask.sequence:
             return self._grant(lease)
-        self._apply_request(entry, lease, ask, now)
+        self._apply_demand(entry, lease, ask, now)
         self._allocate(now)
         return self._grant(self._leases_by_entry[entry])
 
@@ -168,7 +168,7 @@
             if not lease.slots:
                 del self._leases_by_entry[entry]
 
-    def _apply_request(
+    def _apply_demand(
         self,
         entry: str,
         lease: _Lease | None,
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -11,7 +11,8 @@
 
 _SLOTS = 4
 
-# Beyond this a silent entry's slots go to others, see slots._EXPIRED_RESERVED_S.
+# Less than a lease and the time for which its slots stay reserved after it has
+# expired, see `slots._EXPIRED_RESERVED_S`.
 _SILENCE_MAX_S = 6.0
 _ENTRIES = ("a", "b", "c")
 
