--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.fencing`, in virtual time with two homes."""
+"""Tests of `decisions.fencing`, in virtual time with two coordinators."""
 
 import dataclasses
 
@@ -36,27 +36,30 @@
 
 @dataclasses.dataclass
 class _FakeEngine:
-    """An engine that checks fencing numbers, or takes whatever comes."""
+    """An engine that checks fencing tokens, or accepts every order."""
 
     checks: bool
-    highest: int = 0
+    highest_token: int = 0
     version: str = "none"
 
     def order(self, order: fencing.Order) -> bool:
-        if self.checks and order.fencing < self.highest:
+        if self.checks and order.fencing < self.highest_token:
             return False
-        self.highest = order.fencing
+        self.highest_token = order.fencing
         self.version = order.target.version
         return True
 
     def read_back(self) -> fencing.ReadBack:
         return fencing.ReadBack(
-            fencing=self.highest, target=_target(self.version)
+            fencing=self.highest_token, target=_target(self.version)
         )
 
 
-class _Home:
-    """One home's shell: sees revisions when told, and runs unless paused."""
+class _Coordinator:
+    """I/O layer of a coordinator that can be paused.
+
+    It learns of a new revision only when the test calls `accept`.
+    """
 
     def __init__(self, checks: bool) -> None:
         self.book = fencing.OrderBook(0.0)
@@ -64,7 +67,7 @@
         self.revision = 0
         self.paused = False
         self.is_home = True
-        self.peers_revision = 0
+        self.peer_revision = 0
         self.sent: list[tuple[float, fencing.Order]] = []
 
     def accept(self, revision: int, version: str) -> None:
@@ -78,7 +81,7 @@
         for endpoint_id in self.book.to_read(now):
             self.book.see_read_back(endpoint_id, engine.read_back(), now)
         zone = fencing.ZoneReport(
-            listed=3, heard=3, highest_revision=self.peers_revision, at=now
+            listed=3, heard=3, highest_revision=self.peer_revision, at=now
         )
         for order in self.book.wanted(now):
             hold = self.book.hold(
@@ -98,14 +101,14 @@
 )
 
 
-class _World:
-    """Two VMs that may both think that the engine is theirs."""
+class _TwoCoordinators:
+    """Two VMs that may both consider themselves the engine's coordinator."""
 
     def __init__(self, checks: bool) -> None:
         self.engine = _FakeEngine(checks)
-        self.old = _Home(checks)
-        self.new = _Home(checks)
-        self.new.is_home = False
+        self.former = _Coordinator(checks)
+        self.current = _Coordinator(checks)
+        self.current.is_home = False
         self.versions = ["v0"]
         self.now = 0.0
 
@@ -113,117 +116,121 @@
     def revision(self) -> int:
         return len(self.versions)
 
-    def see(self, home: _Home) -> None:
-        if not home.paused:
-            home.accept(self.revision, self.versions[-1])
+    def accept_newest(self, coordinator: _Coordinator) -> None:
+        if not coordinator.paused:
+            coordinator.accept(self.revision, self.versions[-1])
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds / _STEP_S)):
             self.now += _STEP_S
-            for home in (self.old, self.new):
-                home.step(self.engine, self.now)
+            for coordinator in (self.former, self.current):
+                coordinator.step(self.engine, self.now)
 
-    def do(self, event: str) -> None:
+    def apply(self, event: str) -> None:
         match event:
             case "publish":
-                # Versions come back, as when an operator undoes a change.
+                # Versions repeat, as after a rollback by an operator.
                 self.versions.append(f"v{len(self.versions) % 2}")
             case "old sees":
-                self.see(self.old)
+                self.accept_newest(self.former)
             case "new sees":
-                self.see(self.new)
+                self.accept_newest(self.current)
             case "pause":
-                self.old.paused = True
+                self.former.paused = True
             case "wake":
-                self.old.paused = False
+                self.former.paused = False
             case "move":
-                self.new.is_home = True
+                self.current.is_home = True
         self.run(3.0)
 
     def settle(self) -> None:
-        self.old.paused = False
-        self.old.is_home = False
-        self.new.is_home = True
-        self.see(self.new)
-        self.see(self.old)
+        self.former.paused = False
+        self.former.is_home = False
+        self.current.is_home = True
+        self.accept_newest(self.current)
+        self.accept_newest(self.former)
         self.run(fencing.READ_S + fencing.SETTLE_S + fencing.ORDER_GAP_S + 1)
 
 
 class TestOrderBook:
-    """What an older or woken home may still do to an engine."""
+    """Orders from outdated or resumed coordinators don't stay in effect."""
 
     @_SETTINGS
     @hypothesis.given(events=_EVENTS, checks=strategies.booleans())
-    def test_an_engine_ends_as_the_newest_revision_says(
+    def test_engine_converges_to_the_newest_revision(
         self, events: list[str], checks: bool
     ) -> None:
-        """Two homes order the same engine, one of them pauses and wakes.
+        """Two coordinators order the same engine; one is paused and resumes.
 
-        An engine that is left with last week's model gives wrong answers to
-        the callers whose requests are routed to it as the new one.
+        An engine left with an old model returns wrong output for requests that
+        are routed to it as if it served the new model.
         """
-        world = _World(checks)
+        scenario = _TwoCoordinators(checks)
         for event in events:
-            world.do(event)
-        world.settle()
-        assert world.engine.version == world.versions[-1]
+            scenario.apply(event)
+        scenario.settle()
+        assert scenario.engine.version == scenario.versions[-1]
 
     @_SETTINGS
     @hypothesis.given(events=_EVENTS, checks=strategies.booleans())
-    def test_no_order_goes_out_below_a_number_that_was_read(
+    def test_no_order_has_a_lower_token_than_one_read_back(
         self, events: list[str], checks: bool
     ) -> None:
-        """An old home has read a newer home's number and still orders."""
-        world = _World(checks)
-        world.engine.highest = 7
+        """An outdated coordinator has read back a newer fencing token.
+
+        It must not send orders with a lower token.
+        """
+        scenario = _TwoCoordinators(checks)
+        scenario.engine.highest_token = 7
         for event in events:
-            world.do(event)
-        for home in (world.old, world.new):
-            assert all(order.fencing >= 7 for _, order in home.sent)
+            scenario.apply(event)
+        for coordinator in (scenario.former, scenario.current):
+            assert all(order.fencing >= 7 for _, order in coordinator.sent)
 
-    def test_a_woken_home_waits_and_then_stands_back(self) -> None:
-        """A home is paused while the model is changed, and wakes.
+    def test_resumed_coordinator_sends_no_outdated_order(self) -> None:
+        """A coordinator is paused while the model is changed, and resumes.
 
-        It still believes in the old revision. Ordering at once would turn an
-        engine that doesn't check back to the old model.
+        It still has the old revision. An immediate order would revert an
+        engine that doesn't check fencing tokens to the old model.
         """
-        home = _Home(False)
+        coordinator = _Coordinator(False)
         engine = _FakeEngine(False)
-        home.accept(1, "v0")
-        home.step(engine, 0.5)
+        coordinator.accept(1, "v0")
+        coordinator.step(engine, 0.5)
         assert engine.version == "v0"
         engine.version = "v1"
-        home.peers_revision = 2
+        coordinator.peer_revision = 2
         for step in range(60):
-            home.step(engine, 100.0 + step * _STEP_S)
+            coordinator.step(engine, 100.0 + step * _STEP_S)
         assert engine.version == "v1"
-        assert [order.fencing for _, order in home.sent] == [1]
+        assert [order.fencing for _, order in coordinator.sent] == [1]
 
-    def test_a_change_and_its_undoing_raise_the_number(self) -> None:
-        """A model is changed and changed back while a home sleeps.
+    def test_rolled_back_change_raises_the_token(self) -> None:
+        """A model is changed and changed back while a coordinator is paused.
 
-        The engine is what it should be, but with the number of old, so the
-        sleeper's order for the change in between would still be taken.
+        The engine already serves the right model, but with the old token, so
+        it would still accept the paused coordinator's order for the change in
+        between.
         """
-        home = _Home(True)
+        coordinator = _Coordinator(True)
         engine = _FakeEngine(True)
-        home.accept(1, "v0")
-        home.step(engine, 0.5)
-        home.accept(2, "v1")
-        home.accept(3, "v0")
+        coordinator.accept(1, "v0")
+        coordinator.step(engine, 0.5)
+        coordinator.accept(2, "v1")
+        coordinator.accept(3, "v0")
         for step in range(1, 40):
-            home.step(engine, 0.5 + step * _STEP_S)
-        assert engine.highest == 3
+            coordinator.step(engine, 0.5 + step * _STEP_S)
+        assert engine.highest_token == 3
 
-    def test_revisions_that_leave_an_engine_alone_cost_no_order(self) -> None:
-        home = _Home(True)
+    def test_revision_with_the_same_target_sends_no_order(self) -> None:
+        coordinator = _Coordinator(True)
         engine = _FakeEngine(True)
         for revision in range(1, 200):
-            home.accept(revision, "v0")
-            home.step(engine, revision * _STEP_S)
-        assert len(home.sent) == 1
+            coordinator.accept(revision, "v0")
+            coordinator.step(engine, revision * _STEP_S)
+        assert len(coordinator.sent) == 1
 
-    def test_an_engine_without_numbers_isnt_ordered_again_and_again(
+    def test_engine_without_tokens_gets_no_repeated_orders(
         self,
     ) -> None:
         book = fencing.OrderBook(0.0)
@@ -232,7 +239,7 @@
         book.see_read_back("d0", read, 0.1)
         assert book.wanted(0.1) == []
 
-    def test_a_lower_revision_changes_nothing(self) -> None:
+    def test_lower_revision_is_ignored(self) -> None:
         """A stale replica of the platform serves an older revision."""
         book = fencing.OrderBook(0.0)
         book.see_engines(9, [_engine("v1", True)])
@@ -243,7 +250,7 @@
 
 
 class TestHold:
-    """The checks right before an order goes out."""
+    """Checks immediately before an order is sent."""
 
     def _book(self) -> tuple[fencing.OrderBook, fencing.Order]:
         book = fencing.OrderBook(0.0)
@@ -257,37 +264,39 @@
             listed=4, heard=heard, highest_revision=revision, at=0.1
         )
 
-    def test_all_well_may_go(self) -> None:
+    def test_order_is_permitted_without_a_reason_to_hold(self) -> None:
         book, order = self._book()
         hold = book.hold(order, is_home=True, zone=self._zone(4), now=0.2)
         assert hold is None
 
-    def test_a_home_cut_off_from_its_zone_is_held(self) -> None:
-        """A partition leaves a home with a minority of its zone.
+    def test_coordinator_without_zone_majority_is_held(self) -> None:
+        """A partition leaves a coordinator with a minority of its zone.
 
-        The others have moved on to a new home and perhaps a new revision.
+        The other VMs may have a new coordinator and a new revision by now.
         """
         book, order = self._book()
         hold = book.hold(order, is_home=True, zone=self._zone(1), now=0.2)
         assert hold is fencing.Hold.CUT_OFF
 
-    def test_a_home_that_is_behind_its_peers_is_held(self) -> None:
+    def test_coordinator_with_an_older_revision_than_its_peers_is_held(
+        self,
+    ) -> None:
         book, order = self._book()
         zone = self._zone(4, revision=6)
         hold = book.hold(order, is_home=True, zone=zone, now=0.2)
         assert hold is fencing.Hold.BEHIND
 
-    def test_a_pause_between_check_and_order_is_noticed(self) -> None:
+    def test_pause_before_sending_is_detected(self) -> None:
         book, order = self._book()
         hold = book.hold(order, is_home=True, zone=self._zone(4), now=60.0)
         assert hold is fencing.Hold.JUST_WOKEN
 
-    def test_a_home_that_lost_the_engine_is_held(self) -> None:
+    def test_former_coordinator_is_held(self) -> None:
         book, order = self._book()
         hold = book.hold(order, is_home=False, zone=self._zone(4), now=0.2)
         assert hold is fencing.Hold.NOT_HOME
 
-    def test_a_second_load_in_a_row_waits_for_the_weight_store(self) -> None:
+    def test_consecutive_model_loads_are_rate_limited(self) -> None:
         book, order = self._book()
         book.sent(order, 0.2)
         read = fencing.ReadBack(fencing=4, target=_target("v0"))
@@ -295,15 +304,15 @@
         hold = book.hold(order, is_home=True, zone=self._zone(4), now=0.4)
         assert hold is fencing.Hold.RATE
 
-    def test_an_order_of_a_revision_that_was_replaced_is_held(self) -> None:
-        """New settings come while the home waits for its peers' answers."""
+    def test_order_of_a_superseded_revision_is_held(self) -> None:
+        """New settings arrive while the coordinator queries its peers."""
         book, order = self._book()
         book.see_engines(6, [_engine("v1", True)])
         zone = self._zone(4)
         hold = book.hold(order, is_home=True, zone=zone, now=0.2)
         assert hold is fencing.Hold.BEHIND
 
-    def test_nothing_is_sent_again_before_the_engine_is_read_back(self) -> None:
+    def test_order_is_not_repeated_before_the_read_back(self) -> None:
         book, order = self._book()
         book.sent(order, 0.2)
         assert book.wanted(0.3) == []
--- a/tests/test_home_choice.py
+++ b/tests/test_home_choice.py
@@ -8,7 +8,7 @@
 
 
 def _vms(count: int) -> list[model.Vm]:
-    """Returns VMs in the order in which they are home."""
+    """Returns VMs by rank; the first one is the coordinator."""
     vms = [
         model.Vm(
             id=f"vm-{number}",
@@ -26,9 +26,9 @@
 
 
 class TestChoice:
-    """The first by the own list, but for what others say and calls show."""
+    """Rendezvous ranking, overridden by redirects and failed calls."""
 
-    def test_it_changes_only_when_another_vm_is_first(self):
+    def test_coordinator_changes_only_if_another_vm_ranks_first(self):
         vms = _vms(3)
         choice = home_choice.HomeChoice(_POOL)
         assert choice.look_up(_by_id(vms[1:]), 0.0)
@@ -36,12 +36,12 @@
         assert choice.look_up(_by_id(vms), 2.0)
         assert choice.home == vms[0]
 
-    def test_without_any_vm_there_is_none(self):
+    def test_no_vm_means_no_coordinator(self):
         choice = home_choice.HomeChoice(_POOL)
         assert not choice.look_up({}, 0.0)
         assert choice.home is None
 
-    def test_one_that_gives_no_answer_is_left_for_a_while(self):
+    def test_unresponsive_coordinator_is_suspended_temporarily(self):
         vms = _vms(3)
         choice = home_choice.HomeChoice(_POOL)
         choice.look_up(_by_id(vms), 0.0)
@@ -54,7 +54,7 @@
         choice.look_up(_by_id(vms), 9.0)
         assert choice.home == vms[0]
 
-    def test_an_answer_ends_the_row_of_failures(self):
+    def test_response_resets_consecutive_failures(self):
         vms = _vms(2)
         choice = home_choice.HomeChoice(_POOL)
         choice.look_up(_by_id(vms), 0.0)
@@ -63,8 +63,8 @@
             choice.answered()
         assert not choice.look_up(_by_id(vms), 1.0)
 
-    def test_another_vms_word_counts_for_a_moment(self):
-        """A VM that this one doesn't know of is the home by another's word."""
+    def test_redirect_expires(self):
+        """A redirect names a VM that is missing from the local VM list."""
         vms = _vms(2)
         choice = home_choice.HomeChoice(_POOL)
         choice.look_up(_by_id(vms[1:]), 0.0)
--- a/tests/test_home_map.py
+++ b/tests/test_home_map.py
@@ -24,7 +24,7 @@
     )
 
 
-_LISTS = strategies.lists(
+_VM_LISTS = strategies.lists(
     strategies.dictionaries(
         strategies.integers(0, 6),
         strategies.tuples(strategies.booleans(), strategies.integers(1, 3)),
@@ -35,30 +35,34 @@
 
 
 class TestHomeMap:
-    """The same homes as the plain function, whatever changed before."""
+    """Incremental updates give the same coordinators as recomputation."""
 
     @_SETTINGS
-    @hypothesis.given(lists=_LISTS)
-    def test_every_list_gives_the_same_homes_as_the_plain_function(
+    @hypothesis.given(lists=_VM_LISTS)
+    def test_same_coordinators_as_home_of_after_each_update(
         self, lists: list[dict[int, tuple[bool, int]]]
     ) -> None:
-        """VMs come, go, leave and change their ports, several at once.
+        """VMs are added, removed, leave and change ports, several at once.
 
-        If a home here differed from the one that entries work out, asks would
-        go to a VM that doesn't grant, and its engines would lie idle.
+        If the map and the entry processes computed different coordinators,
+        slot demands would go to a VM that doesn't grant leases, and its
+        engines would stay idle.
         """
-        homes = home_map.HomeMap()
-        for each in lists:
-            vms = [_vm(number, *state) for number, state in each.items()]
-            homes.update(vms)
+        coordinators = home_map.HomeMap()
+        for states_by_number in lists:
+            vms = [
+                _vm(number, *state)
+                for number, state in states_by_number.items()
+            ]
+            coordinators.update(vms)
             for endpoint_id in _ENDPOINT_IDS:
                 expected = ownership.home_of(endpoint_id, vms)
-                assert homes.home_of(endpoint_id) == expected
+                assert coordinators.home_of(endpoint_id) == expected
 
-    def test_forgotten_endpoints_are_found_anew(self) -> None:
-        homes = home_map.HomeMap()
+    def test_dropped_endpoint_is_computed_again(self) -> None:
+        coordinators = home_map.HomeMap()
         vms = [_vm(number, False, 1) for number in range(5)]
-        homes.update(vms)
-        before = homes.home_of("d1")
-        homes.keep_only([])
-        assert homes.home_of("d1") == before
+        coordinators.update(vms)
+        before = coordinators.home_of("d1")
+        coordinators.keep_only([])
+        assert coordinators.home_of("d1") == before
--- a/tests/test_orphans.py
+++ b/tests/test_orphans.py
@@ -13,7 +13,7 @@
     derandomize=True, deadline=None, database=None, max_examples=300
 )
 _STEP_S = 1.0
-_ASK_EVERY_S = 2.0
+_HEARTBEAT_INTERVAL_S = 2.0
 _LONGEST_REQUEST_S = 120.0
 _PORTS = (1, 2)
 
@@ -34,8 +34,8 @@
     alive: bool = True
 
 
-class _World:
-    """One VM with two entry processes, as one home sees it."""
+class _Scenario:
+    """One VM with two entry processes, as observed by one coordinator."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -50,7 +50,7 @@
         )
         self.host_up = True
         self.wrong_port = False
-        self.drains = False
+        self.draining = False
         self.cut_off = False
         self.listed = True
         self.home_paused = False
@@ -62,7 +62,7 @@
         nonce = f"n{self.nonces}"
         return _Process(identity.Incarnation("vm-a", name, nonce))
 
-    def do(self, event: str) -> None:
+    def apply(self, event: str) -> None:
         match event:
             case "kill":
                 self.processes[0].alive = False
@@ -71,12 +71,12 @@
                     self.wrong_port = False
                     self.processes[0] = self._start("e0")
             case "wrong port" | "right port":
-                # The lagging list gives a port that nothing listens on.
+                # The outdated VM list has a port that no process listens on.
                 self.wrong_port = event == "wrong port"
             case "drain":
-                # The owner finishes its requests beside its successor.
-                if self.owner.alive and not self.drains:
-                    self.drains = True
+                # The owner completes its requests while its successor runs.
+                if self.owner.alive and not self.draining:
+                    self.draining = True
                     self.processes[0] = self._start("e0")
             case "vm dies":
                 self.host_up = False
@@ -93,8 +93,8 @@
     def step(self, *, asks: bool = True) -> None:
         self.now += _STEP_S
         self.running = dataclasses.replace(self.running, age_s=self.now)
-        excused = self.cut_off and not self.listed
-        if not excused:
+        exempt = self.cut_off and not self.listed
+        if not exempt:
             self.unlisted_and_cut_off_since = None
         elif self.unlisted_and_cut_off_since is None:
             self.unlisted_and_cut_off_since = self.now
@@ -102,11 +102,16 @@
             return
         self.sweep.see_list([_vm("vm-a")] if self.listed else [], self.now)
         reachable = self.host_up and not self.cut_off
-        hidden = self.wrong_port or self.drains
-        asking = asks or hidden
-        turn = self.now % _ASK_EVERY_S == 0
+        unprobeable = self.wrong_port or self.draining
+        sends_heartbeats = asks or unprobeable
+        heartbeat_due = self.now % _HEARTBEAT_INTERVAL_S == 0
         for process in [*self.processes, self.owner]:
-            if process.alive and reachable and asking and turn:
+            if (
+                process.alive
+                and reachable
+                and sends_heartbeats
+                and heartbeat_due
+            ):
                 self.sweep.hear(process.incarnation, self.now)
         for vm in self.sweep.suspects([self.running], self.now):
             replies = [self._reply(process) for process in self.processes]
@@ -129,7 +134,10 @@
         return orphans.Refused()
 
     def _check(self) -> None:
-        """Fails if a request was taken from a live owner."""
+        """Asserts that no request of a live owner was canceled.
+
+        Only the documented limitations are permitted.
+        """
         assert self.cancelled is not None
         if not self.owner.alive:
             return
@@ -169,80 +177,84 @@
 
 
 class TestOrphanSweep:
-    """Whose requests are cancelled, and when."""
+    """Which requests are canceled, and after what time."""
 
     @_SETTINGS
     @hypothesis.given(events=_EVENTS, asks=strategies.booleans())
-    def test_a_live_owner_keeps_its_request(
+    def test_request_of_a_live_owner_is_not_canceled(
         self, events: list[tuple[str, int]], asks: bool
     ) -> None:
-        """Partitions, restarts, list changes and pauses in any order.
+        """Partitions, restarts, VM list changes and pauses in any order.
 
-        Cancelling for a live owner would cut a brief in the middle of its
-        answer, only because the home could not reach its entry.
+        Canceling a live owner's request would interrupt a running stream only
+        because the coordinator couldn't reach the entry process.
         """
-        world = _World()
+        scenario = _Scenario()
         for event, steps in events:
-            world.do(event)
+            scenario.apply(event)
             for _ in range(steps):
-                world.step(asks=asks)
-
-    def _run_until_cancelled(self, world: _World, limit_s: float) -> None:
-        start = world.now
-        while world.cancelled is None:
-            world.step()
-            assert world.now - start <= limit_s
-
-    def test_a_killed_process_is_swept_within_ten_seconds(self) -> None:
-        """Kill -9 of an entry process that nothing restarts."""
-        world = _World()
-        world.step()
-        world.do("kill")
-        self._run_until_cancelled(world, 10.0)
-        assert world.cancelled.reason is orphans.Reason.ENDED
-
-    def test_a_restarted_process_is_swept_within_ten_seconds(self) -> None:
-        """Kill -9 of an entry process that the platform restarts at once."""
-        world = _World()
-        world.step()
-        world.do("kill")
-        world.do("restart")
-        self._run_until_cancelled(world, 10.0)
-        assert world.cancelled.reason is orphans.Reason.ENDED
-
-    def test_a_lost_vm_is_swept_once_the_list_drops_it(self) -> None:
-        """The VM is gone, its ports are silent as behind a partition."""
-        world = _World()
-        world.step()
-        world.do("vm dies")
+                scenario.step(asks=asks)
+
+    def _run_until_cancelled(self, scenario: _Scenario, limit_s: float) -> None:
+        start = scenario.now
+        while scenario.cancelled is None:
+            scenario.step()
+            assert scenario.now - start <= limit_s
+
+    def test_request_of_a_killed_process_is_found_in_ten_seconds(self) -> None:
+        """An entry process gets SIGKILL and isn't restarted."""
+        scenario = _Scenario()
+        scenario.step()
+        scenario.apply("kill")
+        self._run_until_cancelled(scenario, 10.0)
+        assert scenario.cancelled.reason is orphans.Reason.ENDED
+
+    def test_request_of_a_restarted_process_is_found_in_ten_seconds(
+        self,
+    ) -> None:
+        """An entry process gets SIGKILL and is restarted immediately."""
+        scenario = _Scenario()
+        scenario.step()
+        scenario.apply("kill")
+        scenario.apply("restart")
+        self._run_until_cancelled(scenario, 10.0)
+        assert scenario.cancelled.reason is orphans.Reason.ENDED
+
+    def test_request_of_a_failed_vm_is_found_after_its_delisting(self) -> None:
+        """A VM fails; port probes time out as they do in a partition."""
+        scenario = _Scenario()
+        scenario.step()
+        scenario.apply("vm dies")
         for _ in range(20):
-            world.step()
-        assert world.cancelled is None
-        world.do("unlist")
-        self._run_until_cancelled(world, orphans.ABSENT_S + 3.0)
-        assert world.cancelled.reason is orphans.Reason.ABSENT
-
-    def test_whatever_is_older_than_any_request_is_swept(self) -> None:
-        """The VM list is never mended: the platform is down for long."""
-        world = _World()
-        world.step()
-        world.do("vm dies")
+            scenario.step()
+        assert scenario.cancelled is None
+        scenario.apply("unlist")
+        self._run_until_cancelled(scenario, orphans.ABSENT_S + 3.0)
+        assert scenario.cancelled.reason is orphans.Reason.ABSENT
+
+    def test_request_above_the_maximum_age_is_found(self) -> None:
+        """A VM fails but stays in the VM list during a platform outage."""
+        scenario = _Scenario()
+        scenario.step()
+        scenario.apply("vm dies")
         limit_s = _LONGEST_REQUEST_S + orphans.OVERAGE_MARGIN_S + 2.0
-        self._run_until_cancelled(world, limit_s)
-        assert world.cancelled.reason is orphans.Reason.OVERAGE
+        self._run_until_cancelled(scenario, limit_s)
+        assert scenario.cancelled.reason is orphans.Reason.OVERAGE
 
-    def test_a_home_that_is_cut_off_itself_sweeps_no_absent_vm(self) -> None:
-        """The home is the one behind the partition, with an old list."""
-        alone = orphans.OrphanSweep(0.0)
-        alone.see_list([_vm("vm-a")], 0.0)
+    def test_partitioned_coordinator_finds_no_orphans_of_absent_vms(
+        self,
+    ) -> None:
+        """The coordinator itself is partitioned and has an old VM list."""
+        partitioned = orphans.OrphanSweep(0.0)
+        partitioned.see_list([_vm("vm-a")], 0.0)
         running = orphans.Running(
             endpoint_id="d0", request_id="vm-a.e0.n1.7.0", age_s=1.0
         )
         found = []
         for second in range(1, 100):
-            alone.see_list([], float(second))
-            alone.see_ports("vm-a", [orphans.Silent()], float(second))
-            found += alone.orphans(
+            partitioned.see_list([], float(second))
+            partitioned.see_ports("vm-a", [orphans.Silent()], float(second))
+            found += partitioned.orphans(
                 [running],
                 longest_request_s=_LONGEST_REQUEST_S,
                 reaches_zone=False,
@@ -250,8 +262,8 @@
             )
         assert found == []
 
-    def test_a_vm_that_the_list_has_never_shown_is_left_alone(self) -> None:
-        """A new VM serves before the lagging list names it."""
+    def test_requests_of_a_vm_that_was_never_listed_are_ignored(self) -> None:
+        """A new VM serves requests before it appears in the VM list."""
         sweep = orphans.OrphanSweep(0.0)
         running = orphans.Running(
             endpoint_id="d0", request_id="vm-new.e0.n1.7.0", age_s=1.0
@@ -265,8 +277,8 @@
                 now=float(second),
             )
 
-    def test_a_foreign_request_is_left_alone(self) -> None:
-        """An operator tries a prompt at the engine by hand."""
+    def test_request_with_a_foreign_id_is_ignored(self) -> None:
+        """An operator sends a prompt to the engine directly."""
         sweep = orphans.OrphanSweep(0.0)
         foreign = orphans.Running(
             endpoint_id="d0", request_id="cmpl-42", age_s=9_999.0
@@ -284,8 +296,8 @@
 )
 
 
-class _Sweep:
-    """A sweep that is driven step by step."""
+class _Detector:
+    """Feeds an `OrphanSweep` with individual observations."""
 
     def __init__(self) -> None:
         self.sweep = orphans.OrphanSweep(0.0)
@@ -307,26 +319,26 @@
         return bool(found)
 
 
-class TestUnbrokenTime:
-    """Observations count together only if nothing could hide between."""
+class TestUninterruptedObservation:
+    """Observations are combined only if no event can be missed in between."""
 
-    def test_refusals_before_and_after_a_silence_are_two_times(self) -> None:
-        """A port refuses while its process starts; then a partition."""
-        steps = _Sweep()
+    def test_probe_without_an_answer_resets_the_refusal_time(self) -> None:
+        """A port refuses while its process starts; a partition follows."""
+        steps = _Detector()
         steps.ports(10.0, orphans.Refused())
         steps.ports(11.0, orphans.Silent())
         steps.ports(14.0, orphans.Refused())
         assert not steps.finds(14.0)
 
-    def test_refusals_before_and_after_a_pause_are_two_times(self) -> None:
-        """The home sleeps for a minute, during which it hears no ask."""
-        steps = _Sweep()
+    def test_pause_of_the_coordinator_resets_the_refusal_time(self) -> None:
+        """The coordinator is paused for 50 s and receives no heartbeat."""
+        steps = _Detector()
         steps.ports(10.0, orphans.Refused())
         steps.ports(60.0, orphans.Refused())
         assert not steps.finds(60.0)
 
-    def test_the_time_counts_from_the_last_sign_of_life(self) -> None:
-        steps = _Sweep()
+    def test_refusal_time_starts_at_the_last_heartbeat(self) -> None:
+        steps = _Detector()
         owner = identity.Incarnation("vm-a", "e0", "n1")
         for second in range(10, 20):
             steps.ports(float(second), orphans.Refused())
@@ -334,34 +346,34 @@
                 steps.sweep.hear(owner, 14.0)
             assert steps.finds(float(second)) == (second >= 18)
 
-    def test_what_old_ports_answered_says_nothing_of_new_ones(self) -> None:
-        """A VM comes back at other ports; its new list entry is seen late."""
-        steps = _Sweep()
+    def test_port_change_resets_the_refusal_time(self) -> None:
+        """A VM restarts with other ports, and the VM list is updated late."""
+        steps = _Detector()
         for second in range(10, 13):
             steps.ports(float(second), orphans.Refused())
         steps.see_list(13.0, dataclasses.replace(_vm("vm-a"), entry_ports=(9,)))
         steps.ports(14.0, orphans.Refused())
         assert not steps.finds(14.0)
 
-    def test_a_pause_of_the_home_is_no_absence(self) -> None:
-        """The home sleeps through the VM's return to the list and new loss."""
-        steps = _Sweep()
+    def test_pause_of_the_coordinator_resets_the_absence(self) -> None:
+        """While the coordinator is paused, the VM is listed and delisted."""
+        steps = _Detector()
         steps.see_list(10.0, _vm("vm-b"))
         steps.ports(11.0, orphans.Silent())
         steps.see_list(100.0, _vm("vm-b"))
         steps.ports(100.0, orphans.Silent())
         assert not steps.finds(100.0)
 
-    def test_an_absence_counts_from_the_newest_loss(self) -> None:
-        steps = _Sweep()
+    def test_absence_starts_at_the_latest_delisting(self) -> None:
+        steps = _Detector()
         for second in range(10, 76):
-            lost = second != 40
-            steps.see_list(float(second), _vm("vm-b" if lost else "vm-a"))
+            delisted = second != 40
+            steps.see_list(float(second), _vm("vm-b" if delisted else "vm-a"))
             steps.ports(float(second), orphans.Silent())
             assert not steps.finds(float(second))
 
-    def test_an_absent_vm_that_was_never_asked_is_left_alone(self) -> None:
-        steps = _Sweep()
+    def test_absent_vm_without_a_probe_is_not_considered_gone(self) -> None:
+        steps = _Detector()
         for second in range(200):
             steps.see_list(float(second), _vm("vm-b"))
             assert not steps.finds(float(second))
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -16,10 +16,10 @@
 class TestHomeOf:
     """Rendezvous hashing over the VM list."""
 
-    def test_no_vm_means_no_home(self) -> None:
+    def test_no_vm_means_no_coordinator(self) -> None:
         assert ownership.home_of("e1", []) is None
 
-    def test_losing_a_vm_moves_only_its_endpoints(self) -> None:
+    def test_removing_a_vm_moves_only_its_endpoints(self) -> None:
         vms = [_vm(f"vm{number}") for number in range(8)]
         endpoint_ids = [f"e{number}" for number in range(200)]
         before = {name: ownership.home_of(name, vms) for name in endpoint_ids}
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,7 +5,7 @@
 
 
 class TestShares:
-    """The same as a dict of all shares, without reading all customers."""
+    """Equivalent to a dict of all shares, without unpacking all customers."""
 
     def test_known_and_unknown_customers(self) -> None:
         customers = {"umurongo": model.Customer(id="umurongo", share=2.5)}
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.slots` with `decisions.leases`, both ends of a lease."""
+"""Tests of `decisions.slots` with `decisions.leases`: both sides of a lease."""
 
 import dataclasses
 
@@ -13,11 +13,11 @@
 
 # Less than a lease and the time for which its slots stay reserved after it has
 # expired, see `slots._EXPIRED_RESERVED_S`.
-_SILENCE_MAX_S = 6.0
+_MAX_TIME_S = 6.0
 _ENTRIES = ("a", "b", "c")
 
 
-def _ask(
+def _demand(
     sequence: int, in_use: int, want: int, held: int = 0, customer: str = "u"
 ) -> messages.SlotAsk:
     return messages.SlotAsk(
@@ -32,8 +32,11 @@
 
 
 @dataclasses.dataclass
-class _Wire:
-    """A home and entries whose messages come late, twice, never, disordered."""
+class _UnreliableNetwork:
+    """A ledger and entry processes, connected by an unreliable network.
+
+    Messages may be delayed, duplicated, lost or reordered.
+    """
 
     ledger: slots.SlotLedger
     now: float = 0.0
@@ -46,15 +49,15 @@
         self.sent_at = dict.fromkeys(_ENTRIES, 0.0)
         self.received_at = dict.fromkeys(_ENTRIES, 0.0)
 
-    def step(self, name: str, act: int, pick: int) -> None:
+    def step(self, name: str, action: int, pick: int) -> None:
         holding = self.holdings[name]
-        match act:
+        match action:
             case 0 | 1:
-                self._state(name, holding, pick)
+                self._send_demand(name, holding, pick)
             case 2 | 3 if self.asks:
-                self._deliver_ask(pick, twice=False)
+                self._deliver_demand(pick, twice=False)
             case 4 if self.asks:
-                self._deliver_ask(pick, twice=True)
+                self._deliver_demand(pick, twice=True)
             case 5 | 6 if self.grants:
                 entry, grant = self.grants.pop(pick % len(self.grants))
                 self.holdings[entry].grant(grant)
@@ -63,20 +66,22 @@
             case 8 if holding.in_use:
                 holding.release("u")
             case 9:
-                # Short of the time for which a silent entry's slots are kept.
+                # Shorter than the time for which expired leases are reserved.
                 self.now += pick / 20
             case 10 if self.asks or self.grants:
                 (self.asks or self.grants).pop()
 
-    def _state(self, name: str, holding: leases.Holding, pick: int) -> None:
+    def _send_demand(
+        self, name: str, holding: leases.Holding, pick: int
+    ) -> None:
         self.sequence += 1
         held = max(holding.held(self.now) - pick % 2, holding.in_use)
         want = max(held, holding.in_use + pick % 5)
         holding.state(self.sequence, held)
-        ask = _ask(self.sequence, holding.in_use, want, held)
+        ask = _demand(self.sequence, holding.in_use, want, held)
         self.asks.append((name, ask, self.now))
 
-    def _deliver_ask(self, pick: int, *, twice: bool) -> None:
+    def _deliver_demand(self, pick: int, *, twice: bool) -> None:
         index = pick % len(self.asks)
         name, ask, sent_at = self.asks[index]
         if not twice:
@@ -85,20 +90,20 @@
         found = [(name, grant), *self.ledger.regrant(self.now)]
         latency = self.now - sent_at
         for entry, item in found:
-            # The lease counts from when its ask was sent.
-            known = latency if entry == name else self.received_at[entry]
-            self.received_at[entry] = max(known, self.received_at[entry])
+            # A lease starts when its slot demand was sent.
+            elapsed_s = latency if entry == name else self.received_at[entry]
+            self.received_at[entry] = max(elapsed_s, self.received_at[entry])
             expires_at = item.expires_at - self.received_at[entry]
-            late = dataclasses.replace(item, expires_at=expires_at)
-            self.grants.append((entry, late))
+            received = dataclasses.replace(item, expires_at=expires_at)
+            self.grants.append((entry, received))
 
-    def committed(self) -> int:
-        """Slots with work or with permission to place work right now."""
+    def held_slots(self) -> int:
+        """Returns the slots that are in use or leased at this time."""
         return sum(holding.held(self.now) for holding in self.holdings.values())
 
 
-class TestNeverMoreThanTheEndpointHas:
-    """Leases of one home under any order of messages."""
+class TestNoOvercommit:
+    """The ledger never leases more slots than the endpoint has."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=300
@@ -114,91 +119,92 @@
             max_size=90,
         )
     )
-    def test_any_order_losses_and_pauses(self, steps) -> None:
-        """Asks and grants are lost, repeated, late and out of order.
+    def test_unreliable_network_and_pauses(self, steps) -> None:
+        """Demands and grants are lost, duplicated, delayed and reordered.
 
-        If a home believed an overtaken statement it would lease slots twice,
-        and callers would wait for a prefill whose decode engine is full.
+        If the coordinator applied an outdated demand, it would lease slots
+        twice, and callers would wait for a prefill whose decode engine is full.
         """
-        wire = _Wire(slots.SlotLedger("d", _SLOTS))
-        for name, act, pick in steps:
-            if wire.now > _SILENCE_MAX_S:
+        network = _UnreliableNetwork(slots.SlotLedger("d", _SLOTS))
+        for name, action, pick in steps:
+            if network.now > _MAX_TIME_S:
                 break
-            wire.step(name, act, pick)
-            assert wire.committed() <= _SLOTS
-            assert wire.ledger.leased() <= _SLOTS
+            network.step(name, action, pick)
+            assert network.held_slots() <= _SLOTS
+            assert network.ledger.leased() <= _SLOTS
 
-    def test_an_overtaken_statement_takes_nothing_back(self) -> None:
-        """An old ask arrives after a newer one that was granted more."""
+    def test_outdated_demand_releases_nothing(self) -> None:
+        """An old demand arrives after a newer one that was granted more."""
         ledger = slots.SlotLedger("d", _SLOTS)
-        assert ledger.ask("a", _ask(2, 0, 4), 0.0).slots == _SLOTS
-        ledger.ask("a", _ask(1, 0, 1), 0.1)
-        assert ledger.ask("b", _ask(1, 0, 1), 0.2).slots == 0
+        assert ledger.ask("a", _demand(2, 0, 4), 0.0).slots == _SLOTS
+        ledger.ask("a", _demand(1, 0, 1), 0.1)
+        assert ledger.ask("b", _demand(1, 0, 1), 0.2).slots == 0
 
-    def test_a_silent_entry_keeps_its_slots_for_a_while(self) -> None:
-        """An entry dies with work at the engine.
+    def test_slots_of_an_expired_lease_stay_reserved(self) -> None:
+        """An entry process crashes while its requests run at the engine.
 
-        Its slots are not free: the next entry's prefill would be thrown away
-        when the decode engine turns out to be full.
+        If its slots were reassigned at once, the next prefill would be
+        discarded because the decode engine turns out to be full.
         """
         ledger = slots.SlotLedger("d", _SLOTS)
-        ledger.ask("a", _ask(1, 0, 4), 0.0)
+        ledger.ask("a", _demand(1, 0, 4), 0.0)
         after = slots.LEASE_S + 0.5
-        assert ledger.ask("b", _ask(1, 0, 4), after).slots == 0
+        assert ledger.ask("b", _demand(1, 0, 4), after).slots == 0
         ledger.observe({"a": 1}, after)
         assert [grant.slots for _, grant in ledger.regrant(after)] == [3]
 
-    def test_a_new_home_only_confirms_at_first(self) -> None:
-        """A home starts while leases of the one before still run."""
+    def test_new_coordinator_only_confirms_held_slots_at_first(self) -> None:
+        """A coordinator starts while leases of the previous one are valid."""
         ledger = slots.SlotLedger("d", _SLOTS, silent_until=2.0)
-        assert ledger.ask("a", _ask(1, 1, 2, held=2), 0.0).slots == 2
-        assert ledger.ask("b", _ask(1, 0, 4), 0.1).slots == 0
-        assert ledger.ask("b", _ask(2, 0, 4), 2.0).slots == 2
+        assert ledger.ask("a", _demand(1, 1, 2, held=2), 0.0).slots == 2
+        assert ledger.ask("b", _demand(1, 0, 4), 0.1).slots == 0
+        assert ledger.ask("b", _demand(2, 0, 4), 2.0).slots == 2
 
 
 class TestSharing:
-    """Who gets a slot that comes free."""
+    """Allocation of slots that become free."""
 
-    def test_grants_that_grow_are_told_once(self) -> None:
+    def test_increased_grant_is_pushed_once(self) -> None:
         ledger = slots.SlotLedger("d", 1)
-        ledger.ask("a", _ask(1, 1, 1), 0.0)
-        assert ledger.ask("b", _ask(1, 0, 1), 0.1).slots == 0
-        ledger.ask("a", _ask(2, 0, 0), 0.2)
+        ledger.ask("a", _demand(1, 1, 1), 0.0)
+        assert ledger.ask("b", _demand(1, 0, 1), 0.1).slots == 0
+        ledger.ask("a", _demand(2, 0, 0), 0.2)
         assert [name for name, _ in ledger.regrant(0.2)] == ["b"]
         assert ledger.regrant(0.2) == []
 
-    def test_idle_slots_are_recalled_when_others_wait(self) -> None:
+    def test_idle_slots_are_recalled_if_other_requests_wait(self) -> None:
         ledger = slots.SlotLedger("d", 3)
         reserve = dataclasses.replace(
-            _ask(1, 0, 1), customer_wants=(), want=1, held=1
+            _demand(1, 0, 1), customer_wants=(), want=1, held=1
         )
         ledger.ask("a", reserve, 0.0)
-        ledger.ask("b", _ask(1, 0, 4), 0.1)
+        ledger.ask("b", _demand(1, 0, 4), 0.1)
         recalled = dict(ledger.regrant(0.1))
         assert recalled["a"].waiting > 0
 
-    def test_priority_goes_first_between_entries(self) -> None:
+    def test_higher_priority_entry_process_is_served_first(self) -> None:
         ledger = slots.SlotLedger("d", 1)
-        ledger.ask("a", _ask(1, 1, 1), 0.0)
-        ledger.ask("b", _ask(1, 0, 1), 0.1)
-        urgent = dataclasses.replace(_ask(1, 0, 1), priority=1)
+        ledger.ask("a", _demand(1, 1, 1), 0.0)
+        ledger.ask("b", _demand(1, 0, 1), 0.1)
+        urgent = dataclasses.replace(_demand(1, 0, 1), priority=1)
         ledger.ask("c", urgent, 0.2)
-        ledger.ask("a", _ask(2, 0, 0), 0.3)
+        ledger.ask("a", _demand(2, 0, 0), 0.3)
         assert [name for name, _ in ledger.regrant(0.3)] == ["c"]
 
-    def test_no_customer_can_crowd_out_another(self) -> None:
-        """One firm asks for far more than its share and with priority.
+    def test_customer_cannot_starve_another(self) -> None:
+        """One customer demands far more than its share, at high priority.
 
-        Without shares the other firm's callers would see only refusals.
+        Without fair sharing all requests of the other customer would be
+        refused.
         """
         ledger = slots.SlotLedger("d", 4)
-        ledger.ask("a", _ask(1, 4, 4, customer="greedy"), 0.0)
+        ledger.ask("a", _demand(1, 4, 4, customer="greedy"), 0.0)
         greedy = dataclasses.replace(
-            _ask(1, 0, 4, customer="greedy"), priority=9
+            _demand(1, 0, 4, customer="greedy"), priority=9
         )
         ledger.ask("b", greedy, 0.1)
-        ledger.ask("c", _ask(1, 0, 2, customer="modest"), 0.2)
-        ledger.ask("a", _ask(2, 2, 2, customer="greedy"), 0.3)
+        ledger.ask("c", _demand(1, 0, 2, customer="modest"), 0.2)
+        ledger.ask("a", _demand(2, 2, 2, customer="greedy"), 0.3)
         slots_by_entry = {
             name: grant.slots for name, grant in ledger.regrant(0.3)
         }
@@ -206,13 +212,14 @@
 
 
 class TestHolding:
-    """The entry's side of a lease."""
+    """Client side of a lease."""
 
-    def test_an_old_grant_brings_nothing_back(self) -> None:
-        """A grant arrives after the answer to a newer statement.
+    def test_outdated_grant_is_ignored(self) -> None:
+        """A grant arrives after the answer to a newer demand.
 
-        The entry has given the slots up since. If it believed the old grant,
-        it would place work on slots that its home has leased to another.
+        The entry process has given the slots up since. If it applied the old
+        grant, it would place work on slots that the coordinator has leased to
+        another entry process.
         """
         holding = leases.Holding()
         holding.state(1, 0)
@@ -226,7 +233,7 @@
         assert holding.free(1.0) == 0
 
     def test_no_work_on_an_expired_lease(self) -> None:
-        """The process sleeps past the end of its lease and wakes up."""
+        """The process is paused until after its lease has expired."""
         holding = leases.Holding()
         holding.grant(
             messages.SlotGrant(endpoint_id="d", slots=3, expires_at=2.0)
@@ -236,10 +243,11 @@
         assert holding.free(2.0) < 1
         assert holding.held(2.0) == 1
 
-    def test_news_of_a_new_epoch_replaces_the_old(self) -> None:
-        """Cache events were lost, and with them the news of evictions.
+    def test_new_prefix_epoch_replaces_cached_blocks(self) -> None:
+        """Cache events were lost, among them evictions.
 
-        Requests would go on being drawn to blocks that are long gone.
+        Without the reset, requests would still be routed to an engine for
+        blocks that it no longer caches.
         """
         holding = leases.Holding()
         grant = messages.SlotGrant(
