--- a/src/cowsliprill/decisions/cancels.py
+++ b/src/cowsliprill/decisions/cancels.py
@@ -10,15 +10,15 @@
 from collections.abc import Container
 
 FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 2.0
+MAX_RETRY_DELAY_S = 2.0
 # Maximum number of cancellations per attempt while an engine fails to answer.
 # Without it a dead engine would turn the cancellations of all its requests into
 # retry load.
-ORDERS_PER_TRY = 4
+MAX_CANCELS_PER_ATTEMPT = 4
 # Cancellations are dropped after this time. If the engine recovers later, its
 # coordinator finds requests of this age by orphan detection and cancels them
 # whoever owns them.
-KEEP_S = 600.0
+MAX_AGE_S = 600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -77,7 +77,7 @@
         """Returns the cancellations to send now.
 
         A cancellation without a reported outcome is due again after
-        `LONGEST_RETRY_S`, so that one lost in the network, or with the task
+        `MAX_RETRY_DELAY_S`, so that one lost in the network, or with the task
         that was sending it, is retried like a refused one.
 
         Args:
@@ -87,11 +87,11 @@
         for endpoint_id, engine in self._engines_by_id.items():
             request_ids = self._due_request_ids(engine, now)
             if request_ids and engine.failing:
-                engine.retry_s = min(2 * engine.retry_s, LONGEST_RETRY_S)
+                engine.retry_s = min(2 * engine.retry_s, MAX_RETRY_DELAY_S)
                 engine.blocked_until = now + engine.retry_s
             for request_id in request_ids:
                 cancellation = engine.cancels_by_id[request_id]
-                cancellation.next_at = now + LONGEST_RETRY_S
+                cancellation.next_at = now + MAX_RETRY_DELAY_S
                 found.append(
                     CancelOrder(endpoint_id=endpoint_id, request_id=request_id)
                 )
@@ -136,12 +136,12 @@
             engine.blocked_until = now + engine.retry_s
         pending_cancel = engine.cancels_by_id[cancellation.request_id]
         pending_cancel.next_at = now + min(
-            FIRST_RETRY_S * 2**pending_cancel.retries, LONGEST_RETRY_S
+            FIRST_RETRY_S * 2**pending_cancel.retries, MAX_RETRY_DELAY_S
         )
         pending_cancel.retries += 1
 
     def expire(self, known_endpoint_ids: Container[str], now: float) -> int:
-        """Drops cancellations for removed endpoints or older than `KEEP_S`.
+        """Drops cancellations for removed endpoints or older than `MAX_AGE_S`.
 
         Args:
           known_endpoint_ids: Endpoints of the settings in force.
@@ -156,7 +156,7 @@
                 request_id: cancellation
                 for request_id, cancellation in engine.cancels_by_id.items()
                 if endpoint_id in known_endpoint_ids
-                and now - cancellation.added_at < KEEP_S
+                and now - cancellation.added_at < MAX_AGE_S
             }
             if not engine.cancels_by_id:
                 del self._engines_by_id[endpoint_id]
@@ -203,4 +203,4 @@
         request_ids.sort(
             key=lambda request_id: engine.cancels_by_id[request_id].next_at
         )
-        return request_ids[:ORDERS_PER_TRY]
+        return request_ids[:MAX_CANCELS_PER_ATTEMPT]
--- a/src/cowsliprill/decisions/fencing.py
+++ b/src/cowsliprill/decisions/fencing.py
@@ -11,7 +11,7 @@
 between its last check and sending the order, or the order is delayed in a
 network buffer, an outdated order takes effect. It stays in effect until the
 current coordinator reads the engine back, at most `READ_S` later, and sends its
-own order, which `ORDER_GAP_S` may delay further.
+own order, which `MIN_LOAD_INTERVAL_S` may delay further.
 """
 
 import dataclasses
@@ -24,14 +24,14 @@
 # Minimum interval between orders of a coordinator that make an engine load a
 # model, because the weight store is rate limited and shared by all
 # coordinators.
-ORDER_GAP_S = 2.0
+MIN_LOAD_INTERVAL_S = 2.0
 # A longer gap between two clock readings means that the process or its VM was
 # paused; the clock is normally read several times a second.
-PAUSE_S = 1.0
+PAUSE_THRESHOLD_S = 1.0
 # Orders are held for this long after a pause, because the settings and the VM
 # list may be as old as the pause. Within this time the VM's settings process
 # exchanges updates with its peers again.
-SETTLE_S = 5.0
+RESUME_DELAY_S = 5.0
 # Validity of the answers from the other VMs of the availability zone.
 HEARD_S = 2.0
 
@@ -103,7 +103,7 @@
     target: model.EngineTarget
 
 
-def fencing_number(revision: int) -> int:
+def fencing_token(revision: int) -> int:
     """Returns the fencing token of a revision's orders.
 
     The revision itself serves as the token: it only increases and is the same
@@ -159,7 +159,7 @@
         Returns:
           Whether the process has just resumed from a pause.
         """
-        paused = now - self._last_checked_at > PAUSE_S
+        paused = now - self._last_checked_at > PAUSE_THRESHOLD_S
         self._last_checked_at = now
         if paused:
             self._resumed_at = now
@@ -244,7 +244,7 @@
             orders.append(
                 Order(
                     endpoint_id=endpoint_id,
-                    fencing=fencing_number(self._revision),
+                    fencing=fencing_token(self._revision),
                     target=engine.target,
                 )
             )
@@ -274,11 +274,11 @@
         engine = self._engines_by_id.get(order.endpoint_id)
         if engine is None or not is_home:
             return Hold.NOT_HOME
-        if now - self._resumed_at < SETTLE_S:
+        if now - self._resumed_at < RESUME_DELAY_S:
             return Hold.JUST_WOKEN
         if engine.highest_token > order.fencing:
             return Hold.BEHIND
-        if order.fencing != fencing_number(self._revision):
+        if order.fencing != fencing_token(self._revision):
             return Hold.BEHIND
         if zone is None or now - zone.at > HEARD_S or not zone.hears_most():
             return Hold.CUT_OFF
@@ -287,7 +287,7 @@
         causes_load = (
             engine.read is not None and engine.read.target != order.target
         )
-        if causes_load and now - self._load_sent_at < ORDER_GAP_S:
+        if causes_load and now - self._load_sent_at < MIN_LOAD_INTERVAL_S:
             return Hold.RATE
         return None
 
@@ -326,4 +326,4 @@
 def _has_current_token(engine: _EngineState, read: ReadBack) -> bool:
     if not engine.checks_fencing:
         return True
-    return read.fencing >= fencing_number(engine.min_revision)
+    return read.fencing >= fencing_token(engine.min_revision)
--- a/src/cowsliprill/decisions/leases.py
+++ b/src/cowsliprill/decisions/leases.py
@@ -64,12 +64,12 @@
         # The assigned slots may be fewer than one request needs.
         self.fallback = 1
 
-    def held(self, now: float) -> int:
+    def held_slots(self, now: float) -> int:
         """Returns the slots held, including those of work past its lease."""
         leased = self.slots if self.expires_at > now else 0
         return max(leased, self.in_use)
 
-    def free(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Returns the number of slots available for new work."""
         leased = self.slots if self.expires_at > now else 0
         return max(leased, self.fallback) - self.in_use
@@ -87,13 +87,13 @@
         """
         if now < self.full_until:
             return False
-        if self.free(now) >= slots:
+        if self.free_slots(now) >= slots:
             return True
         return bool(self.fallback) and not self.in_use
 
-    def idle(self, now: float) -> int:
+    def idle_slots(self, now: float) -> int:
         """Returns the number of held slots that aren't in use."""
-        return self.held(now) - self.in_use
+        return self.held_slots(now) - self.in_use
 
     def take(self, customer: str, slots: int = 1) -> None:
         """Marks slots as in use by a request of a customer."""
@@ -165,7 +165,7 @@
         self.slots = min(self.slots, self.in_use)
         self.fallback = min(self.fallback, self.in_use)
 
-    def state(self, sequence: int, held: int) -> None:
+    def record_demand(self, sequence: int, held: int) -> None:
         """Records a sent slot demand that gives up all but `held` slots.
 
         Args:
--- a/src/cowsliprill/decisions/orphans.py
+++ b/src/cowsliprill/decisions/orphans.py
@@ -9,21 +9,21 @@
 not be canceled. Missing responses alone are therefore no evidence of a failure.
 The owner of a request is considered gone in these cases:
 
-* For an uninterrupted `ENDED_S`, each of the VM's listed entry ports either
-  answered with another incarnation or refused the connection, and the owner
-  sent no heartbeat. A refusal is sent by the VM's kernel, whereas a network
-  partition causes timeouts.
-* The VM has been missing from the platform's list for `ABSENT_S`, none of its
-  ports answered in that time, and this coordinator reaches a majority of its
-  own availability zone, so that the coordinator itself isn't partitioned.
-* The request has been at the engine for longer than any request may take, so
-  a live owner has already abandoned it. The caller supplies that limit.
+* For an uninterrupted `ENDED_AFTER_S`, each of the VM's listed entry ports
+  either answered with another incarnation or refused the connection, and the
+  owner sent no heartbeat. A refusal is sent by the VM's kernel, whereas a
+  network partition causes timeouts.
+* The VM has been missing from the platform's list for `ABSENT_AFTER_S`, none of
+  its ports answered in that time, and this coordinator reaches a majority of
+  its own availability zone, so that the coordinator itself isn't partitioned.
+* The request has been at the engine for longer than any request may take, so a
+  live owner has already abandoned it. The caller supplies that limit.
 
 Known limitations: running streams are canceled although their owner is alive if
 its VM is missing from the list and partitioned from this coordinator, but not
-from the engine, for `ABSENT_S`; or if the entry process sends no more slot
-demands while the list has wrong ports for its VM for `ENDED_S`. Clients receive
-an error event in these cases, never a wrong answer.
+from the engine, for `ABSENT_AFTER_S`; or if the entry process sends no more
+slot demands while the list has wrong ports for its VM for `ENDED_AFTER_S`.
+Clients receive an error event in these cases, never a wrong answer.
 """
 
 import dataclasses
@@ -35,9 +35,9 @@
 from cowsliprill.decisions import model
 
 SUSPECT_S = 2.5
-ENDED_S = 4.0
-ABSENT_S = 60.0
-OVERAGE_MARGIN_S = 30.0
+ENDED_AFTER_S = 4.0
+ABSENT_AFTER_S = 60.0
+MAX_AGE_MARGIN_S = 30.0
 # Observations further apart than this don't count as uninterrupted, because the
 # coordinator itself may have been paused in between.
 MAX_GAP_S = 4.0
@@ -84,7 +84,7 @@
     age_s: float
 
 
-class Reason(enum.StrEnum):
+class OrphanReason(enum.StrEnum):
     """Why the owner of a request is considered gone.
 
     Attributes:
@@ -110,7 +110,7 @@
 
     endpoint_id: str
     request_id: str
-    reason: Reason
+    reason: OrphanReason
 
 
 @dataclasses.dataclass(slots=True)
@@ -256,13 +256,13 @@
           The requests to cancel.
         """
         found = []
-        max_age_s = longest_request_s + OVERAGE_MARGIN_S
+        max_age_s = longest_request_s + MAX_AGE_MARGIN_S
         for request in running:
             owner = _owner(request)
             if owner is None:
                 continue
             if request.age_s > max_age_s:
-                reason = Reason.OVERAGE
+                reason = OrphanReason.OVERAGE
             else:
                 reason = self._gone_reason(owner, reaches_zone, now)
             if reason is not None:
@@ -277,16 +277,16 @@
 
     def _gone_reason(
         self, owner: identity.Incarnation, reaches_zone: bool, now: float
-    ) -> Reason | None:
+    ) -> OrphanReason | None:
         record = self._records_by_vm.get(owner.vm)
         if record is None:
             # A VM that was never in this coordinator's list may have just
             # started.
             return None
         if self._has_ended(record, owner):
-            return Reason.ENDED
+            return OrphanReason.ENDED
         if reaches_zone and self._is_absent(record, owner, now):
-            return Reason.ABSENT
+            return OrphanReason.ABSENT
         return None
 
     def _has_ended(
@@ -296,7 +296,8 @@
         if since is None:
             return False
         return (
-            record.probed_at - max(since, self._last_seen_at(owner)) >= ENDED_S
+            record.probed_at - max(since, self._last_seen_at(owner))
+            >= ENDED_AFTER_S
         )
 
     def _is_absent(
@@ -311,7 +312,7 @@
             since,
         )
         probed = record.probed_at > since
-        return probed and now - max(last_contacts) >= ABSENT_S
+        return probed and now - max(last_contacts) >= ABSENT_AFTER_S
 
     def _should_probe(self, record: _VmRecord, now: float) -> bool:
         if record.all_responding_since is not None:
--- a/src/cowsliprill/decisions/slot_asks.py
+++ b/src/cowsliprill/decisions/slot_asks.py
@@ -77,7 +77,7 @@
         holdings = [self._pool.holding(item.id) for item in endpoints]
         # Idle slots of an engine that isn't usable can't serve requests.
         idle = sum(
-            holding.idle(now)
+            holding.idle_slots(now)
             for endpoint, holding in zip(endpoints, holdings, strict=True)
             if self._health.usable(endpoint.id, now)
         )
@@ -85,7 +85,7 @@
         surplus = max(idle - needed, 0)
         first_waiting: queue.Waiting | None = None
         for endpoint, holding in zip(endpoints, holdings, strict=True):
-            endpoint_idle = holding.idle(now)
+            endpoint_idle = holding.idle_slots(now)
             contended = holding.others_waiting > 0
             if self._health.usable(endpoint.id, now):
                 released = min(endpoint_idle, surplus) if contended else 0
@@ -122,11 +122,11 @@
         now: float,
         sequence: int,
     ) -> messages.SlotAsk:
-        held = holding.held(now) - released
+        held = holding.held_slots(now) - released
         usable = self._health.usable(endpoint_id, now)
         reserve = _RESERVE_SLOTS if usable and not holding.others_waiting else 0
         holding.demanded_slots = need
-        holding.state(sequence, held)
+        holding.record_demand(sequence, held)
         first_waiting = first_waiting if need else None
         return messages.SlotAsk(
             endpoint_id=endpoint_id,
--- a/src/cowsliprill/decisions/slots.py
+++ b/src/cowsliprill/decisions/slots.py
@@ -32,7 +32,7 @@
     """The lease and the newest slot demand of one entry process.
 
     Attributes:
-      ask: The newest slot demand.
+      demand: The newest slot demand.
       slots: Slots leased, including those in use.
       expires_at: When the ledger stops counting the lease as valid.
       deadline: Nearest deadline of the waiting requests, on this clock.
@@ -41,7 +41,7 @@
         entry processes waiting.
     """
 
-    ask: messages.SlotAsk
+    demand: messages.SlotAsk
     slots: int = 0
     expires_at: float = 0.0
     deadline: float = 0.0
@@ -50,9 +50,9 @@
 
     def unmet_slots(self) -> int:
         """Returns the number of slots missing for its waiting requests."""
-        waiting = sum(count for _, count in self.ask.customer_wants)
-        idle = self.slots - self.ask.in_use
-        missing = self.ask.want - self.slots
+        waiting = sum(count for _, count in self.demand.customer_wants)
+        idle = self.slots - self.demand.in_use
+        missing = self.demand.want - self.slots
         return max(min(waiting - idle, missing), 0)
 
 
@@ -77,13 +77,13 @@
         self._leases_by_entry: dict[str, _Lease] = {}
 
     def ask(
-        self, entry: str, ask: messages.SlotAsk, now: float
+        self, entry: str, demand: messages.SlotAsk, now: float
     ) -> messages.SlotGrant:
         """Handles the slot demand of an entry process.
 
         Args:
           entry: Incarnation of the entry process.
-          ask: The slot demand.
+          demand: The slot demand.
           now: Current time in seconds.
 
         Returns:
@@ -95,9 +95,9 @@
         lease = self._leases_by_entry.get(entry)
         # A reordered or duplicated demand would take back slots that have
         # been granted to the entry process since.
-        if lease and 0 < ask.sequence <= lease.ask.sequence:
+        if lease and 0 < demand.sequence <= lease.demand.sequence:
             return self._grant(lease)
-        self._apply_demand(entry, lease, ask, now)
+        self._apply_demand(entry, lease, demand, now)
         self._allocate(now)
         return self._grant(self._leases_by_entry[entry])
 
@@ -121,7 +121,7 @@
         for entry, lease in self._leases_by_entry.items():
             if lease.expires_at <= now:
                 continue
-            idle = lease.slots - lease.ask.in_use
+            idle = lease.slots - lease.demand.in_use
             contended = self._waiting_elsewhere(lease) > 0
             recalled = contended and idle > 0 and not lease.sent_waiting
             if lease.slots > lease.sent_slots or recalled:
@@ -136,7 +136,9 @@
 
     def used(self) -> int:
         """Returns the number of slots that entry processes report in use."""
-        return sum(lease.ask.in_use for lease in self._leases_by_entry.values())
+        return sum(
+            lease.demand.in_use for lease in self._leases_by_entry.values()
+        )
 
     def leased(self) -> int:
         """Returns the number of slots leased, including those in use."""
@@ -172,25 +174,25 @@
         self,
         entry: str,
         lease: _Lease | None,
-        ask: messages.SlotAsk,
+        demand: messages.SlotAsk,
         now: float,
     ) -> None:
         if lease is None:
-            lease = _Lease(ask)
+            lease = _Lease(demand)
             self._leases_by_entry[entry] = lease
             # Running work occupies its slot in any case; idle slots are
             # confirmed only if they are still unleased.
-            lease.slots = ask.in_use + self._confirmed_idle_slots(ask)
-        elif ask.held >= 0:
-            lease.slots = max(min(lease.slots, ask.held), ask.in_use)
-        lease.ask = ask
-        lease.slots = max(min(lease.slots, ask.want), ask.in_use)
+            lease.slots = demand.in_use + self._confirmed_idle_slots(demand)
+        elif demand.held >= 0:
+            lease.slots = max(min(lease.slots, demand.held), demand.in_use)
+        lease.demand = demand
+        lease.slots = max(min(lease.slots, demand.want), demand.in_use)
         lease.expires_at = now + LEASE_S + _CLOCK_DRIFT_MARGIN_S
-        lease.deadline = now + ask.deadline_in_s
+        lease.deadline = now + demand.deadline_in_s
 
-    def _confirmed_idle_slots(self, ask: messages.SlotAsk) -> int:
-        idle = max(ask.held - ask.in_use, 0)
-        return min(idle, max(self._free_slots() - ask.in_use, 0))
+    def _confirmed_idle_slots(self, demand: messages.SlotAsk) -> int:
+        idle = max(demand.held - demand.in_use, 0)
+        return min(idle, max(self._free_slots() - demand.in_use, 0))
 
     def _free_slots(self) -> int:
         return self.slots - self.leased()
@@ -215,7 +217,7 @@
             free -= granted
         for lease in live:
             extra = min(
-                lease.ask.want - lease.slots, free - _MIN_UNLEASED_SLOTS
+                lease.demand.want - lease.slots, free - _MIN_UNLEASED_SLOTS
             )
             if extra > 0:
                 lease.slots += extra
@@ -242,13 +244,13 @@
             usage = min(
                 (
                     usage_by_customer[customer]
-                    for customer, _ in lease.ask.customer_wants
+                    for customer, _ in lease.demand.customer_wants
                 ),
                 default=0.0,
             )
             ranks[id(lease)] = (
                 usage >= fair_usage,
-                -lease.ask.priority,
+                -lease.demand.priority,
                 lease.deadline,
             )
         return ranks
@@ -256,9 +258,9 @@
     def _usage_by_customer(self) -> dict[str, float]:
         usage_by_customer: dict[str, float] = {}
         for lease in self._leases_by_entry.values():
-            for customer, _ in lease.ask.customer_wants:
+            for customer, _ in lease.demand.customer_wants:
                 usage_by_customer.setdefault(customer, 0.0)
-            for customer, count in lease.ask.customer_in_use:
+            for customer, count in lease.demand.customer_in_use:
                 share = self.shares_by_customer.get(customer, 1.0)
                 used = usage_by_customer.get(customer, 0.0)
                 usage_by_customer[customer] = used + count / share
@@ -277,7 +279,7 @@
             expires_at=lease.expires_at - _CLOCK_DRIFT_MARGIN_S,
             waiting=waiting,
             used=self.used(),
-            sequence=lease.ask.sequence,
+            sequence=lease.demand.sequence,
         )
 
     def _expire(self, now: float) -> None:
--- a/tests/test_cancels.py
+++ b/tests/test_cancels.py
@@ -67,7 +67,9 @@
             last_fault_at = 0.0 if faults_end is None else faults_end
             assert now - last_fault_at < 130
             if faults_end is not None:
-                assert now - faults_end <= cancels.LONGEST_RETRY_S + 2 * _STEP_S
+                assert (
+                    now - faults_end <= cancels.MAX_RETRY_DELAY_S + 2 * _STEP_S
+                )
         assert book.pending == 0
         assert book.next_at() is None
 
@@ -87,18 +89,22 @@
             for cancellation in book.due(now):
                 attempts += 1
                 book.fail(cancellation, now)
-        max_rate = cancels.ORDERS_PER_TRY / cancels.LONGEST_RETRY_S
-        assert 0 < attempts <= max_rate * 30 + 6 * cancels.ORDERS_PER_TRY
+        max_rate = cancels.MAX_CANCELS_PER_ATTEMPT / cancels.MAX_RETRY_DELAY_S
+        assert (
+            0 < attempts <= max_rate * 30 + 6 * cancels.MAX_CANCELS_PER_ATTEMPT
+        )
 
     def test_failing_cancellations_do_not_starve_others(self) -> None:
-        failing = {_cancellation(n) for n in range(cancels.ORDERS_PER_TRY)}
+        failing = {
+            _cancellation(n) for n in range(cancels.MAX_CANCELS_PER_ATTEMPT)
+        }
         book = cancels.CancelBook()
         for number in range(20):
             book.add(_cancellation(number), 0.0)
         for cancellation in book.due(0.0):
             book.fail(cancellation, 0.0)
         for step in range(1, 30):
-            now = 2.0 * step * cancels.LONGEST_RETRY_S
+            now = 2.0 * step * cancels.MAX_RETRY_DELAY_S
             for cancellation in book.due(now):
                 outcome = (
                     "refused" if cancellation in failing else "acknowledged"
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -68,7 +68,7 @@
         self.paused = False
         self.is_home = True
         self.peer_revision = 0
-        self.sent: list[tuple[float, fencing.Order]] = []
+        self.sent_orders: list[tuple[float, fencing.Order]] = []
 
     def accept(self, revision: int, version: str) -> None:
         self.revision = revision
@@ -88,7 +88,7 @@
                 order, is_home=self.is_home, zone=zone, now=now
             )
             if hold is None:
-                self.sent.append((now, order))
+                self.sent_orders.append((now, order))
                 engine.order(order)
                 self.book.sent(order, now)
 
@@ -149,7 +149,12 @@
         self.current.is_home = True
         self.accept_newest(self.current)
         self.accept_newest(self.former)
-        self.run(fencing.READ_S + fencing.SETTLE_S + fencing.ORDER_GAP_S + 1)
+        self.run(
+            fencing.READ_S
+            + fencing.RESUME_DELAY_S
+            + fencing.MIN_LOAD_INTERVAL_S
+            + 1
+        )
 
 
 class TestOrderBook:
@@ -185,7 +190,9 @@
         for event in events:
             scenario.apply(event)
         for coordinator in (scenario.former, scenario.current):
-            assert all(order.fencing >= 7 for _, order in coordinator.sent)
+            assert all(
+                order.fencing >= 7 for _, order in coordinator.sent_orders
+            )
 
     def test_resumed_coordinator_sends_no_outdated_order(self) -> None:
         """A coordinator is paused while the model is changed, and resumes.
@@ -203,7 +210,7 @@
         for step in range(60):
             coordinator.step(engine, 100.0 + step * _STEP_S)
         assert engine.version == "v1"
-        assert [order.fencing for _, order in coordinator.sent] == [1]
+        assert [order.fencing for _, order in coordinator.sent_orders] == [1]
 
     def test_rolled_back_change_raises_the_token(self) -> None:
         """A model is changed and changed back while a coordinator is paused.
@@ -228,7 +235,7 @@
         for revision in range(1, 200):
             coordinator.accept(revision, "v0")
             coordinator.step(engine, revision * _STEP_S)
-        assert len(coordinator.sent) == 1
+        assert len(coordinator.sent_orders) == 1
 
     def test_engine_without_tokens_gets_no_repeated_orders(
         self,
--- a/tests/test_orphans.py
+++ b/tests/test_orphans.py
@@ -142,12 +142,12 @@
         if not self.owner.alive:
             return
         match self.cancelled.reason:
-            case orphans.Reason.OVERAGE:
+            case orphans.OrphanReason.OVERAGE:
                 assert self.running.age_s > _LONGEST_REQUEST_S
-            case orphans.Reason.ABSENT:
+            case orphans.OrphanReason.ABSENT:
                 since = self.unlisted_and_cut_off_since
                 assert since is not None
-                assert self.now - since >= orphans.ABSENT_S - 2 * _STEP_S
+                assert self.now - since >= orphans.ABSENT_AFTER_S - 2 * _STEP_S
             case _:
                 raise AssertionError(f"live owner, {self.cancelled.reason}")
 
@@ -207,7 +207,7 @@
         scenario.step()
         scenario.apply("kill")
         self._run_until_cancelled(scenario, 10.0)
-        assert scenario.cancelled.reason is orphans.Reason.ENDED
+        assert scenario.cancelled.reason is orphans.OrphanReason.ENDED
 
     def test_request_of_a_restarted_process_is_found_in_ten_seconds(
         self,
@@ -218,7 +218,7 @@
         scenario.apply("kill")
         scenario.apply("restart")
         self._run_until_cancelled(scenario, 10.0)
-        assert scenario.cancelled.reason is orphans.Reason.ENDED
+        assert scenario.cancelled.reason is orphans.OrphanReason.ENDED
 
     def test_request_of_a_failed_vm_is_found_after_its_delisting(self) -> None:
         """A VM fails; port probes time out as they do in a partition."""
@@ -229,17 +229,17 @@
             scenario.step()
         assert scenario.cancelled is None
         scenario.apply("unlist")
-        self._run_until_cancelled(scenario, orphans.ABSENT_S + 3.0)
-        assert scenario.cancelled.reason is orphans.Reason.ABSENT
+        self._run_until_cancelled(scenario, orphans.ABSENT_AFTER_S + 3.0)
+        assert scenario.cancelled.reason is orphans.OrphanReason.ABSENT
 
     def test_request_above_the_maximum_age_is_found(self) -> None:
         """A VM fails but stays in the VM list during a platform outage."""
         scenario = _Scenario()
         scenario.step()
         scenario.apply("vm dies")
-        limit_s = _LONGEST_REQUEST_S + orphans.OVERAGE_MARGIN_S + 2.0
+        limit_s = _LONGEST_REQUEST_S + orphans.MAX_AGE_MARGIN_S + 2.0
         self._run_until_cancelled(scenario, limit_s)
-        assert scenario.cancelled.reason is orphans.Reason.OVERAGE
+        assert scenario.cancelled.reason is orphans.OrphanReason.OVERAGE
 
     def test_partitioned_coordinator_finds_no_orphans_of_absent_vms(
         self,
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -44,7 +44,7 @@
 
     def __post_init__(self) -> None:
         self.holdings = {name: leases.Holding() for name in _ENTRIES}
-        self.asks: list[tuple[str, messages.SlotAsk, float]] = []
+        self.demands: list[tuple[str, messages.SlotAsk, float]] = []
         self.grants: list[tuple[str, messages.SlotGrant]] = []
         self.sent_at = dict.fromkeys(_ENTRIES, 0.0)
         self.received_at = dict.fromkeys(_ENTRIES, 0.0)
@@ -54,39 +54,39 @@
         match action:
             case 0 | 1:
                 self._send_demand(name, holding, pick)
-            case 2 | 3 if self.asks:
+            case 2 | 3 if self.demands:
                 self._deliver_demand(pick, twice=False)
-            case 4 if self.asks:
+            case 4 if self.demands:
                 self._deliver_demand(pick, twice=True)
             case 5 | 6 if self.grants:
                 entry, grant = self.grants.pop(pick % len(self.grants))
                 self.holdings[entry].grant(grant)
-            case 7 if holding.free(self.now) > 0:
+            case 7 if holding.free_slots(self.now) > 0:
                 holding.take("u")
             case 8 if holding.in_use:
                 holding.release("u")
             case 9:
                 # Shorter than the time for which expired leases are reserved.
                 self.now += pick / 20
-            case 10 if self.asks or self.grants:
-                (self.asks or self.grants).pop()
+            case 10 if self.demands or self.grants:
+                (self.demands or self.grants).pop()
 
     def _send_demand(
         self, name: str, holding: leases.Holding, pick: int
     ) -> None:
         self.sequence += 1
-        held = max(holding.held(self.now) - pick % 2, holding.in_use)
+        held = max(holding.held_slots(self.now) - pick % 2, holding.in_use)
         want = max(held, holding.in_use + pick % 5)
-        holding.state(self.sequence, held)
-        ask = _demand(self.sequence, holding.in_use, want, held)
-        self.asks.append((name, ask, self.now))
+        holding.record_demand(self.sequence, held)
+        demand = _demand(self.sequence, holding.in_use, want, held)
+        self.demands.append((name, demand, self.now))
 
     def _deliver_demand(self, pick: int, *, twice: bool) -> None:
-        index = pick % len(self.asks)
-        name, ask, sent_at = self.asks[index]
+        index = pick % len(self.demands)
+        name, demand, sent_at = self.demands[index]
         if not twice:
-            del self.asks[index]
-        grant = self.ledger.ask(name, ask, self.now)
+            del self.demands[index]
+        grant = self.ledger.ask(name, demand, self.now)
         found = [(name, grant), *self.ledger.regrant(self.now)]
         latency = self.now - sent_at
         for entry, item in found:
@@ -99,7 +99,9 @@
 
     def held_slots(self) -> int:
         """Returns the slots that are in use or leased at this time."""
-        return sum(holding.held(self.now) for holding in self.holdings.values())
+        return sum(
+            holding.held_slots(self.now) for holding in self.holdings.values()
+        )
 
 
 class TestNoOvercommit:
@@ -222,15 +224,15 @@
         another entry process.
         """
         holding = leases.Holding()
-        holding.state(1, 0)
+        holding.record_demand(1, 0)
         old = messages.SlotGrant(
             endpoint_id="d", slots=3, expires_at=2.0, sequence=1
         )
         holding.grant(old)
-        holding.state(2, 0)
+        holding.record_demand(2, 0)
         holding.grant(dataclasses.replace(old, slots=0, sequence=2))
         holding.grant(old)
-        assert holding.free(1.0) == 0
+        assert holding.free_slots(1.0) == 0
 
     def test_no_work_on_an_expired_lease(self) -> None:
         """The process is paused until after its lease has expired."""
@@ -239,9 +241,9 @@
             messages.SlotGrant(endpoint_id="d", slots=3, expires_at=2.0)
         )
         holding.take("u")
-        assert holding.free(1.9) == 2
-        assert holding.free(2.0) < 1
-        assert holding.held(2.0) == 1
+        assert holding.free_slots(1.9) == 2
+        assert holding.free_slots(2.0) < 1
+        assert holding.held_slots(2.0) == 1
 
     def test_new_prefix_epoch_replaces_cached_blocks(self) -> None:
         """Cache events were lost, among them evictions.
