--- a/src/cowsliprill/decisions/orphans.py
+++ b/src/cowsliprill/decisions/orphans.py
@@ -7,7 +7,7 @@
 
 A request of a live owner that is only unreachable from this coordinator must
 not be canceled. Missing responses alone are therefore no evidence of a failure.
-The owner of a request is considered gone in these cases:
+The owner of a request is considered terminated in these cases:
 
 * For an uninterrupted `ENDED_AFTER_S`, each of the VM's listed entry ports
   either answered with another incarnation or refused the connection, and the
@@ -85,7 +85,7 @@
 
 
 class OrphanReason(enum.StrEnum):
-    """Why the owner of a request is considered gone.
+    """Why the owner of a request is considered terminated.
 
     Attributes:
       ENDED: No entry port of the owner's VM belongs to the owner any more.
@@ -100,12 +100,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Orphan:
-    """A request whose owner is gone and that is to be canceled.
+    """A request whose owner has terminated and that is to be canceled.
 
     Attributes:
       endpoint_id: The engine that runs the request.
       request_id: Id of the request at the engine.
-      reason: Why the owner is considered gone.
+      reason: Why the owner is considered terminated.
     """
 
     endpoint_id: str
@@ -242,7 +242,7 @@
         reaches_zone: bool,
         now: float,
     ) -> list[Orphan]:
-        """Returns the requests whose owner is gone.
+        """Returns the requests whose owner has terminated.
 
         Args:
           running: The requests that the engines run.
@@ -264,7 +264,7 @@
             if request.age_s > max_age_s:
                 reason = OrphanReason.OVERAGE
             else:
-                reason = self._gone_reason(owner, reaches_zone, now)
+                reason = self._orphan_reason(owner, reaches_zone, now)
             if reason is not None:
                 found.append(
                     Orphan(
@@ -275,7 +275,7 @@
                 )
         return found
 
-    def _gone_reason(
+    def _orphan_reason(
         self, owner: identity.Incarnation, reaches_zone: bool, now: float
     ) -> OrphanReason | None:
         record = self._records_by_vm.get(owner.vm)
--- a/src/cowsliprill/decisions/slot_asks.py
+++ b/src/cowsliprill/decisions/slot_asks.py
@@ -58,7 +58,7 @@
         """Returns whether a coordinator may need an update before renewal.
 
         That is so where other entry processes wait for slots, or where the last
-        slot demand stated a need that has since gone.
+        slot demand stated a need that no longer exists.
         """
         return any(
             holding.others_waiting or holding.demanded_slots
