--- a/tests/test_cancels.py
+++ b/tests/test_cancels.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.cancels`, in virtual time."""
+"""Tests of the retries of cancellations, in virtual time."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/test_home_choice.py
+++ b/tests/test_home_choice.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.home_choice`."""
+"""Tests of the choice of a coordinator by its clients."""
 
 from cowsliprill.decisions import home_choice
 from cowsliprill.decisions import model
--- a/tests/test_home_map.py
+++ b/tests/test_home_map.py
@@ -1,4 +1,4 @@
-"""Differential tests of `decisions.home_map` against `ownership.home_of`."""
+"""Differential tests of the coordinator map against a full recomputation."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.ownership`."""
+"""Tests of rendezvous hashing of endpoints to coordinators."""
 
 from cowsliprill.decisions import model
 from cowsliprill.decisions import ownership
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.shares`."""
+"""Tests of the mapping from customers to shares."""
 
 from cowsliprill.decisions import model
 from cowsliprill.decisions import shares
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.slots` with `decisions.leases`: both sides of a lease."""
+"""Tests of slot leases: the ledger and the client side together."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 _SLOTS = 4
 
 # Less than a lease and the time for which its slots stay reserved after it has
-# expired, see `slots._EXPIRED_RESERVED_S`.
+# expired, see `_EXPIRED_RESERVED_S` of the ledger.
 _MAX_TIME_S = 6.0
 _ENTRIES = ("a", "b", "c")
 
