--- a/src/cowsliprill/decisions/orphans.py
+++ b/src/cowsliprill/decisions/orphans.py
@@ -215,8 +215,8 @@
           now: Current time in seconds.
 
         Returns:
-          VMs with an owner that has sent no heartbeat for `SUSPECT_S`; those
-          with the oldest probe come first.
+          VMs of owners without a heartbeat for `SUSPECT_S`, sorted by the
+          time of their last probe, oldest first.
         """
         records_by_vm = {}
         for request in running:
@@ -248,8 +248,8 @@
           running: The requests that the engines run.
           longest_request_s: Largest `timeout_s` of any service in any
             revision that may still be in use.
-          reaches_zone: Whether this coordinator recently reached a majority of
-            its availability zone.
+          reaches_zone: Whether this coordinator recently reached a majority
+            of its availability zone.
           now: Current time in seconds.
 
         Returns:
--- a/src/cowsliprill/decisions/slots.py
+++ b/src/cowsliprill/decisions/slots.py
@@ -16,10 +16,11 @@
 # process, so that clock drift can't lead to a slot being leased twice.
 _CLOCK_DRIFT_MARGIN_S = 0.1
 
-# Slots of an expired lease stay reserved for this long, or until `observe`
-# reports what the endpoint really runs. An unresponsive entry process may have
-# filled all of its leased slots; if they were reassigned at once, the prefill
-# of the next request would complete only to find the decode engine full.
+# Slots of an expired lease stay reserved for this long, or until a call of
+# `observe` reports what the endpoint really runs. An unresponsive entry process
+# may have filled all of its leased slots; if they were reassigned at once, the
+# prefill of the next request would complete only to find the decode engine
+# full.
 _EXPIRED_RESERVED_S = 5.0
 
 # Slots beyond the immediate need are granted only while at least this many
@@ -62,9 +63,9 @@
     Args:
       endpoint_id: The endpoint.
       slots: Number of slots of the endpoint.
-      silent_until: End of the reclaim period. Until then a new coordinator only
-        confirms slots that entry processes report as held, because it doesn't
-        know which leases of the previous coordinator are still valid.
+      silent_until: End of the reclaim period. Until then a new coordinator
+        only confirms slots that entry processes report as held, because it
+        doesn't know which leases of the previous coordinator are still valid.
     """
 
     def __init__(
