--- a/src/cowsliprill/decisions/fencing.py
+++ b/src/cowsliprill/decisions/fencing.py
@@ -10,8 +10,8 @@
 Known limitation for engines that don't check tokens: if a coordinator is paused
 between its last check and sending the order, or the order is delayed in a
 network buffer, an outdated order takes effect. It stays in effect until the
-current coordinator reads the engine back, at most `READ_S` later, and sends its
-own order, which `MIN_LOAD_INTERVAL_S` may delay further.
+current coordinator reads the engine back, at most `READ_S` later,
+and sends its own order, which `MIN_LOAD_INTERVAL_S` may delay further.
 """
 
 import dataclasses
@@ -262,8 +262,8 @@
 
         Args:
           order: The order.
-          is_home: Whether this VM is the engine's coordinator by the newest VM
-            list.
+          is_home: Whether this VM is the engine's coordinator by the
+            newest VM list.
           zone: Last answers of the zone's other VMs, None before the first.
           now: Current time in seconds, read right before the call.
 
--- a/src/cowsliprill/decisions/orphans.py
+++ b/src/cowsliprill/decisions/orphans.py
@@ -148,7 +148,9 @@
         self._last_seen_by_incarnation: dict[identity.Incarnation, float] = {}
 
     def see_list(self, vms: Iterable[model.Vm], now: float) -> None:
-        """Records the VM list; to be called at least every `MAX_GAP_S`.
+        """Records the VM list.
+
+        To be called at intervals of at most `MAX_GAP_S`.
 
         Args:
           vms: The listed VMs.
@@ -248,8 +250,8 @@
           running: The requests that the engines run.
           longest_request_s: Largest `timeout_s` of any service in any
             revision that may still be in use.
-          reaches_zone: Whether this coordinator recently reached a majority
-            of its availability zone.
+          reaches_zone: Whether this coordinator recently reached a
+            majority of its availability zone.
           now: Current time in seconds.
 
         Returns:
--- a/src/cowsliprill/decisions/slots.py
+++ b/src/cowsliprill/decisions/slots.py
@@ -17,10 +17,10 @@
 _CLOCK_DRIFT_MARGIN_S = 0.1
 
 # Slots of an expired lease stay reserved for this long, or until a call of
-# `observe` reports what the endpoint really runs. An unresponsive entry process
-# may have filled all of its leased slots; if they were reassigned at once, the
-# prefill of the next request would complete only to find the decode engine
-# full.
+# `observe` reports what the endpoint really runs. An unresponsive entry
+# process may have filled all of its leased slots; if they were reassigned at
+# once, the prefill of the next request would complete only to find the decode
+# engine full.
 _EXPIRED_RESERVED_S = 5.0
 
 # Slots beyond the immediate need are granted only while at least this many
