--- a/src/cowsliprill/decisions/home_choice.py
+++ b/src/cowsliprill/decisions/home_choice.py
@@ -97,8 +97,8 @@
 
         Returns:
           The number of consecutive failures of the coordinator, 0 if the VM is
-          no longer the coordinator. At `FAILURES_MAX` the VM is suspended
-          and the count starts again.
+          no longer the coordinator. At `FAILURES_MAX` the VM is
+          suspended and the count starts again.
         """
         if self.home is None or called.id != self.home.id:
             return 0
--- a/src/cowsliprill/decisions/leases.py
+++ b/src/cowsliprill/decisions/leases.py
@@ -15,8 +15,8 @@
       in_use: Slots occupied by running requests of this entry process.
       slots: Slots leased, including those in use.
       expires_at: When the lease expires; no new work may be placed after it.
-      fallback: Slots that may be used without a lease while the coordinator
-        is unreachable.
+      fallback: Slots that may be used without a lease while the
+        coordinator is unreachable.
       others_waiting: Requests of other entry processes waiting for a slot.
       used: Slots in use by all entry processes.
       full_until: Until when the endpoint counts as full after it has refused
