--- a/src/cowsliprill/decisions/home_map.py
+++ b/src/cowsliprill/decisions/home_map.py
@@ -3,9 +3,9 @@
 Returns the same coordinators as `ownership.home_of`. A full
 recomputation at each change of the VM list costs one hash per endpoint and VM:
 with 5,900 engines and 690 VMs four million hashes, which is seconds of CPU time
-about every three seconds. With rendezvous hashing a new VM can only take endpoints
-over, and a removed VM only releases its own, so a change of one VM costs one
-hash per endpoint.
+about every three seconds. With rendezvous hashing a new VM can only take
+endpoints over, and a removed VM only releases its own, so a change of one VM
+costs one hash per endpoint.
 """
 
 from collections.abc import Iterable
