--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,11 +1,11 @@
-"""Tests of `decisions.shares`."""
+"""Tests of the mapping from customers to shares."""
 
 from cowsliprill.decisions import model
 from cowsliprill.decisions import shares
 
 
 class TestShares:
-    """The same as a dict of all shares, without reading all customers."""
+    """Equivalent to a dict of all shares, without unpacking all customers."""
 
     def test_known_and_unknown_customers(self) -> None:
         customers = {"umurongo": model.Customer(id="umurongo", share=2.5)}
