--- a/src/cowsliprill/decisions/failure_detector.py
+++ b/src/cowsliprill/decisions/failure_detector.py
@@ -1,7 +1,7 @@
-"""The failure detector: which members are suspect, and which are dead.
+"""Failure detector: decides which members are suspect and which are dead.
 
-Pure. A member that is monitored here and misses heartbeats is probed, then
-suspected, then declared dead, unless it reports meanwhile that it is alive.
+Does no I/O. A monitored member that misses heartbeats is probed, then becomes
+suspect, then is declared dead unless it refutes the suspicion in time.
 """
 
 import math
@@ -12,31 +12,32 @@
 from cowsliprill.decisions import member_records as records_lib
 from cowsliprill.decisions import member_table
 
-# Time without a heartbeat after which a monitored member is probed, and is
-# suspected: a heartbeat and the answers to one or two questions are lost then.
-_ASK_AFTER_S = 1.3
+# Heartbeat timeouts after which a monitored member is probed and becomes
+# suspect. By then a heartbeat and the replies to one or two probes are missing.
+_PROBE_AFTER_S = 1.3
 _SUSPECT_AFTER_S = 2.1
 
-# How long a suspected member has to say that it lives.
-_SUSPICION_S = 1.4
+# Time that a suspect member has to refute the suspicion.
+_SUSPICION_TIMEOUT_S = 1.4
 
-# A process that hears nobody for so long is cut off, or alone.
-ALONE_AFTER_S = _SUSPECT_AFTER_S + _SUSPICION_S
+# Time without any message after which this process considers itself isolated.
+ISOLATED_AFTER_S = _SUSPECT_AFTER_S + _SUSPICION_TIMEOUT_S
 
-# A longer gap between two looks means that this process stood still, and not
-# that the others were silent.
-_STOOD_STILL_S = 1.2
+# A longer gap between two checks means that this process was paused, and not
+# that the other members were silent.
+_CHECK_GAP_MAX_S = 1.2
 
-# Members that fell silent lately from which on others are asked as well, how
-# many at each look, and which of them: those not heard for some time. Where a
-# zone or half of a fleet is lost, all who watched a lost one may be lost too.
-_MANY_SILENT = 3
-_SILENT_LATELY_S = 4.0
-_QUESTIONS = 6
-_UNSURE_S = 2.0
+# If an availability zone or half of a fleet fails, all monitors of a failed
+# member may have failed with it. So once this many members have failed within
+# the given time, each check also probes up to `_EXTRA_PROBES` of the members
+# without a message for `_STALE_AFTER_S`.
+_MASS_FAILURE_MEMBERS = 3
+_RECENTLY_FAILED_S = 4.0
+_EXTRA_PROBES = 6
+_STALE_AFTER_S = 2.0
 
 _ALIVE = records_lib.Standing.ALIVE
-_SUSPECTED = records_lib.Standing.SUSPECTED
+_SUSPECT = records_lib.Standing.SUSPECT
 _DEAD = records_lib.Standing.DEAD
 
 
@@ -44,13 +45,13 @@
     """Probes members that miss heartbeats and declares them suspect or dead.
 
     Args:
-      table: The members.
-      gossip: Passes on what is declared of them.
-      rng: Random numbers.
-      look_s: Time between two looks.
+      table: The member table.
+      gossip: Queue of updates to gossip.
+      rng: Random number generator.
+      check_interval_s: Time between two calls of `check` in seconds.
 
     Attributes:
-      alone: Whether nobody at all is heard.
+      isolated: Whether no message of any member arrives.
     """
 
     def __init__(
@@ -58,102 +59,117 @@
         table: member_table.MemberTable,
         gossip: gossip_lib.GossipUpdates,
         rng: random.Random,
-        look_s: float,
+        check_interval_s: float,
     ) -> None:
-        self.alone = False
+        self.isolated = False
         self._table = table
         self._gossip = gossip
         self._random = rng
-        self._look_s = look_s
-        self._looked_at = -math.inf
-        self._heard_at = -math.inf
+        self._check_interval_s = check_interval_s
+        self._checked_at = -math.inf
+        self._last_received_at = -math.inf
 
-    def heard_within(self, seconds: float, now: float) -> bool:
-        """Returns whether any member was heard lately."""
-        return now - self._heard_at < seconds
+    def received_within(self, seconds: float, now: float) -> bool:
+        """Returns whether a message of any member arrived within a time.
 
-    def hear(self, now: float) -> None:
-        """Takes that some member was heard."""
-        if self.alone:
-            self.alone = False
-            self._excuse(now)
-        self._heard_at = now
+        Args:
+          seconds: The time span.
+          now: Current time in seconds.
+        """
+        return now - self._last_received_at < seconds
+
+    def record_received(self, now: float) -> None:
+        """Records that a message of some member has arrived.
+
+        Args:
+          now: Current time in seconds.
+        """
+        if self.isolated:
+            self.isolated = False
+            self._restart_timeouts(now)
+        self._last_received_at = now
 
-    def look(self, now: float) -> None:
-        """Looks at the suspected ones, and for more of them.
+    def check(self, now: float) -> None:
+        """Expires suspicions, and picks more members to probe if needed.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
         """
-        if now - self._looked_at > _STOOD_STILL_S:
-            self._excuse(now)
-        self._looked_at = now
-        self._bury(now)
-        self._doubt(now)
+        if now - self._checked_at > _CHECK_GAP_MAX_S:
+            self._restart_timeouts(now)
+        self._checked_at = now
+        self._expire_suspicions(now)
+        self._monitor_after_mass_failure(now)
 
-    def to_ask(self, now: float) -> Iterator[member_table.Member]:
-        """Yields whom to ask; those silent for long are suspected from now on.
+    def members_to_probe(self, now: float) -> Iterator[member_table.Member]:
+        """Yields members to probe; those past their timeout become suspect.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
         """
         for member in self._table.alive():
-            silent_s = now - member.heard_at
-            if not member.watched or silent_s < _ASK_AFTER_S:
+            silent_s = now - member.last_received_at
+            if not member.monitored or silent_s < _PROBE_AFTER_S:
                 continue
-            may_suspect = member.standing is _ALIVE and not self.alone
+            may_suspect = member.status is _ALIVE and not self.isolated
             if may_suspect and silent_s >= _SUSPECT_AFTER_S:
-                self._judge(member, _SUSPECTED, now)
+                self._declare(member, _SUSPECT, now)
             yield member
 
-    def _excuse(self, now: float) -> None:
-        self._heard_at = max(self._heard_at, now)
+    def _restart_timeouts(self, now: float) -> None:
+        self._last_received_at = max(self._last_received_at, now)
         for member in self._table.members_by_id.values():
-            if member.watched:
-                member.heard_at = now
-            if member.standing is _SUSPECTED:
-                member.suspected_at = now
-
-    def _bury(self, now: float) -> None:
-        self.alone = now - self._heard_at > ALONE_AFTER_S
-        if self.alone:
+            if member.monitored:
+                member.last_received_at = now
+            if member.status is _SUSPECT:
+                member.status_changed_at = now
+
+    def _expire_suspicions(self, now: float) -> None:
+        self.isolated = now - self._last_received_at > ISOLATED_AFTER_S
+        if self.isolated:
             return
         for member in self._table.alive():
-            if member.standing is not _SUSPECTED:
+            if member.status is not _SUSPECT:
                 continue
-            silent_since = max(member.suspected_at, member.heard_at)
-            # If nobody was heard since, the silence may be this process's own.
-            hears = self._heard_at > silent_since
-            if hears and now - silent_since > _SUSPICION_S:
-                self._judge(member, _DEAD, now)
-
-    def _doubt(self, now: float) -> None:
-        silent = [
+            silent_since = max(
+                member.status_changed_at, member.last_received_at
+            )
+            # If no message of any member has arrived since then, this process
+            # itself may be cut off.
+            is_connected = self._last_received_at > silent_since
+            if is_connected and now - silent_since > _SUSPICION_TIMEOUT_S:
+                self._declare(member, _DEAD, now)
+
+    def _monitor_after_mass_failure(self, now: float) -> None:
+        recently_failed = [
             member
             for member in self._table.members_by_id.values()
-            if member.standing is not _ALIVE
-            and now - member.suspected_at < _SILENT_LATELY_S
+            if member.status is not _ALIVE
+            and now - member.status_changed_at < _RECENTLY_FAILED_S
         ]
-        if len(silent) < _MANY_SILENT:
+        if len(recently_failed) < _MASS_FAILURE_MEMBERS:
             return
-        unsure = [
+        stale = [
             member
             for member in self._table.alive()
-            if not member.watched and now - member.heard_at > _UNSURE_S
+            if not member.monitored
+            and now - member.last_received_at > _STALE_AFTER_S
         ]
-        count = min(_QUESTIONS, len(unsure))
-        for member in self._random.sample(unsure, count):
-            # Asked at once and released by its answer, else suspected at the
-            # next look.
-            member.watched = True
-            member.heard_at = now - _SUSPECT_AFTER_S + self._look_s / 2
-
-    def _judge(
+        count = min(_EXTRA_PROBES, len(stale))
+        for member in self._random.sample(stale, count):
+            # The member is probed at once. Its reply ends the monitoring;
+            # without a reply it becomes suspect at the next check.
+            member.monitored = True
+            member.last_received_at = (
+                now - _SUSPECT_AFTER_S + self._check_interval_s / 2
+            )
+
+    def _declare(
         self,
         member: member_table.Member,
-        standing: records_lib.Standing,
+        status: records_lib.Standing,
         now: float,
     ) -> None:
-        news = records_lib.News(record=member.record, standing=standing)
-        self._table.take(news, now)
+        update = records_lib.News(record=member.record, standing=status)
+        self._table.apply(update, now)
         self._gossip.add(member.record.id)
--- a/src/cowsliprill/decisions/freshness.py
+++ b/src/cowsliprill/decisions/freshness.py
@@ -1,68 +1,92 @@
-"""Whether settings are recent enough for API keys to be honoured.
-
-Pure. A key that the operator has taken away must not be honoured anywhere once
-a bound has passed, at VMs that are cut off from the store included. So a VM
-honours keys only while it can show that its settings were the store's newest
-within that bound. The age of what a peer shows counts from when the peer was
-asked, never by a wall clock: an answer may have waited while this process
-stood still.
+"""Bounded staleness: whether settings are recent enough to accept API keys.
+
+Does no I/O. A key that the operator has revoked must not be accepted by any VM
+after a maximum staleness, not even by VMs that are cut off from the store. So a
+VM accepts keys only while it can show that its settings were the store's newest
+within that time. The age of a peer's confirmation counts from the time of the
+request to the peer, never by a wall clock, since the response may have been
+queued while this process was paused.
 """
 
 import math
 
-# Part of the bound for which keys are honoured. The rest is for a store that
-# loses its history: its watches may hear of a change a second late.
-_HONOURED_PART = 0.75
+# Keys are accepted for this fraction of the maximum staleness. The rest is a
+# margin for a store that loses its history, whose watches may report a change
+# a second late.
+_ACCEPT_KEYS_FRACTION = 0.75
 
-# Parts of the bound after which peers are asked, and the store itself.
-_ASK_PEERS_PART = 0.25
-_ASK_STORE_PART = 0.5
+# Fractions of the maximum staleness after which peers and the store are
+# queried.
+_QUERY_PEERS_FRACTION = 0.25
+_QUERY_STORE_FRACTION = 0.5
 
-# Part of the bound for which a reader's watch is held: only its end shows that
-# nothing has changed.
-_WATCH_PART = 0.2
+# Timeout of a reader's watch as a fraction of the maximum staleness: a watch
+# without changes confirms the settings only when it ends.
+_WATCH_TIMEOUT_FRACTION = 0.2
 
 
 class Freshness:
-    """When the settings in force were last shown to be the newest.
+    """Tracks when the active settings were last confirmed as the newest.
 
     Args:
-      bound_s: Time after which a revoked key must not be honoured, seconds;
-        None where VMs out of touch may go on.
+      max_staleness_s: Time in seconds after which a revoked key must not be
+        accepted; None if disconnected VMs may go on accepting keys.
     """
 
-    def __init__(self, bound_s: float | None) -> None:
-        self._bound_s = math.inf if bound_s is None else bound_s
+    def __init__(self, max_staleness_s: float | None) -> None:
+        self._max_staleness_s = (
+            math.inf if max_staleness_s is None else max_staleness_s
+        )
         self._confirmed_at = -math.inf
 
     @property
     def is_bounded(self) -> bool:
-        """Whether settings have to be confirmed at all."""
-        return math.isfinite(self._bound_s)
+        """Whether there is a maximum staleness."""
+        return math.isfinite(self._max_staleness_s)
 
     @property
     def watch_s(self) -> float:
-        """How long a watch of the settings may be held at most, seconds."""
-        return self._bound_s * _WATCH_PART
+        """Longest timeout of a watch of the settings in seconds."""
+        return self._max_staleness_s * _WATCH_TIMEOUT_FRACTION
 
     def confirm(self, as_of: float) -> None:
-        """Notes that the settings in force were the newest at a time."""
+        """Records that the active settings were the newest.
+
+        Args:
+          as_of: Time in seconds at which that was true.
+        """
         self._confirmed_at = max(self._confirmed_at, as_of)
 
     def age_s(self, now: float) -> float:
-        """Returns how long ago the settings were shown to be the newest."""
+        """Returns the time since the last confirmation in seconds.
+
+        Args:
+          now: Current time in seconds.
+        """
         return now - self._confirmed_at
 
     def honours_keys(self, now: float) -> bool:
-        """Returns whether a key of the settings in force may be honoured."""
+        """Returns whether API keys of the active settings may be accepted.
+
+        Args:
+          now: Current time in seconds.
+        """
         if not self.is_bounded:
             return True
-        return self.age_s(now) <= self._bound_s * _HONOURED_PART
+        return self.age_s(now) <= self._max_staleness_s * _ACCEPT_KEYS_FRACTION
 
     def must_ask_peers(self, now: float) -> bool:
-        """Returns whether peers are to be asked for something newer."""
-        return self.age_s(now) > self._bound_s * _ASK_PEERS_PART
+        """Returns whether to query peers for newer settings.
+
+        Args:
+          now: Current time in seconds.
+        """
+        return self.age_s(now) > self._max_staleness_s * _QUERY_PEERS_FRACTION
 
     def must_ask_store(self, now: float) -> bool:
-        """Returns whether the store is to be asked, whoever reads it else."""
-        return self.age_s(now) > self._bound_s * _ASK_STORE_PART
+        """Returns whether to query the store, even if this VM is no reader.
+
+        Args:
+          now: Current time in seconds.
+        """
+        return self.age_s(now) > self._max_staleness_s * _QUERY_STORE_FRACTION
--- a/src/cowsliprill/decisions/gossip.py
+++ b/src/cowsliprill/decisions/gossip.py
@@ -1,59 +1,65 @@
-"""News that a process passes on, each for some rounds of messages.
+"""Queue of member updates to gossip, each in a limited number of rounds.
 
-Pure. Everyone who hears something new passes it on so often that nearly all
-have heard it before the last is silent; who has missed it all the same finds
-out by comparing digests.
+Does no I/O. Every process that learns of an update repeats it in enough rounds
+to reach nearly all members. Processes that miss it all the same catch up
+through anti-entropy, by comparing digests.
 """
 
 import math
 
-# News in one message; with the rest some hundred bytes less than a datagram
-# holds without being divided.
-NEWS_MAX = 10
+# Updates in one message. Together with the rest of the message they stay some
+# hundred bytes below the size at which a datagram is fragmented.
+MESSAGE_UPDATES_MAX = 10
 
-# News that wait to be passed on. When a whole fleet starts at once there are
-# more; those that don't fit are found by comparing digests.
-_WAITING_MAX = 64
+# Updates in the queue. More arrive when a whole fleet starts at once; those
+# that are evicted spread through anti-entropy.
+_QUEUED_UPDATES_MAX = 64
 
 _ROUNDS_MIN = 2
 
 
 class GossipUpdates:
-    """What is yet to be passed on.
+    """Updates that are yet to be gossiped, by member.
 
     Args:
-      fanout: Peers that hear of one round.
+      fanout: Number of peers that receive one round.
     """
 
     def __init__(self, fanout: int) -> None:
         self._fanout = fanout
-        self._sent_by_id: dict[str, int] = {}
+        self._rounds_sent_by_id: dict[str, int] = {}
 
     def add(self, member_id: str) -> None:
-        """Has a member's news passed on, anew if it is known already."""
-        self._sent_by_id.pop(member_id, None)
-        self._sent_by_id[member_id] = 0
-        if len(self._sent_by_id) > _WAITING_MAX:
-            self._sent_by_id.pop(next(iter(self._sent_by_id)))
+        """Queues a member's update, restarting its rounds if it is queued."""
+        self._rounds_sent_by_id.pop(member_id, None)
+        self._rounds_sent_by_id[member_id] = 0
+        if len(self._rounds_sent_by_id) > _QUEUED_UPDATES_MAX:
+            self._rounds_sent_by_id.pop(next(iter(self._rounds_sent_by_id)))
 
-    def fresh(self) -> bool:
-        """Returns whether there is news that nobody was told."""
-        return any(not sent for sent in self._sent_by_id.values())
+    def has_unsent(self) -> bool:
+        """Returns whether any queued update was never sent."""
+        return any(
+            not rounds_sent for rounds_sent in self._rounds_sent_by_id.values()
+        )
 
     def next_round(self, members: int) -> list[str]:
-        """Takes the members whose news go with the next messages.
+        """Starts a round and returns ids of the members whose updates to send.
+
+        Updates sent in the fewest rounds come first.
 
         Args:
-          members: How many members there are.
+          members: Number of members in the table.
         """
-        chosen = sorted(self._sent_by_id, key=self._sent_by_id.get)[:NEWS_MAX]
-        rounds = self._rounds(members)
+        chosen = sorted(
+            self._rounds_sent_by_id, key=self._rounds_sent_by_id.get
+        )[:MESSAGE_UPDATES_MAX]
+        rounds = self._rounds_needed(members)
         for member_id in chosen:
-            self._sent_by_id[member_id] += 1
-            if self._sent_by_id[member_id] >= rounds:
-                del self._sent_by_id[member_id]
+            self._rounds_sent_by_id[member_id] += 1
+            if self._rounds_sent_by_id[member_id] >= rounds:
+                del self._rounds_sent_by_id[member_id]
         return chosen
 
-    def _rounds(self, members: int) -> int:
+    def _rounds_needed(self, members: int) -> int:
         rounds = math.log(members + 1) / math.log(1 + self._fanout)
         return max(math.ceil(rounds), _ROUNDS_MIN)
--- a/src/cowsliprill/decisions/leadership.py
+++ b/src/cowsliprill/decisions/leadership.py
@@ -1,120 +1,135 @@
-"""Which VM alone may give a pool's engines orders.
-
-Pure. There is no lock to be had: nothing of ours lasts, and nothing is agreed
-on. So nobody takes over from a leader that can't be heard. The leader of a pool
-is the first by rendezvous hashing among all VMs that a process ever met, the
-silent ones included; a dead leader's pool gets no orders until it is back.
-Seeds that it hasn't met count as VMs that it doesn't hear. Two VMs can then
-only both lead while they know different VMs. That ends within a few heartbeats,
-and a VM orders only after it has learnt of no further VM, and has heard most of
-them, for longer than that and the time within which two may not order one
-engine.
+"""Selection of the one VM that may send orders to a pool's engines.
+
+Does no I/O. There is neither a lock service nor consensus, and no state
+survives a restart. So there is no failover: the leader of a pool is the first
+by rendezvous hashing among all VMs that a process has ever seen, unreachable
+ones included, and the pool of a dead leader gets no orders until that VM is
+back. Seeds that were never seen count as unreachable VMs. Two VMs can then both
+be leader only while they know different sets of VMs, which ends within a few
+heartbeats. A VM starts to send orders only after its set of known VMs was
+unchanged, and most of them reachable, for longer than that plus the lease: the
+time within which no two VMs may send orders to the same engine.
 """
 
 import dataclasses
 
 from cowsliprill.decisions import ownership
 
-# Two VMs must not order one engine within this time.
+# Two VMs must not send orders to the same engine within this time.
 LEASE_S = 3.0
 
-# A VM that starts is known to those that hear it, and through them to whoever
-# led before, within two beats of 1 s, one of them lost.
-_SPREAD_S = 2.0
+# Time until all VMs that receive the messages of a new VM, and through them the
+# previous leader, know the new VM: two heartbeats of 1 s, one of them lost.
+_PROPAGATION_S = 2.0
 
-# Looks come several times a second. After a longer gap the process or its VM
-# stood still, and what it knows of the others is as old as the gap.
-STOOD_STILL_S = 1.0
+# `look` is called several times a second. A longer gap means that the process
+# or its VM was paused, and that its knowledge is as old as the gap.
+OBSERVATION_GAP_MAX_S = 1.0
 
-# Numbers for one millisecond, so that two VMs hardly share one. Readers of JSON
-# hold the product exactly, as it stays below 2 to the power of 53.
+# Token values within one millisecond, so that two VMs hardly ever use the same
+# one. Tokens stay below 2**53 and so are exact as JSON numbers.
 _TIE_BREAKERS = 2_048
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Electorate:
-    """The VMs as one process knows them.
+    """The membership as one process knows it.
 
     Attributes:
-      own: Id of its own VM.
-      known: Ids of all VMs that it ever met, its own included.
-      heard: How many of these are alive, its own included.
-      unmet: Seeds that no known VM has the address of.
-      patience_s: How long a VM that has fallen silent counts as alive.
+      own: Id of the process's own VM.
+      known_ids: Ids of all VMs ever seen, the own one included.
+      alive_count: Number of known VMs that are alive, the own one included.
+      undiscovered_seeds: Number of seed addresses that no known VM has.
+      failure_timeout_s: Time in seconds for which a silent VM counts as alive.
     """
 
     own: str
-    known: frozenset[str]
-    heard: int
-    unmet: int
-    patience_s: float
-
-    def hears_most(self) -> bool:
-        """Returns whether more than half of all VMs are heard."""
-        return 2 * self.heard > len(self.known) + self.unmet
+    known_ids: frozenset[str]
+    alive_count: int
+    undiscovered_seeds: int
+    failure_timeout_s: float
+
+    def has_majority(self) -> bool:
+        """Returns whether more than half of all VMs are alive."""
+        return (
+            2 * self.alive_count > len(self.known_ids) + self.undiscovered_seeds
+        )
 
     def calm_s(self) -> float:
-        """Returns the time without a change before a VM leads.
+        """Returns the stabilization period before a VM may lead, in seconds.
 
-        Whoever led before goes on until it hears of this VM, or until those
-        who could tell it count as dead there.
+        A previous leader goes on until it learns of this VM, or until the VMs
+        that could have reported this VM to it count as dead there.
         """
-        return self.patience_s + _SPREAD_S + LEASE_S
+        return self.failure_timeout_s + _PROPAGATION_S + LEASE_S
 
     def first(self, pool: str) -> str:
-        """Returns the VM that leads a pool."""
-        return max(self.known, key=lambda vm: (ownership.score(vm, pool), vm))
+        """Returns the id of a pool's leader by rendezvous hashing.
+
+        Args:
+          pool: Name of the pool.
+        """
+        return max(
+            self.known_ids, key=lambda vm: (ownership.score(vm, pool), vm)
+        )
 
 
 class Leadership:
-    """Whether this process may order engines, from one look to the next."""
+    """Tracks whether this process may send orders to engines."""
 
     def __init__(self) -> None:
         self._electorate: Electorate | None = None
-        self._looked_at = 0.0
-        self._calm_since = 0.0
+        self._observed_at = 0.0
+        self._stable_since = 0.0
 
     def look(self, electorate: Electorate, now: float) -> None:
-        """Takes in which VMs there are.
+        """Records the current membership.
 
         Args:
-          electorate: The VMs.
-          now: Time, seconds, that of a suspended VM included.
+          electorate: The membership.
+          now: Current time in seconds, by a clock that goes on while the VM is
+            suspended.
         """
         before = self._electorate
-        calm = (
+        stable = (
             before is not None
-            and before.known == electorate.known
-            and electorate.hears_most()
-            and now - self._looked_at <= STOOD_STILL_S
+            and before.known_ids == electorate.known_ids
+            and electorate.has_majority()
+            and now - self._observed_at <= OBSERVATION_GAP_MAX_S
         )
-        if not calm:
-            self._calm_since = now
+        if not stable:
+            self._stable_since = now
         self._electorate = electorate
-        self._looked_at = now
+        self._observed_at = now
 
     def leads(self, pool: str, now: float) -> bool:
-        """Returns whether this process may order a pool's engines now.
+        """Returns whether this process may send orders to a pool's engines.
+
+        Must be called directly before each order.
 
         Args:
           pool: Name of the pool.
-          now: Time, seconds; asked at once before each order.
+          now: Current time in seconds, as for `look`.
         """
         electorate = self._electorate
-        if electorate is None or now - self._looked_at > STOOD_STILL_S:
+        if (
+            electorate is None
+            or now - self._observed_at > OBSERVATION_GAP_MAX_S
+        ):
             return False
-        if now - self._calm_since < electorate.calm_s():
+        if now - self._stable_since < electorate.calm_s():
             return False
         return electorate.first(pool) == electorate.own
 
 
 class FencingTokens:
-    """Numbers for one process's orders, each higher than those before.
+    """Strictly increasing fencing tokens for one process's orders.
 
-    A later order of another VM must bear a higher number than an earlier one,
-    and never the same. The time of day does: VMs' clocks differ by less than
-    the time that passes before another VM leads. A clock that is set back must
-    not make a process's own orders go back.
+    A later order must also have a higher token than earlier orders of other
+    VMs, and never the same one. Tokens based on the wall clock ensure that:
+    clocks of two VMs differ by less than the time that passes before another
+    VM becomes leader. A wall clock that is set back must not make this
+    process's own tokens decrease.
 
     Args:
       own: Id of the VM.
@@ -125,6 +140,10 @@
         self._last_ms = 0
 
     def next(self, time_of_day_ms: int) -> int:
-        """Returns the number of the next order."""
+        """Returns the token of the next order.
+
+        Args:
+          time_of_day_ms: Wall clock time in milliseconds since the epoch.
+        """
         self._last_ms = max(time_of_day_ms, self._last_ms + 1)
         return self._last_ms * _TIE_BREAKERS + self._tie_breaker
--- a/src/cowsliprill/decisions/member_records.py
+++ b/src/cowsliprill/decisions/member_records.py
@@ -1,7 +1,7 @@
-"""What VMs say of themselves and of each other.
+"""Records that VMs publish about themselves, and messages that carry them.
 
-Pure. A record is what a VM says of itself: nobody else writes one. What the
-others add is whether they still hear of it.
+Does no I/O. Only the VM itself writes its record. Other members add a status to
+it: whether they consider the VM alive, suspect or dead.
 """
 
 import dataclasses
@@ -12,20 +12,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Record:
-    """What a member says of itself.
+    """What a member publishes about itself.
 
     Attributes:
-      id: Id of its VM.
-      host: IP number.
-      port: Port for peers, TCP and UDP.
-      availability_zone: Where it is.
-      incarnation: Rises with each start of the process.
-      version: Rises with each change of one incarnation's record.
-      ready: Whether it knows settings and endpoints, and may be a home.
-      leaving: Whether it takes no more work.
-      cores: Processor cores that it may use, 0 if it doesn't say.
-      blind: Whether it can't read the registry's store.
-      changing: Engines that it has ordered to change, with what they will be.
+      id: Id of the member's VM.
+      host: IP address.
+      port: Port for traffic between members, TCP and UDP.
+      availability_zone: Availability zone of the VM.
+      incarnation: Increases with each start of the process.
+      version: Increases with each change of the record within one incarnation.
+      ready: Whether the process has settings and endpoints, so that it may be a
+        coordinator.
+      leaving: Whether the process accepts no more work.
+      cores: Processor cores that the process may use, 0 if unknown.
+      blind: Whether the process can't read the registry's store.
+      changing: Role changes that the process has ordered from engines and that
+        the registry doesn't show yet, as pairs of endpoint id and target role.
     """
 
     id: str
@@ -42,37 +44,40 @@
 
     @property
     def address(self) -> Address:
-        """Where its process hears its peers."""
+        """Address on which the process receives messages of other members."""
         return (self.host, self.port)
 
-    def age(self) -> tuple[int, int]:
-        """Returns what makes one record newer than another."""
+    def version_key(self) -> tuple[int, int]:
+        """Returns the sort key that makes one record newer than another."""
         return (self.incarnation, self.version)
 
 
 class Standing(enum.IntEnum):
-    """What the others hold of a member; of one record the higher prevails."""
+    """Status of a member in the view of others; the highest one wins.
+
+    Statuses are compared only for the same version of a record.
+    """
 
     ALIVE = 0
-    SUSPECTED = 1
+    SUSPECT = 1
     DEAD = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class News:
-    """A member's record and its standing, on the way between others.
+    """A gossip update: a member's record and its status.
 
     Attributes:
-      record: The record.
-      standing: Whether the teller holds it for alive.
+      record: The member's record.
+      standing: The member's status in the view of the update's sender.
     """
 
     record: Record
     standing: Standing = Standing.ALIVE
 
-    def rank(self) -> tuple[int, int, int]:
-        """Returns what makes one piece of news prevail over another."""
-        return (*self.record.age(), self.standing)
+    def precedence(self) -> tuple[int, int, int]:
+        """Returns the sort key by which one update overrides another."""
+        return (*self.record.version_key(), self.standing)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -81,15 +86,17 @@
 
     Attributes:
       sender: The sender's own record.
-      newest: Revision of the newest registry change that the sender knows,
-        for each prefix that is followed.
-      digest: Digest of all that the sender knows of members.
-      known: How many members the sender knows, the dead included.
-      watched: Whether the receiver is to miss the sender's heartbeats.
-      ping: Whether the receiver is to answer at once.
-      news: What is passed on of others.
-      digests: Digests of the parts of what the sender knows, where it asks
-        for the parts that differ.
+      newest: Revision of the newest registry change known to the sender, one
+        for each followed key prefix.
+      digest: Digest of the sender's member table.
+      known: Number of members in the sender's table, dead ones and the sender
+        included.
+      watched: Whether the receiver is asked to monitor the sender's
+        heartbeats.
+      ping: Whether the receiver must reply at once.
+      news: Gossip updates about members.
+      digests: Digests of the buckets of the sender's table, if it asks for the
+        buckets that differ; else empty.
     """
 
     sender: Record
@@ -104,10 +111,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message and where it goes.
+    """A message with its destination.
 
     Attributes:
-      address: The receiver.
+      address: Address of the receiver.
       message: The message.
     """
 
--- a/src/cowsliprill/decisions/member_table.py
+++ b/src/cowsliprill/decisions/member_table.py
@@ -1,8 +1,9 @@
-"""All members that one process knows of, with digests to compare tables by.
+"""Member table of one process, with digests for anti-entropy.
 
-Pure. Two processes that know the same have the same digest, whatever order
-they learnt it in. The table is divided into parts by members' ids; two that
-differ compare the digests of the parts and exchange only those that differ.
+Does no I/O. Two processes with the same knowledge have the same digest, in
+whatever order they received it. The table is divided into buckets by a hash of
+the member id, so that two processes with different digests can compare bucket
+digests and exchange only the buckets that differ.
 """
 
 import dataclasses
@@ -13,58 +14,60 @@
 
 from cowsliprill.decisions import member_records as records_lib
 
-# Parts of the table. Their digests fit into one datagram, and a part of a
-# fleet of some hundred VMs does as well.
-PARTS = 32
+# Sized so that all bucket digests fit into one datagram, and so does one
+# bucket's content in a fleet of some hundred VMs.
+BUCKETS = 32
 
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """One member.
+    """Local state about another member.
 
     Attributes:
-      news: Its record and standing.
-      suspected_at: When it came to be suspected, seconds.
-      heard_at: When it was last heard itself, seconds.
-      watched: Whether its heartbeats are to be missed here.
-      newest: Newest registry changes that it said it knows.
+      update: The newest update known: the member's record and status.
+      status_changed_at: Time of the last status change in seconds; with status
+        SUSPECT, the start of the suspicion timeout.
+      last_received_at: Time of the last message from the member in seconds.
+      monitored: Whether this process monitors the member's heartbeats.
+      newest_revisions: Newest registry revisions that the member reported, one
+        for each key prefix.
     """
 
-    news: records_lib.News
-    suspected_at: float = 0.0
-    heard_at: float = -math.inf
-    watched: bool = False
-    newest: tuple[int, ...] = ()
+    update: records_lib.News
+    status_changed_at: float = 0.0
+    last_received_at: float = -math.inf
+    monitored: bool = False
+    newest_revisions: tuple[int, ...] = ()
 
     @property
     def record(self) -> records_lib.Record:
-        """Its record."""
-        return self.news.record
+        """The member's record."""
+        return self.update.record
 
     @property
-    def standing(self) -> records_lib.Standing:
-        """Its standing."""
-        return self.news.standing
+    def status(self) -> records_lib.Standing:
+        """The member's status."""
+        return self.update.standing
 
 
 class MemberTable:
-    """The other members, by id, and the process's own record.
+    """The other members by id, and the process's own record.
 
     Args:
       own: The process's own record.
 
     Attributes:
-      members_by_id: The others.
-      digests: Digest of each part, its own record included.
-      revision: Rises with each change.
+      members_by_id: The other members.
+      digests: Digest of each bucket, the own record included.
+      revision: Increases with each change of the table.
     """
 
     def __init__(self, own: records_lib.Record) -> None:
         self.members_by_id: dict[str, Member] = {}
-        self.digests = [0] * PARTS
+        self.digests = [0] * BUCKETS
         self.revision = 0
         self._own = records_lib.News(record=own)
-        self._count(self._own)
+        self._toggle_digest(self._own)
 
     @property
     def own(self) -> records_lib.Record:
@@ -73,95 +76,97 @@
 
     @own.setter
     def own(self, record: records_lib.Record) -> None:
-        self._count(self._own)
+        self._toggle_digest(self._own)
         self._own = records_lib.News(record=record)
-        self._count(self._own)
+        self._toggle_digest(self._own)
         self.revision += 1
 
     def digest(self) -> int:
         """Returns the digest of the whole table."""
         whole = 0
-        for part in self.digests:
-            whole ^= part
+        for bucket_digest in self.digests:
+            whole ^= bucket_digest
         return whole
 
-    def take(self, news: records_lib.News, now: float) -> bool:
-        """Takes news of another member.
+    def apply(self, update: records_lib.News, now: float) -> bool:
+        """Applies an update about another member.
 
         Args:
-          news: The news.
-          now: Time, seconds.
+          update: The update.
+          now: Current time in seconds.
 
         Returns:
-          Whether it prevails over what was known.
+          Whether the update overrides what was known.
         """
-        name = news.record.id
-        member = self.members_by_id.get(name)
+        member_id = update.record.id
+        member = self.members_by_id.get(member_id)
         if member is None:
-            self.members_by_id[name] = Member(news, suspected_at=now)
-            self._count(news)
+            self.members_by_id[member_id] = Member(
+                update, status_changed_at=now
+            )
+            self._toggle_digest(update)
             self.revision += 1
             return True
-        if news.rank() <= member.news.rank():
+        if update.precedence() <= member.update.precedence():
             return False
-        if news.standing is not member.standing:
-            member.suspected_at = now
-        self._count(member.news)
-        member.news = news
-        self._count(news)
+        if update.standing is not member.status:
+            member.status_changed_at = now
+        self._toggle_digest(member.update)
+        member.update = update
+        self._toggle_digest(update)
         self.revision += 1
         return True
 
     def alive(self) -> list[Member]:
-        """Returns the others that aren't held for dead."""
+        """Returns the other members that are alive or suspect."""
         dead = records_lib.Standing.DEAD
         return [
             member
             for member in self.members_by_id.values()
-            if member.standing is not dead
+            if member.status is not dead
         ]
 
     def dead(self) -> list[Member]:
-        """Returns the others that are held for dead."""
+        """Returns the other members that are considered dead."""
         dead = records_lib.Standing.DEAD
         return [
             member
             for member in self.members_by_id.values()
-            if member.standing is dead
+            if member.status is dead
         ]
 
     def differing(self, digests: Iterable[int]) -> list[records_lib.News]:
-        """Returns what is known in the parts that differ from another's.
+        """Returns the updates in buckets that differ from another table's.
 
         Args:
-          digests: The other's digests, one a part.
+          digests: Bucket digests of the other table, in bucket order.
         """
-        parts = {
-            part
-            for part, (own, other) in enumerate(
+        buckets = {
+            bucket
+            for bucket, (own, other) in enumerate(
                 zip(self.digests, digests, strict=False)
             )
             if own != other
         }
-        known = [member.news for member in self.members_by_id.values()]
+        known = [member.update for member in self.members_by_id.values()]
         return [
-            news
-            for news in (self._own, *known)
-            if _part(news.record.id) in parts
+            update
+            for update in (self._own, *known)
+            if _bucket(update.record.id) in buckets
         ]
 
-    def _count(self, news: records_lib.News) -> None:
-        # Counted once more, news is out of the digest again.
-        self.digests[_part(news.record.id)] ^= _digest(news)
+    def _toggle_digest(self, update: records_lib.News) -> None:
+        # XOR: the same call adds an update to the digest or removes it.
+        self.digests[_bucket(update.record.id)] ^= _digest(update)
 
 
-def _part(member_id: str) -> int:
-    return xxhash.xxh3_64_intdigest(member_id.encode()) % PARTS
+def _bucket(member_id: str) -> int:
+    return xxhash.xxh3_64_intdigest(member_id.encode()) % BUCKETS
 
 
-def _digest(news: records_lib.News) -> int:
-    # A suspicion ends within seconds by itself, so it isn't compared.
-    record = news.record
-    dead = news.standing is records_lib.Standing.DEAD
+def _digest(update: records_lib.News) -> int:
+    # SUSPECT is left out, since a suspicion ends by itself within seconds.
+    record = update.record
+    dead = update.standing is records_lib.Standing.DEAD
     text = f"{record.id}\0{record.incarnation}\0{record.version}\0{dead}"
     return xxhash.xxh32_intdigest(text.encode())
--- a/src/cowsliprill/decisions/membership.py
+++ b/src/cowsliprill/decisions/membership.py
@@ -1,15 +1,15 @@
-"""Which VMs run our processes, learnt from messages between them.
-
-Pure. A protocol of the SWIM family. Each process has a few others watch it: it
-sends them a heartbeat at each beat, and one that misses some asks it, then says
-that it suspects it. The suspected one hears of that, from whomever, and says
-that it lives; if it doesn't in time, all hold it for dead. What changes is
-passed on with every message for some rounds. Who differs all the same notices
-by a digest in the messages and asks for the parts that differ. So neither a
-message nor the work on one grows with the fleet.
-
-Nothing is agreed on: two members may disagree for a while, and what is built
-on this must bear it.
+"""Cluster membership: which VMs run this software, by a SWIM-style protocol.
+
+Does no I/O. Each process asks a few members to monitor it and sends them
+heartbeats. A monitor that misses heartbeats probes the process and then spreads
+a suspicion. The suspect process receives it from any member and refutes it; if
+it doesn't in time, all members declare it dead. Updates are piggybacked on
+every message for some gossip rounds. Remaining differences show by a digest in
+each message, and the parts that differ are then requested (anti-entropy). So
+neither the size of a message nor the cost of handling it grows with the fleet.
+
+There is no consensus: views of two members may differ for a while, and users of
+this module must tolerate that.
 """
 
 import dataclasses
@@ -25,33 +25,33 @@
 from cowsliprill.decisions import member_records as records_lib
 from cowsliprill.decisions import member_table
 from cowsliprill.decisions import table_comparison
-from cowsliprill.decisions import watchers as watchers_lib
+from cowsliprill.decisions import watchers as monitors_lib
 
-BEAT_S = 1.0
+HEARTBEAT_S = 1.0
 
 # Time between two calls of `tick`.
 TICK_S = 0.5
 
-# A process may be the only one to read the registry if it hears nobody for
-# so long: of the several messages a second that it gets, all are missing.
-_UNHEARD_S = 1.5
+# Without a message for this long, a process may be the only one that can read
+# the registry: it normally receives several messages a second.
+_CONTACT_TIMEOUT_S = 1.5
 
-_Sends = list[records_lib.Outgoing]
+_Messages = list[records_lib.Outgoing]
 _ALIVE = records_lib.Standing.ALIVE
 
 
 class Membership:
-    """One process's view of the others.
+    """One process's view of the cluster.
 
     Args:
-      own: Its own record.
-      seeds: Addresses to greet while they aren't known as members.
-      rng: Random numbers.
+      own: The process's own record.
+      seeds: Addresses to contact while they aren't known as members.
+      rng: Random number generator.
 
     Attributes:
-      seeds: Addresses to greet while they aren't known as members.
-      newest_heard: Newest registry change that any member said it knows, for
-        each prefix.
+      seeds: Addresses to contact while they aren't known as members.
+      newest_heard: Highest registry revision that any member reported, one for
+        each key prefix.
     """
 
     def __init__(
@@ -62,107 +62,120 @@
     ) -> None:
         self.seeds = tuple(seeds)
         self._table = member_table.MemberTable(own)
-        self._gossip = gossip_lib.GossipUpdates(watchers_lib.WATCHERS)
+        self._gossip = gossip_lib.GossipUpdates(
+            monitors_lib.MONITORS_PER_MEMBER
+        )
         self._random = rng
-        self._newest: tuple[int, ...] = ()
-        self._newest_told: tuple[int, ...] = ()
+        self._newest_revisions: tuple[int, ...] = ()
+        self._newest_revisions_sent: tuple[int, ...] = ()
         self.newest_heard: tuple[int, ...] = ()
-        self._watchers = watchers_lib.Watchers(self._table, rng)
-        self._beat_at = -math.inf
+        self._monitors = monitors_lib.Monitors(self._table, rng)
+        self._last_heartbeat_at = -math.inf
         self._detector = detector_lib.FailureDetector(
             self._table, self._gossip, rng, TICK_S
         )
-        self._comparison = table_comparison.TableComparison()
+        self._anti_entropy = table_comparison.AntiEntropy()
 
-    # What is known.
+    # Queries.
 
     @property
     def own(self) -> records_lib.Record:
-        """Its own record."""
+        """The process's own record."""
         return self._table.own
 
     @property
     def revision(self) -> tuple[int, bool]:
-        """Differs from what it was after each change of the live members."""
-        return (self._table.revision, self._detector.alone)
+        """A value that changes whenever the live members change."""
+        return (self._table.revision, self._detector.isolated)
 
     @property
     def digest(self) -> int:
-        """Digest of what is known of members; the same where all agree."""
+        """Digest of the member table; equal on all members that agree."""
         return self._table.digest()
 
     def alive(self) -> list[records_lib.Record]:
-        """Returns the records of the live members, without its own."""
+        """Returns the records of the live members, without the own one."""
         return [member.record for member in self._alive()]
 
     def known(self) -> int:
-        """Counts the members ever met in the last lifetimes, itself included.
+        """Returns the number of members ever seen, this process included.
 
-        What is shared out by a count of members must not grow because some
-        can't be heard: they may be alive and use their part.
+        Dead members count: shares that are divided by the number of members
+        must not grow because some are unreachable, since these may be alive
+        and still use their shares.
         """
         return len(self._table.members_by_id) + 1
 
     def heard_part(self) -> float:
-        """Returns the part of the members ever met that are held for alive."""
+        """Returns the fraction of all members ever seen that are alive."""
         return (len(self._alive()) + 1) / self.known()
 
     def changing(self) -> frozenset[tuple[str, str]]:
-        """Returns the engines that live members have ordered to change."""
+        """Returns role changes that live members have ordered from engines."""
         records = (self.own, *self.alive())
         return frozenset(pair for record in records for pair in record.changing)
 
     def ahead(self, prefix: int, newest: int) -> list[records_lib.Record]:
-        """Returns the live members that said they know newer registry changes.
+        """Returns the live members that reported newer registry changes.
 
         Args:
-          prefix: Index of the prefix.
-          newest: Revision of the newest change known here.
+          prefix: Index of the key prefix.
+          newest: Revision of the newest change known to this process.
         """
         return [
             member.record
             for member in self._alive()
-            if member.newest[prefix : prefix + 1] > (newest,)
+            if member.newest_revisions[prefix : prefix + 1] > (newest,)
         ]
 
     def hears_somebody(self, now: float) -> bool:
-        """Returns whether any member was heard just now."""
-        return self._detector.heard_within(_UNHEARD_S, now)
+        """Returns whether a message of any member arrived recently.
+
+        Args:
+          now: Current time in seconds.
+        """
+        return self._detector.received_within(_CONTACT_TIMEOUT_S, now)
 
     def electorate(self) -> leadership.Electorate:
-        """Returns whom this process knows, for the choice of a leader."""
+        """Returns the membership as the leader selection needs it."""
         members = self._table.members_by_id
-        met = {member.record.address for member in members.values()}
-        met.add(self.own.address)
+        known_addresses = {member.record.address for member in members.values()}
+        known_addresses.add(self.own.address)
         return leadership.Electorate(
             own=self.own.id,
-            known=frozenset((self.own.id, *members)),
-            heard=len(self._alive()) + 1,
-            unmet=len(set(self.seeds) - met),
-            patience_s=self.patience_s(),
+            known_ids=frozenset((self.own.id, *members)),
+            alive_count=len(self._alive()) + 1,
+            undiscovered_seeds=len(set(self.seeds) - known_addresses),
+            failure_timeout_s=self.failure_timeout_s(),
         )
 
     @staticmethod
-    def patience_s() -> float:
-        """Returns how long a silent member may be held for alive."""
-        return detector_lib.ALONE_AFTER_S + 2 * TICK_S
+    def failure_timeout_s() -> float:
+        """Returns how long a silent member may count as alive, in seconds."""
+        return detector_lib.ISOLATED_AFTER_S + 2 * TICK_S
 
     def _alive(self) -> list[member_table.Member]:
-        # Who hears nobody at all is cut off from all. The table stays as it
-        # is: told to the others later, so many deaths would be believed.
-        return [] if self._detector.alone else self._table.alive()
+        # An isolated process is itself cut off, so it reports nobody as alive
+        # but keeps the table. If it declared all members dead, others would
+        # accept these updates once it is connected again.
+        return [] if self._detector.isolated else self._table.alive()
 
-    # What this process says of itself.
+    # Changes of this process's own state.
 
     def tell_newest(self, newest: tuple[int, ...]) -> None:
-        """Has the messages say which registry changes are known here."""
-        self._newest = newest
+        """Sets the registry revisions to report in messages.
+
+        Args:
+          newest: Newest revision known to this process, one for each key
+            prefix.
+        """
+        self._newest_revisions = newest
 
     def tell(self, **changes: object) -> None:
-        """Has the messages say something else of this process.
+        """Changes the own record; the change is spread by gossip.
 
         Args:
-          **changes: Fields of its record.
+          **changes: New values by field of the record.
         """
         changed = dataclasses.replace(self.own, **changes)
         if changed == self.own:
@@ -173,102 +186,112 @@
 
     # Time and messages.
 
-    def tick(self, now: float) -> _Sends:
-        """Lets time pass; to be called every `TICK_S`.
+    def tick(self, now: float) -> _Messages:
+        """Advances timeouts; must be called every `TICK_S`.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
           Messages to send.
         """
-        self._detector.look(now)
-        sends = [*self._ask_silent(now), *self._compare(now)]
-        beat_s = BEAT_S if self._watchers.ids else TICK_S
-        if now - self._beat_at >= beat_s - TICK_S / 2:
-            self._beat_at = now
-            sends += self._beat()
-        return sends
+        self._detector.check(now)
+        messages = [*self._probe_silent(now), *self._synchronize(now)]
+        interval_s = HEARTBEAT_S if self._monitors.ids else TICK_S
+        if now - self._last_heartbeat_at >= interval_s - TICK_S / 2:
+            self._last_heartbeat_at = now
+            messages += self._heartbeat()
+        return messages
 
     def is_urgent(self) -> bool:
-        """Returns whether there is something that nobody was told yet."""
-        return self._gossip.fresh() or self._newest != self._newest_told
+        """Returns whether there is an update that was never sent."""
+        return (
+            self._gossip.has_unsent()
+            or self._newest_revisions != self._newest_revisions_sent
+        )
 
-    def flush(self) -> _Sends:
-        """Tells the watchers at once what is new.
+    def flush(self) -> _Messages:
+        """Sends new updates to the monitors without waiting for a heartbeat.
 
-        Members that hear of it one after the other, beat by beat, act by
+        If updates spread at the pace of heartbeats, members would act on
         different views meanwhile.
 
         Returns:
           Messages to send.
         """
-        self._newest_told = self._newest
-        return [*self._pass_on(self._gossip.next_round(self.known()))]
+        self._newest_revisions_sent = self._newest_revisions
+        return [*self._gossip_round(self._gossip.next_round(self.known()))]
 
-    def receive(self, message: records_lib.Message, now: float) -> _Sends:
-        """Takes a message of a peer.
+    def receive(self, message: records_lib.Message, now: float) -> _Messages:
+        """Handles a message of a member.
 
         Args:
           message: The message.
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
           Messages to send at once.
         """
         sender = message.sender
         if sender.id == self.own.id:
-            # A seed's address may be this process's own, or one of its earlier
-            # life.
-            self._defend(records_lib.News(record=sender))
+            # A seed address may be this process's own, and a message may come
+            # from an earlier incarnation of it.
+            self._refute(records_lib.News(record=sender))
             return []
-        self._detector.hear(now)
-        self._take(records_lib.News(record=sender), now)
-        self._hear(message, now)
-        defended = [self._take(news, now) for news in message.news]
-        self._comparison.note(message, self.digest, now)
-        sends = [*self._answers(message)]
-        wanted = message.ping or any(defended) or self._knows_more(message)
-        if wanted or self._misjudged(sender):
-            sends.append(self._reply(sender))
-        return sends
-
-    # What others say.
-
-    def _take(self, news: records_lib.News, now: float) -> bool:
-        """Takes news; returns whether it was wrong of this process itself."""
-        if news.record.id == self.own.id:
-            return self._defend(news)
-        if self._table.take(news, now):
-            self._gossip.add(news.record.id)
-            if news.standing is _ALIVE:
-                member = self._table.members_by_id[news.record.id]
-                member.watched = False
+        self._detector.record_received(now)
+        self._apply_update(records_lib.News(record=sender), now)
+        self._record_sender(message, now)
+        refuted = [self._apply_update(update, now) for update in message.news]
+        self._anti_entropy.compare(message, self.digest, now)
+        messages = [*self._sync_replies(message)]
+        reply_wanted = (
+            message.ping or any(refuted) or self._knows_more_members(message)
+        )
+        if reply_wanted or self._considered_failed(sender):
+            messages.append(self._reply(sender))
+        return messages
+
+    # Handling of updates.
+
+    def _apply_update(self, update: records_lib.News, now: float) -> bool:
+        """Applies an update; returns whether it was wrong about this process.
+
+        Args:
+          update: The update.
+          now: Current time in seconds.
+        """
+        if update.record.id == self.own.id:
+            return self._refute(update)
+        if self._table.apply(update, now):
+            self._gossip.add(update.record.id)
+            if update.standing is _ALIVE:
+                member = self._table.members_by_id[update.record.id]
+                member.monitored = False
         return False
 
-    def _defend(self, news: records_lib.News) -> bool:
+    def _refute(self, update: records_lib.News) -> bool:
         own = self.own
-        if news.rank() <= (*own.age(), _ALIVE):
-            if news.standing is not _ALIVE:
-                # It was said before that this process lives, but not heard:
-                # those it was said to may be out of reach.
+        if update.precedence() <= (*own.version_key(), _ALIVE):
+            if update.standing is not _ALIVE:
+                # It was refuted before, but the refutation didn't arrive: its
+                # receivers may be unreachable.
                 self._gossip.add(own.id)
-            return news.standing is not _ALIVE
-        if news.record.incarnation > own.incarnation:
-            # The time of day may have been set back since the last start.
-            # Peers would then take all that this process says for old news.
-            incarnation = news.record.incarnation + 1
+            return update.standing is not _ALIVE
+        if update.record.incarnation > own.incarnation:
+            # The wall clock may have been set back since the last start. The
+            # others would then ignore this process's updates as outdated.
+            incarnation = update.record.incarnation + 1
             self._set_own(dataclasses.replace(own, incarnation=incarnation))
         else:
-            version = news.record.version + 1
+            version = update.record.version + 1
             self._set_own(dataclasses.replace(own, version=version))
         return True
 
-    def _hear(self, message: records_lib.Message, now: float) -> None:
+    def _record_sender(self, message: records_lib.Message, now: float) -> None:
         member = self._table.members_by_id[message.sender.id]
-        member.heard_at = now
-        member.newest = message.newest
-        member.watched = message.watched
+        member.last_received_at = now
+        member.newest_revisions = message.newest
+        member.monitored = message.watched
         self.newest_heard = tuple(
             max(pair)
             for pair in itertools.zip_longest(
@@ -276,117 +299,128 @@
             )
         )
 
-    def _misjudged(self, sender: records_lib.Record) -> bool:
-        # It lives, and must say so itself: only then do all the others
-        # believe it again.
+    def _considered_failed(self, sender: records_lib.Record) -> bool:
+        # The sender is alive but suspect or dead here. Only its own
+        # refutation makes all the other members accept that it is alive.
         member = self._table.members_by_id[sender.id]
-        return member.standing is not _ALIVE
+        return member.status is not _ALIVE
 
-    def _knows_more(self, message: records_lib.Message) -> bool:
-        # Members that few know yet hear from few; without an answer they
-        # would be the last to learn of the others.
+    def _knows_more_members(self, message: records_lib.Message) -> bool:
+        # A member that few others know receives few messages. Without a reply
+        # it would be the last one to learn of the others.
         return message.known < self.known()
 
     def _set_own(self, record: records_lib.Record) -> None:
         self._table.own = record
         self._gossip.add(record.id)
 
-    # What is sent.
+    # Outgoing messages.
 
-    def _ask_silent(self, now: float) -> Iterator[records_lib.Outgoing]:
-        for member in self._detector.to_ask(now):
-            yield self._outgoing(member.record, (member.news,), ping=True)
+    def _probe_silent(self, now: float) -> Iterator[records_lib.Outgoing]:
+        for member in self._detector.members_to_probe(now):
+            yield self._outgoing(member.record, (member.update,), ping=True)
 
-    def _beat(self) -> Iterator[records_lib.Outgoing]:
-        released = self._watchers.turn()
+    def _heartbeat(self) -> Iterator[records_lib.Outgoing]:
+        released = self._monitors.rotate()
         chosen = self._gossip.next_round(self.known())
-        news = self._news_of(chosen)
-        yield from self._pass_on(chosen)
+        updates = self._updates_of(chosen)
+        yield from self._gossip_round(chosen)
         for member in released:
-            yield self._outgoing(member.record, news)
-        yield from self._greetings(news)
+            yield self._outgoing(member.record, updates)
+        yield from self._contact_dead_and_seeds(updates)
 
-    def _greetings(
-        self, news: tuple[records_lib.News, ...]
+    def _contact_dead_and_seeds(
+        self, updates: tuple[records_lib.News, ...]
     ) -> Iterator[records_lib.Outgoing]:
-        # The dead are greeted now and then as well: after a partition both
-        # sides hold the other for dead, and nobody else would bring them
-        # together again.
+        # A dead member is contacted at each heartbeat as well. After a network
+        # partition each side considers the other dead, and nothing else would
+        # rejoin them.
         dead = self._table.dead()
         if dead:
             member = self._random.choice(dead)
-            yield self._outgoing(member.record, (member.news, *news))
-        if len(self._watchers.ids) >= watchers_lib.WATCHERS:
+            yield self._outgoing(member.record, (member.update, *updates))
+        if len(self._monitors.ids) >= monitors_lib.MONITORS_PER_MEMBER:
             return
-        met = {
-            self._table.members_by_id[name].record.address
-            for name in self._watchers.ids
+        monitor_addresses = {
+            self._table.members_by_id[member_id].record.address
+            for member_id in self._monitors.ids
         }
-        met.add(self.own.address)
+        monitor_addresses.add(self.own.address)
         for address in self.seeds:
-            if address not in met:
+            if address not in monitor_addresses:
                 yield records_lib.Outgoing(
-                    address, self._message(news, digests=self._asked())
+                    address,
+                    self._message(updates, digests=self._join_digests()),
                 )
 
-    def _asked(self) -> tuple[int, ...]:
-        # Who knows nobody yet asks the seed for all; later only differences
-        # are asked for, at their time.
-        return () if self._watchers.ids else tuple(self._table.digests)
+    def _join_digests(self) -> tuple[int, ...]:
+        # A process that knows nobody yet requests the whole table from a seed.
+        # Later on, anti-entropy decides when to request differences.
+        return () if self._monitors.ids else tuple(self._table.digests)
 
-    def _compare(self, now: float) -> Iterator[records_lib.Outgoing]:
-        peer = self._comparison.next_peer(now)
+    def _synchronize(self, now: float) -> Iterator[records_lib.Outgoing]:
+        peer = self._anti_entropy.next_peer(now)
         member = self._table.members_by_id.get(peer)
         if member is not None:
             yield self._outgoing(
                 member.record, (), digests=tuple(self._table.digests)
             )
 
-    def _answers(
+    def _sync_replies(
         self, message: records_lib.Message
     ) -> Iterator[records_lib.Outgoing]:
         if not message.digests:
             return
-        news = self._table.differing(message.digests)
-        for start in range(0, len(news), gossip_lib.NEWS_MAX):
-            part = tuple(news[start : start + gossip_lib.NEWS_MAX])
-            yield self._outgoing(message.sender, part)
+        updates = self._table.differing(message.digests)
+        for start in range(0, len(updates), gossip_lib.MESSAGE_UPDATES_MAX):
+            chunk = tuple(
+                updates[start : start + gossip_lib.MESSAGE_UPDATES_MAX]
+            )
+            yield self._outgoing(message.sender, chunk)
 
     def _reply(self, sender: records_lib.Record) -> records_lib.Outgoing:
         member = self._table.members_by_id[sender.id]
-        return self._outgoing(sender, (member.news,))
+        return self._outgoing(sender, (member.update,))
 
-    def _pass_on(self, chosen: list[str]) -> Iterator[records_lib.Outgoing]:
-        receivers = [*self._watchers.ids]
+    def _gossip_round(
+        self, chosen: list[str]
+    ) -> Iterator[records_lib.Outgoing]:
+        receivers = [*self._monitors.ids]
         if self.own.id in chosen:
-            receivers += self._watchers.draw_others()
-        news = self._news_of(chosen)
-        for name in receivers:
-            record = self._table.members_by_id[name].record
-            yield self._outgoing(record, news)
+            receivers += self._monitors.sample_others()
+        updates = self._updates_of(chosen)
+        for member_id in receivers:
+            record = self._table.members_by_id[member_id].record
+            yield self._outgoing(record, updates)
 
     def _outgoing(
         self,
         receiver: records_lib.Record,
-        news: tuple[records_lib.News, ...],
+        updates: tuple[records_lib.News, ...],
         **fields: object,
     ) -> records_lib.Outgoing:
-        watched = receiver.id in self._watchers.ids
-        message = self._message(news, watched=watched, **fields)
+        is_monitor = receiver.id in self._monitors.ids
+        message = self._message(updates, watched=is_monitor, **fields)
         return records_lib.Outgoing(receiver.address, message)
 
     def _message(
-        self, news: tuple[records_lib.News, ...], **fields: object
+        self, updates: tuple[records_lib.News, ...], **fields: object
     ) -> records_lib.Message:
         return records_lib.Message(
             sender=self.own,
-            newest=self._newest,
+            newest=self._newest_revisions,
             digest=self.digest,
             known=self.known(),
-            news=news,
+            news=updates,
             **fields,
         )
 
-    def _news_of(self, names: list[str]) -> tuple[records_lib.News, ...]:
+    def _updates_of(
+        self, member_ids: list[str]
+    ) -> tuple[records_lib.News, ...]:
         members = self._table.members_by_id
-        return tuple(members[name].news for name in names if name in members)
+        return tuple(
+            members[member_id].update
+            for member_id in member_ids
+            if member_id in members
+        )
--- a/src/cowsliprill/decisions/news.py
+++ b/src/cowsliprill/decisions/news.py
@@ -1,9 +1,9 @@
-"""News of leaving endpoints that the VM list doesn't show yet.
+"""Notices of leaving endpoints, spread by gossip ahead of the VM list.
 
-An endpoint that gives a draining answer is leaving, long before the platform's
-list says so. The VM that hears it tells the others. Each item expires by
-itself, so that an endpoint which comes back is used again and nobody has to
-take an item back.
+An endpoint that answers a call with a draining response is leaving, long before
+the platform's VM list shows it. The VM that receives the response notifies the
+others. Each notice has a TTL, so that an endpoint that comes back is used again
+without anybody having to revoke the notice.
 """
 
 import dataclasses
@@ -15,23 +15,24 @@
 
 MAX_TTL_S = 120.0
 
-# An item's id is remembered for this long after its end, so that a VM which
-# was paused and then passes the item on doesn't bring it back to life.
-_REMEMBERED_S = 2 * MAX_TTL_S
+# Ids of expired notices are kept for this time, so that a VM that was paused
+# and then sends an old notice can't reactivate it.
+_EXPIRED_KEPT_S = 2 * MAX_TTL_S
 
-# Peers told of what the platform tells everyone.
-_FROM_PLATFORM = 2
+# Fanout of changes that were read from the platform, where others read them
+# too.
+_PLATFORM_CHANGE_FANOUT = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LeavingItem:
-    """One report that an endpoint is leaving.
+    """A notice that an endpoint is leaving.
 
     Attributes:
-      endpoint_id: The endpoint.
-      origin: The VM that heard it.
-      number: Number of the item at its origin; larger ones are later.
-      ttl_s: Seconds it still holds.
+      endpoint_id: Id of the endpoint.
+      origin: Id of the VM that created the notice.
+      number: Sequence number at the origin; later notices have higher numbers.
+      ttl_s: Remaining time to live in seconds.
     """
 
     endpoint_id: str
@@ -41,41 +42,43 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Held:
+class _StoredNotice:
     item: LeavingItem
     expires_at: float
 
 
 class LeavingNews:
-    """The items that one VM knows.
+    """The notices known to one VM.
 
     Args:
       vm: Id of this VM.
-      first_number: Number of its first own item; must be above those of its
-        earlier lives, for example milliseconds since the epoch.
+      first_number: Base of the sequence numbers of this VM's notices; must be
+        above the numbers used in earlier incarnations, for example
+        milliseconds since the epoch.
     """
 
     def __init__(self, vm: str, first_number: int) -> None:
         self._vm = vm
         self._number = first_number
-        self._held_by_id: dict[tuple[str, str, int], _Held] = {}
+        self._notices_by_id: dict[tuple[str, str, int], _StoredNotice] = {}
 
     def report(
         self, endpoint_id: str, ttl_s: float, now: float
     ) -> LeavingItem | None:
-        """Takes a local process's report.
+        """Creates a notice from a report of a local process.
 
         Args:
-          endpoint_id: The endpoint that gave a draining answer.
-          ttl_s: How long the news shall hold, seconds.
-          now: Time, seconds.
+          endpoint_id: Id of the endpoint that gave a draining response.
+          ttl_s: Requested time to live in seconds.
+          now: Current time in seconds.
 
         Returns:
-          A new item to pass on, or None if a known one holds for at least half
-          as long: each refused call would otherwise make a message.
+          A new notice to send to peers, or None if a known one is valid for at
+          least half of the requested time: otherwise each refused call would
+          cause a message.
         """
         ttl_s = min(max(ttl_s, 0.0), MAX_TTL_S)
-        if self._longest(endpoint_id, now) >= ttl_s / 2:
+        if self._remaining_s(endpoint_id, now) >= ttl_s / 2:
             return None
         self._number += 1
         item = LeavingItem(
@@ -87,80 +90,93 @@
         return item if self.hear(item, now) else None
 
     def hear(self, item: LeavingItem, now: float) -> bool:
-        """Takes an item from a peer.
+        """Stores a notice of a peer.
 
-        An item known already is not taken again. Its remaining time would be
-        counted from a later moment each time that two VMs exchange it, and it
-        would never end.
+        A notice that is known already is ignored. Otherwise each exchange
+        between two VMs would start its TTL anew, and it would never expire.
 
         Args:
-          item: The item.
-          now: Time, seconds.
+          item: The notice.
+          now: Current time in seconds.
 
         Returns:
-          Whether it is new, and so to be passed on.
+          Whether the notice is new, and must be sent to further peers.
         """
-        self._forget(now)
-        item_id = (item.endpoint_id, item.origin, item.number)
-        if item_id in self._held_by_id or not item.ttl_s > 0:
+        self._evict(now)
+        notice_id = (item.endpoint_id, item.origin, item.number)
+        if notice_id in self._notices_by_id or not item.ttl_s > 0:
             return False
         ttl_s = min(item.ttl_s, MAX_TTL_S)
-        self._held_by_id[item_id] = _Held(item, now + ttl_s)
+        self._notices_by_id[notice_id] = _StoredNotice(item, now + ttl_s)
         return True
 
     def leaving(self, now: float) -> frozenset[str]:
-        """Returns the ids of endpoints that are leaving by the news."""
+        """Returns the ids of endpoints with a notice that hasn't expired.
+
+        Args:
+          now: Current time in seconds.
+        """
         return frozenset(
-            held.item.endpoint_id
-            for held in self._held_by_id.values()
-            if held.expires_at > now
+            notice.item.endpoint_id
+            for notice in self._notices_by_id.values()
+            if notice.expires_at > now
         )
 
     def items(self, now: float) -> list[LeavingItem]:
-        """Returns the items that hold, with the time that remains."""
+        """Returns the notices that haven't expired, with the remaining TTL.
+
+        Args:
+          now: Current time in seconds.
+        """
         return [
-            dataclasses.replace(held.item, ttl_s=held.expires_at - now)
-            for held in self._held_by_id.values()
-            if held.expires_at > now
+            dataclasses.replace(notice.item, ttl_s=notice.expires_at - now)
+            for notice in self._notices_by_id.values()
+            if notice.expires_at > now
         ]
 
     def next_expiry(self, now: float) -> float:
-        """Returns when `leaving` changes by itself; infinity if never."""
-        ends = [held.expires_at for held in self._held_by_id.values()]
-        return min((end for end in ends if end > now), default=math.inf)
+        """Returns the time of the next expiry in seconds, infinity for none.
+
+        Args:
+          now: Current time in seconds.
+        """
+        expiries = [
+            notice.expires_at for notice in self._notices_by_id.values()
+        ]
+        return min(
+            (expires_at for expires_at in expiries if expires_at > now),
+            default=math.inf,
+        )
 
-    def _longest(self, endpoint_id: str, now: float) -> float:
+    def _remaining_s(self, endpoint_id: str, now: float) -> float:
         return max(
             (
-                held.expires_at - now
-                for held in self._held_by_id.values()
-                if held.item.endpoint_id == endpoint_id
+                notice.expires_at - now
+                for notice in self._notices_by_id.values()
+                if notice.item.endpoint_id == endpoint_id
             ),
             default=-math.inf,
         )
 
-    def _forget(self, now: float) -> None:
-        self._held_by_id = {
-            item_id: held
-            for item_id, held in self._held_by_id.items()
-            if held.expires_at + _REMEMBERED_S > now
+    def _evict(self, now: float) -> None:
+        self._notices_by_id = {
+            notice_id: notice
+            for notice_id, notice in self._notices_by_id.items()
+            if notice.expires_at + _EXPIRED_KEPT_S > now
         }
 
 
 def leaving_by_list(
     endpoints: Iterable[model.Endpoint], vms_by_id: dict[str, model.Vm]
 ) -> frozenset[str]:
-    """Finds the endpoints whose VM the list marks as leaving.
+    """Returns the ids of endpoints whose VM is leaving by the VM list.
 
-    A VM that the list lacks is not taken as leaving: the list lags for new
-    ones too.
+    A VM that is missing from the list doesn't count as leaving, since the list
+    lags behind for new VMs too.
 
     Args:
       endpoints: All endpoints.
       vms_by_id: The VM list.
-
-    Returns:
-      Their ids.
     """
     return frozenset(
         endpoint.id
@@ -171,25 +187,34 @@
 
 
 def fan_out(peers: int, *, from_platform: bool = False) -> int:
-    """Returns how many peers to tell so that news reaches nearly all.
+    """Returns the gossip fanout: the number of peers to send an update to.
 
-    With ln(n) + 1 messages from each VM that hears something new, a rumor
-    reaches nearly all of n VMs in a few rounds; the regular exchange brings it
-    to the rest. What came from the platform most others have read there too,
-    so a VM tells only a few; one of these that lacked it tells on as above.
+    If each VM that receives a new update sends it to ln(n) + 1 others, the
+    update reaches nearly all of n VMs in a few rounds; the periodic exchange
+    brings it to the rest. Most VMs read a change of the platform there
+    themselves, so a VM that did sends it to few peers only; a peer that lacked
+    it uses the full fanout.
 
     Args:
       peers: Number of other VMs.
-      from_platform: Whether this VM read it from the platform itself.
+      from_platform: Whether this VM read the change from the platform itself.
     """
     if from_platform:
-        return min(peers, _FROM_PLATFORM)
+        return min(peers, _PLATFORM_CHANGE_FANOUT)
     return min(peers, math.ceil(math.log(peers + 1)) + 1) if peers else 0
 
 
 def choose_peers(
     peers: Iterable[str], count: int, random_source: random.Random
 ) -> list[str]:
-    """Draws peers to tell; sorted first, so that a seed gives one result."""
+    """Draws peers at random.
+
+    The peers are sorted first, so that the result depends on the seed alone.
+
+    Args:
+      peers: Peers to draw from.
+      count: Number of peers to draw; all if there are fewer.
+      random_source: Random number generator.
+    """
     ordered = sorted(peers)
     return random_source.sample(ordered, min(count, len(ordered)))
--- a/src/cowsliprill/decisions/readers.py
+++ b/src/cowsliprill/decisions/readers.py
@@ -1,10 +1,10 @@
-"""Which VMs read the registry's store for the others.
+"""Selection of the designated readers of the registry's store.
 
-Pure. The store's price goes by calls, and a store that each VM of a large
-fleet watches wakes them all at each change. So a few VMs a zone watch it, and
-the others get what is new from whoever tells that it knows it. Any reader of
-any zone will do for that; a zone has its own so that the loss of others is no
-loss to it.
+Does no I/O. Calls to the store are billed, and a store that every VM of a large
+fleet watches has to notify all of them of each change. So a few designated
+readers in each availability zone watch it, and the other VMs fetch changes from
+any member that reports newer ones, in whatever zone. Each zone has readers of
+its own so that it doesn't depend on other zones being up.
 """
 
 from collections.abc import Iterable
@@ -12,12 +12,12 @@
 from cowsliprill.decisions import member_records
 from cowsliprill.decisions import ownership
 
-# One may be lost or cut off from the store, and the zone still has one.
+# Two, so that one may fail or lose its connection to the store.
 READERS_A_ZONE = 2
 
-# Readers that can't reach the store are stood in for by the next ones. A store
-# that is down is out of reach of all; so many try, and the rest needn't.
-_TRYING_MAX = 4 * READERS_A_ZONE
+# Readers that can't reach the store are backed up by the next VMs in order. If
+# the store is down, nobody reaches it; this bounds the VMs that keep trying.
+_CANDIDATES_MAX = 4 * READERS_A_ZONE
 
 _KEY = "registry"
 
@@ -25,11 +25,11 @@
 def reads(
     own: member_records.Record, others: Iterable[member_records.Record]
 ) -> bool:
-    """Returns whether a VM is to read the store.
+    """Returns whether a VM is a designated reader of the store.
 
     Args:
-      own: Its record.
-      others: Those of the other live VMs.
+      own: The VM's record.
+      others: Records of the other live VMs.
     """
     return own in of_zone(own, others)
 
@@ -37,30 +37,30 @@
 def of_zone(
     own: member_records.Record, others: Iterable[member_records.Record]
 ) -> list[member_records.Record]:
-    """Returns the VMs of a VM's zone that are to read the store.
+    """Returns the designated readers in a VM's availability zone.
 
     Args:
       own: The VM's record.
-      others: Those of the other live VMs.
+      others: Records of the other live VMs.
     """
     zone = [
         record
         for record in (own, *others)
         if record.availability_zone == own.availability_zone
     ]
-    strongest = max(record.cores for record in zone)
+    max_cores = max(record.cores for record in zone)
 
     def rank(record: member_records.Record) -> tuple[bool, bool, int, str]:
-        # A reader answers all others of its zone, so strong VMs come first.
-        weak = ownership.is_weak(record.cores, strongest)
+        # A reader serves all other VMs of its zone, so powerful VMs come first.
+        weak = ownership.is_weak(record.cores, max_cores)
         score = ownership.score(record.id, _KEY)
         return (record.leaving, weak, -score, record.id)
 
-    found: list[member_records.Record] = []
-    sighted = 0
-    for record in sorted(zone, key=rank)[:_TRYING_MAX]:
-        found.append(record)
-        sighted += not record.blind
-        if sighted == READERS_A_ZONE:
+    selected: list[member_records.Record] = []
+    connected = 0
+    for record in sorted(zone, key=rank)[:_CANDIDATES_MAX]:
+        selected.append(record)
+        connected += not record.blind
+        if connected == READERS_A_ZONE:
             break
-    return found
+    return selected
--- a/src/cowsliprill/decisions/registry.py
+++ b/src/cowsliprill/decisions/registry.py
@@ -1,9 +1,10 @@
-"""What is known of a registry's entries: never an older state after a newer.
+"""Local view of a registry's entries that never replaces a newer state.
 
-Pure. A registry is a store of keys that this system only reads. News of a key
-come from listings, from watches and from peers, in any order and more than
-once; the revision of each tells which is newest. Removals are remembered, so
-that old news from a peer can't bring an entry back.
+Does no I/O. A registry is a key-value store that this system only reads.
+Changes of a key arrive from listings, watches and peers, in any order and
+repeatedly; the revision of each change decides which is newest. Removals are
+kept as tombstones so that an outdated update from a peer can't restore a
+removed entry.
 """
 
 import collections
@@ -11,19 +12,19 @@
 import math
 from collections.abc import Iterable
 
-# Removals that are remembered. Beyond that, peers that ask for news since an
-# earlier revision get a whole listing.
-_REMOVALS_MAX = 2_000
+# Peers that ask for changes since a revision whose tombstones were evicted get
+# a complete listing instead.
+_TOMBSTONES_MAX = 2_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Entry:
-    """One entry as it was written.
+    """An entry as it was written.
 
     Attributes:
-      key: Its key.
-      value: Its bytes.
-      revision: Revision of its last change.
+      key: The entry's key.
+      value: The entry's content.
+      revision: Revision of the entry's last change.
     """
 
     key: str
@@ -36,7 +37,7 @@
     """The removal of an entry.
 
     Attributes:
-      key: Its key.
+      key: The entry's key.
       revision: Revision of the removal.
     """
 
@@ -49,16 +50,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class News:
-    """What one process tells another.
+    """Changes that one process sends to another.
 
     Attributes:
-      changes: Entries and removals after the revision asked for.
-      position: Revision up to which the teller has read.
-      whole: Whether keys that aren't named don't exist up to `position`.
-      trouble_left_s: For how long removals may be lapses yet, the store being
-        away or just back, seconds.
-      age_s: How long ago the teller's view was known to be whole; infinity if
-        it never was.
+      changes: Entries and removals after the requested revision.
+      position: Revision up to which the sender's view is complete.
+      whole: Whether `changes` is a complete listing, so that other keys don't
+        exist as of `position`.
+      trouble_left_s: Remaining time in seconds in which removals may be due to
+        an outage of the store, which is unreachable or has just come back.
+      age_s: Time in seconds since the sender's view was last confirmed as
+        complete; infinity if it never was.
     """
 
     changes: tuple[Change, ...]
@@ -69,17 +71,17 @@
 
 
 class View:
-    """The entries below one prefix.
+    """The entries below one key prefix, as one process knows them.
 
     Args:
-      prefix: Start of the keys.
+      prefix: Key prefix.
 
     Attributes:
       entries_by_key: The entries.
-      position: Revision up to which all is known; watches go on from here.
-      newest: Revision of the newest change that is known.
-      confirmed_at: When the store was last known to hold nothing newer,
-        seconds.
+      position: Revision up to which the view is complete; watches start here.
+      newest: Revision of the newest change known.
+      confirmed_at: Time in seconds at which the store was last known to have
+        nothing newer.
     """
 
     def __init__(self, prefix: str) -> None:
@@ -88,6 +90,7 @@
         self.position = 0
         self.newest = 0
         self.confirmed_at = -math.inf
+        # All removals after this revision are in `_removals_by_key`.
         self._unbroken_since = 0
         self._removals_by_key: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
@@ -96,32 +99,33 @@
     def take_listing(
         self, entries: Iterable[Entry], as_of: int
     ) -> list[Change]:
-        """Takes a whole listing.
+        """Applies a complete listing.
 
-        Pages of a listing are read one after the other. `as_of` must be the
-        revision of the first, since later ones may show later states; what
-        changed in between comes once more by the watch.
+        Pages of a listing are read one after the other, so later pages may show
+        later states. `as_of` must be the revision of the first page; changes
+        made while the pages were read arrive again through the watch.
 
         Args:
-          entries: All entries, of all pages.
-          as_of: The store's revision at the first page.
+          entries: Entries of all pages.
+          as_of: Revision of the store at the first page.
 
         Returns:
-          What is new.
+          The changes that were new.
         """
         listed = [*entries]
         present = {entry.key for entry in listed}
-        gone = [
+        removed = [
             Removal(key=key, revision=as_of)
             for key, entry in self.entries_by_key.items()
             if key not in present and entry.revision <= as_of
         ]
-        # The newest listing alone says what there is; an older one comes after
-        # what was read since.
+        # A listing as new as the view decides on its own which keys exist. An
+        # older one must not restore keys that the view knows to be absent.
         settled = 0 if as_of >= self.position else self.position
-        changes = self._apply([*listed, *gone], settled)
+        changes = self._apply([*listed, *removed], settled)
         if as_of > self.position:
-            # What came and went since the last reading isn't known.
+            # Keys that were written and removed between the view's position
+            # and the listing left no tombstone here.
             self._unbroken_since = as_of
             self.position = as_of
         return changes
@@ -129,38 +133,38 @@
     def take_watched(
         self, changes: Iterable[Change], as_of: int
     ) -> list[Change]:
-        """Takes what a watch from `position` on returned.
+        """Applies the result of a watch that started at `position`.
 
         Args:
           changes: Entries and removals, in the store's order.
-          as_of: Revision from which the next watch goes on.
+          as_of: Revision from which the next watch starts.
 
         Returns:
-          What is new.
+          The changes that were new.
         """
         new = self._apply(changes, self.position)
         self.position = max(self.position, as_of)
         return new
 
     def take_news(self, news: News) -> list[Change]:
-        """Takes news of a peer.
+        """Applies an update from a peer.
 
-        They must have been asked for since `position`, or before: then all is
-        known up to where the peer has read.
+        The update must have been requested since `position` or an earlier
+        revision, so that the view is then complete up to the peer's position.
 
         Args:
-          news: What the peer knows.
+          news: The peer's update.
 
         Returns:
-          What is new.
+          The changes that were new.
         """
         changes = [*news.changes]
         if news.whole:
-            named = {change.key for change in changes}
+            listed_keys = {change.key for change in changes}
             changes += [
                 Removal(key=key, revision=news.position)
                 for key, entry in self.entries_by_key.items()
-                if key not in named and entry.revision <= news.position
+                if key not in listed_keys and entry.revision <= news.position
             ]
         new = self._apply(changes, self.position)
         if news.position > self.position:
@@ -170,11 +174,19 @@
         return new
 
     def confirm(self, as_of: float) -> None:
-        """Notes that the store held nothing newer at a time, seconds."""
+        """Records that the store had nothing newer than this view.
+
+        Args:
+          as_of: Time in seconds at which that was true.
+        """
         self.confirmed_at = max(self.confirmed_at, as_of)
 
     def news_since(self, revision: int) -> News:
-        """Returns what a peer that has read up to a revision lacks."""
+        """Returns the update for a peer whose view ends at a revision.
+
+        Args:
+          revision: Revision up to which the peer's view is complete.
+        """
         if revision < self._unbroken_since:
             entries = tuple(self.entries_by_key.values())
             return News(changes=entries, position=self.position, whole=True)
@@ -196,10 +208,11 @@
     def _take(self, change: Change, settled: int) -> bool:
         if not change.key.startswith(self.prefix):
             return False
-        # A key that was gone before this process read anything left no
-        # removal to remember. A peer that still names it would bring it back
-        # for good: no watch tells of its removal any more, and requests would
-        # go to an engine that has left. What was read says that it isn't there.
+        # A key removed before this process first read the store has no
+        # tombstone. A peer that still has the key would restore it for good,
+        # since no watch reports that removal again, and requests would go to
+        # an engine that has left. So unknown keys count as absent as of the
+        # revision `settled`.
         if change.revision <= self._known_revision(change.key, settled):
             return False
         self.newest = max(self.newest, change.revision)
@@ -210,7 +223,7 @@
                 return True
             case Removal():
                 known = self.entries_by_key.pop(change.key, None)
-                self._remember(change)
+                self._add_tombstone(change)
                 return known is not None
 
     def _known_revision(self, key: str, settled: int = 0) -> int:
@@ -219,9 +232,9 @@
             return entry.revision
         return self._removals_by_key.get(key, settled)
 
-    def _remember(self, removal: Removal) -> None:
+    def _add_tombstone(self, removal: Removal) -> None:
         self._removals_by_key[removal.key] = removal.revision
         self._removals_by_key.move_to_end(removal.key)
-        while len(self._removals_by_key) > _REMOVALS_MAX:
+        while len(self._removals_by_key) > _TOMBSTONES_MAX:
             _, revision = self._removals_by_key.popitem(last=False)
             self._unbroken_since = max(self._unbroken_since, revision)
--- a/src/cowsliprill/decisions/revision.py
+++ b/src/cowsliprill/decisions/revision.py
@@ -1,30 +1,31 @@
-"""Which revision of the settings is in force: the rules of acceptance.
-
-A version is a revision number with the hash of its index. Versions have a
-total order, and what is in force only moves up in it, so the revision never
-falls and all who have seen the same valid versions agree on the highest,
-whatever order they saw them in.
-
-Two operators who publish the same number at once give two versions of one
-revision. The greater hash wins everywhere. This is arbitrary, but the same on
-both sides of a partition without anyone to ask; it is reported as a conflict,
-and an operator has to publish the next number with what was meant.
+"""Ordering of settings versions, and which one is in force.
+
+A version is a revision number with the hash of the revision's index. Versions
+are totally ordered, and the version in force only increases. So the revision
+never decreases, and all processes that have seen the same valid versions agree
+on the highest one, in whatever order they received them.
+
+Two operators who publish the same number concurrently create two versions of
+one revision. The greater hash wins everywhere: an arbitrary choice, but one
+that both sides of a network partition make without coordination. The conflict
+is reported, and an operator has to publish the intended content under the next
+number.
 """
 
 import collections
 import dataclasses
 import enum
 
-_REFUSED_KEPT = 64
+_REFUSED_VERSIONS_MAX = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """One published state of the settings.
+    """A published version of the settings.
 
     Attributes:
-      revision: Its number; 0 stands for none.
-      index: Hash of its index.
+      revision: Revision number; 0 stands for no settings.
+      index: Hash of the revision's index.
     """
 
     revision: int = 0
@@ -32,7 +33,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What is to be done about an offered version."""
+    """Result of comparing an offered version with the one in force."""
 
     NEWER = "newer"
     IN_FORCE = "in_force"
@@ -41,7 +42,7 @@
 
 
 class Keeper:
-    """Keeps the version in force and which ones were refused."""
+    """Tracks the version in force and recently refused versions."""
 
     def __init__(self) -> None:
         self._in_force = Version()
@@ -58,10 +59,10 @@
         """Compares an offered version with the one in force.
 
         Args:
-          offered: The version, from the platform or a peer.
+          offered: A version offered by the platform or a peer.
 
         Returns:
-          What it is; only for NEWER need its content be read.
+          The verdict; the version's content must be read only for NEWER.
         """
         if offered == self._in_force:
             return Verdict.IN_FORCE
@@ -72,22 +73,26 @@
         return Verdict.NEWER
 
     def conflicts(self, offered: Version) -> bool:
-        """Returns whether a version shares only its number with ours."""
+        """Returns whether a version has the number in force, but another hash.
+
+        Args:
+          offered: A version offered by the platform or a peer.
+        """
         same_revision = offered.revision == self._in_force.revision
         return same_revision and offered.index != self._in_force.index
 
     def accept(self, version: Version) -> bool:
         """Puts a version in force whose content was found valid.
 
-        The order is checked here once more: between the judgement and this
-        call the content was read, and a process that was paused meanwhile, or
-        read slowly, would otherwise put an old revision over a newer one.
+        The order is checked again here. The content was read after `judge` was
+        called, and a process that was paused or slow meanwhile would otherwise
+        replace a newer version by an older one.
 
         Args:
           version: The version.
 
         Returns:
-          Whether it is in force now and was not before.
+          Whether the version in force has changed.
         """
         if version <= self._in_force:
             return False
@@ -95,17 +100,17 @@
         return True
 
     def refuse(self, version: Version, reason: str) -> None:
-        """Remembers a version whose content was found invalid.
+        """Records that a version's content was found invalid.
 
         Args:
-          version: The version. Its content is fixed by the hash, so it needs
-            no second look.
-          reason: Why, for the operator.
+          version: The version. Its hash determines the content, so the content
+            doesn't have to be validated again.
+          reason: Reason to show to the operator.
         """
         self._refused[version] = reason
-        if len(self._refused) > _REFUSED_KEPT:
+        if len(self._refused) > _REFUSED_VERSIONS_MAX:
             self._refused.popitem(last=False)
 
     def refused(self) -> dict[Version, str]:
-        """Returns the versions refused lately and why."""
+        """Returns the recently refused versions with the reasons."""
         return dict(self._refused)
--- a/src/cowsliprill/decisions/table_comparison.py
+++ b/src/cowsliprill/decisions/table_comparison.py
@@ -1,55 +1,61 @@
-"""When a process asks a peer for what the two know otherwise of members.
+"""Anti-entropy: picks the peer to synchronize the member table with, and when.
 
-Pure. Most differences are on their way in messages; only one that stays is
-asked about, and of several peers the one that knows the most members: while a
-fleet starts, that brings all of them within a few questions.
+Does no I/O. Most differences between tables are resolved by gossip in flight,
+so only a lasting digest mismatch starts a synchronization. Of several peers
+that differ, the one that knows the most members is picked: while a fleet
+starts, a few synchronizations are then enough to learn of all members.
 """
 
 import math
 
 from cowsliprill.decisions import member_records as records_lib
 
-# What is known may differ for so long before a peer is asked, and questions
-# are apart by at least the second.
-_DIFFERS_S = 0.2
-_APART_S = 0.4
+# How long digests must differ before a synchronization, and the minimum time
+# between two synchronizations.
+_MISMATCH_MIN_S = 0.2
+_SYNC_INTERVAL_MIN_S = 0.4
 
 
-class TableComparison:
-    """Remembers which peers differ, and when one was asked."""
+class AntiEntropy:
+    """Tracks digest mismatches with peers and the last synchronization."""
 
     def __init__(self) -> None:
-        self._since = math.inf
+        self._mismatch_since = math.inf
         self._peer = ""
-        self._peer_knows = 0
-        self._asked_at = -math.inf
+        self._peer_member_count = 0
+        self._last_sync_at = -math.inf
 
-    def note(
+    def compare(
         self, message: records_lib.Message, digest: int, now: float
     ) -> None:
-        """Takes a peer's message.
+        """Compares the digest in a peer's message with the own one.
 
         Args:
-          message: The message.
-          digest: Digest of what is known here, with the message's news.
-          now: Time, seconds.
+          message: The peer's message.
+          digest: Digest of the own member table, after the message's updates
+            were applied.
+          now: Current time in seconds.
         """
         if message.digest == digest:
-            self._since = math.inf
-            self._peer_knows = 0
+            self._mismatch_since = math.inf
+            self._peer_member_count = 0
             return
-        if message.known >= self._peer_knows:
+        if message.known >= self._peer_member_count:
             self._peer = message.sender.id
-            self._peer_knows = message.known
-        self._since = min(self._since, now)
+            self._peer_member_count = message.known
+        self._mismatch_since = min(self._mismatch_since, now)
 
     def next_peer(self, now: float) -> str:
-        """Returns the id of the peer to ask now, empty for none."""
-        if now - self._since < _DIFFERS_S:
+        """Returns the id of the peer to synchronize with now, empty for none.
+
+        Args:
+          now: Current time in seconds.
+        """
+        if now - self._mismatch_since < _MISMATCH_MIN_S:
             return ""
-        if now - self._asked_at < _APART_S:
+        if now - self._last_sync_at < _SYNC_INTERVAL_MIN_S:
             return ""
-        self._asked_at = now
-        self._since = math.inf
-        self._peer_knows = 0
+        self._last_sync_at = now
+        self._mismatch_since = math.inf
+        self._peer_member_count = 0
         return self._peer
--- a/src/cowsliprill/decisions/watchers.py
+++ b/src/cowsliprill/decisions/watchers.py
@@ -1,22 +1,25 @@
-"""Which members watch this process. Pure."""
+"""Selection of the members that monitor this process's heartbeats.
+
+Does no I/O.
+"""
 
 import random
 
 from cowsliprill.decisions import member_table
 
-# Members that watch one process. Up to seven processes all watch each other.
-WATCHERS = 6
+# With up to seven members, all of them monitor each other.
+MONITORS_PER_MEMBER = 6
 
 
-class Watchers:
-    """The members that are to miss this process's heartbeats.
+class Monitors:
+    """The members that this process asks to monitor its heartbeats.
 
     Args:
-      table: The members.
-      rng: Random numbers.
+      table: The member table.
+      rng: Random number generator.
 
     Attributes:
-      ids: Their ids.
+      ids: Ids of the monitoring members.
     """
 
     def __init__(
@@ -26,34 +29,40 @@
         self._table = table
         self._random = rng
 
-    def turn(self) -> list[member_table.Member]:
-        """Draws the next watchers; returns one that is so no longer.
+    def rotate(self) -> list[member_table.Member]:
+        """Draws new monitors and returns the members released from the task.
 
-        One changes at each beat. While a fleet starts all know the seeds
-        first, which would otherwise watch everyone for good.
+        One monitor is replaced at each heartbeat. While a fleet starts, all
+        processes know the seeds first; without rotation the seeds would
+        monitor everyone permanently.
         """
         alive_by_id = {
             member.record.id: member for member in self._table.alive()
         }
-        ids = [name for name in self.ids if name in alive_by_id]
+        ids = [member_id for member_id in self.ids if member_id in alive_by_id]
         released = []
-        others = [name for name in alive_by_id if name not in ids]
-        if len(ids) >= WATCHERS and others:
+        others = [
+            member_id for member_id in alive_by_id if member_id not in ids
+        ]
+        if len(ids) >= MONITORS_PER_MEMBER and others:
             released.append(alive_by_id[ids.pop(0)])
-        missing = min(WATCHERS - len(ids), len(others))
+        missing = min(MONITORS_PER_MEMBER - len(ids), len(others))
         ids += self._random.sample(others, missing)
         self.ids = ids
         return released
 
-    def draw_others(self) -> list[str]:
-        """Draws some that don't watch this process.
+    def sample_others(self) -> list[str]:
+        """Draws ids of members that don't monitor this process.
 
-        What it says of itself has nobody else to say it. If it can't reach
-        those who watch it, all would hold it for dead.
+        Updates about this process originate here alone. If they went only to
+        its monitors and it couldn't reach these, all members would consider it
+        dead.
         """
         others = [
             member.record.id
             for member in self._table.alive()
             if member.record.id not in self.ids
         ]
-        return self._random.sample(others, min(WATCHERS, len(others)))
+        return self._random.sample(
+            others, min(MONITORS_PER_MEMBER, len(others))
+        )
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -15,18 +15,18 @@
 _LOOKS_A_SECOND = 4
 
 
-def _electorate(own, known, heard, unmet=0):
+def _electorate(own, known_ids, alive_count, undiscovered_seeds=0):
     return leadership.Electorate(
         own=own,
-        known=frozenset(known),
-        heard=heard,
-        unmet=unmet,
-        patience_s=_PATIENCE_S,
+        known_ids=frozenset(known_ids),
+        alive_count=alive_count,
+        undiscovered_seeds=undiscovered_seeds,
+        failure_timeout_s=_PATIENCE_S,
     )
 
 
-def _first(known):
-    return _electorate("a", known, 1).first(_POOL)
+def _first(known_ids):
+    return _electorate("a", known_ids, 1).first(_POOL)
 
 
 class TestLeadership:
@@ -82,7 +82,7 @@
         watch = leadership.Leadership()
         for step in range(100):
             now = step / _LOOKS_A_SECOND
-            watch.look(_electorate("a", "a", 1, unmet=2), now)
+            watch.look(_electorate("a", "a", 1, undiscovered_seeds=2), now)
             assert not watch.leads(_POOL, now)
 
     def test_after_a_pause_the_wait_begins_anew(self):
@@ -94,11 +94,11 @@
         watch = leadership.Leadership()
         for step in range(60):
             watch.look(_electorate(leader, "abc", 3), step / _LOOKS_A_SECOND)
-        woken = 15.0 + leadership.STOOD_STILL_S
+        woken = 15.0 + leadership.OBSERVATION_GAP_MAX_S
         assert not watch.leads(_POOL, woken)
         watch.look(_electorate(leader, "abc", 3), woken)
         assert not watch.leads(_POOL, woken)
-        assert not watch.leads(_POOL, woken + leadership.STOOD_STILL_S)
+        assert not watch.leads(_POOL, woken + leadership.OBSERVATION_GAP_MAX_S)
 
 
 class TestFencingTokens:
@@ -220,7 +220,7 @@
 
     def test_without_hearing_most_two_would(self, monkeypatch):
         monkeypatch.setattr(
-            leadership.Electorate, "hears_most", lambda self: True
+            leadership.Electorate, "has_majority", lambda self: True
         )
         assert any(
             _conflicts(_times_led(starts, cuts, "abc"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -170,7 +170,7 @@
         limit_s = _AGREED_S_BY_COUNT[count]
         assert net.seconds_until_agreed(10.0) <= limit_s
         largest = max(item.largest for item in net.by_address.values())
-        assert largest <= gossip.NEWS_MAX + 1
+        assert largest <= gossip.MESSAGE_UPDATES_MAX + 1
 
 
 @pytest.mark.parametrize("count", [10, 195])
@@ -197,7 +197,7 @@
         net.run(10.0)
         after = sum(item.sent for item in net.by_address.values())
         each_a_second = (after - before) / count / 10.0
-        assert each_a_second <= watchers.WATCHERS + 2
+        assert each_a_second <= watchers.MONITORS_PER_MEMBER + 2
         message = net.members(0).flush()[0].message
         assert each_a_second * _size_of(message) <= _BYTES_A_SECOND
 
