--- a/src/cowsliprill/decisions/leadership.py
+++ b/src/cowsliprill/decisions/leadership.py
@@ -139,11 +139,11 @@
         self._tie_breaker = ownership.score(own, "") % _TIE_BREAKERS
         self._last_ms = 0
 
-    def next(self, time_of_day_ms: int) -> int:
+    def next(self, wall_clock_ms: int) -> int:
         """Returns the token of the next order.
 
         Args:
-          time_of_day_ms: Wall clock time in milliseconds since the epoch.
+          wall_clock_ms: Wall clock time in milliseconds since the epoch.
         """
-        self._last_ms = max(time_of_day_ms, self._last_ms + 1)
+        self._last_ms = max(wall_clock_ms, self._last_ms + 1)
         return self._last_ms * _TIE_BREAKERS + self._tie_breaker
--- a/src/cowsliprill/decisions/membership.py
+++ b/src/cowsliprill/decisions/membership.py
@@ -115,17 +115,17 @@
         records = (self.own, *self.alive())
         return frozenset(pair for record in records for pair in record.changing)
 
-    def ahead(self, prefix: int, newest: int) -> list[records_lib.Record]:
+    def ahead(self, prefix: int, revision: int) -> list[records_lib.Record]:
         """Returns the live members that reported newer registry changes.
 
         Args:
           prefix: Index of the key prefix.
-          newest: Revision of the newest change known to this process.
+          revision: Revision of the newest change known to this process.
         """
         return [
             member.record
             for member in self._alive()
-            if member.newest_revisions[prefix : prefix + 1] > (newest,)
+            if member.newest_revisions[prefix : prefix + 1] > (revision,)
         ]
 
     def hears_somebody(self, now: float) -> bool:
@@ -162,14 +162,14 @@
 
     # Changes of this process's own state.
 
-    def tell_newest(self, newest: tuple[int, ...]) -> None:
+    def tell_newest(self, revisions: tuple[int, ...]) -> None:
         """Sets the registry revisions to report in messages.
 
         Args:
-          newest: Newest revision known to this process, one for each key
+          revisions: Newest revision known to this process, one for each key
             prefix.
         """
-        self._newest_revisions = newest
+        self._newest_revisions = revisions
 
     def tell(self, **changes: object) -> None:
         """Changes the own record; the change is spread by gossip.
--- a/tests/member_net.py
+++ b/tests/member_net.py
@@ -1,4 +1,4 @@
-"""Memberships that exchange messages in virtual time, with faults."""
+"""Simulated network of memberships in virtual time, with fault injection."""
 
 import dataclasses
 import heapq
@@ -11,14 +11,19 @@
 
 _LATENCY_S = (0.001, 0.004)
 
-# How long after a change the agent tells it; see `membership.agent`.
+# Delay from a change to its flush; see `membership.agent`.
 FLUSH_S = 0.1
 
 _PORT = 7000
 
 
 def record(number: int, **fields) -> member_records.Record:
-    """Returns the record that a member starts with."""
+    """Returns the initial record of a member.
+
+    Args:
+      number: Number of the member.
+      **fields: Fields with other values than by default.
+    """
     return member_records.Record(
         **{
             "id": f"vm-{number}",
@@ -34,15 +39,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """One process.
+    """A simulated process.
 
     Attributes:
-      members: Its view.
-      up: Whether it runs.
-      frozen_until: When it goes on; what arrives meanwhile waits.
-      flush_due: Whether it is to tell news soon.
-      sent: Messages that it sent.
-      largest: Most news in one message of it.
+      members: The process's membership.
+      up: Whether the process runs.
+      frozen_until: End of a pause in seconds; messages that arrive during the
+        pause are delivered then.
+      flush_due: Whether a flush is scheduled.
+      sent: Number of messages sent.
+      largest: Largest number of updates in one sent message.
     """
 
     members: membership.Membership
@@ -54,13 +60,13 @@
 
 
 class Net:
-    """Processes that start within a moment and know some seeds.
+    """Processes that start at nearly the same time and know some seeds.
 
     Args:
-      count: How many there are.
-      start_s: Time within which they start.
-      seeds: Numbers of the members that all are told of.
-      loss: Part of the messages that are lost.
+      count: Number of processes.
+      start_s: Time span in seconds within which all of them start.
+      seeds: Numbers of the members that all processes have as seeds.
+      loss: Fraction of messages that are lost.
     """
 
     def __init__(
@@ -75,7 +81,7 @@
         self.cut: set[tuple[str, str]] = set()
         self.sides: dict[str, int] = {}
         self._random = random.Random(count)
-        self._count = itertools.count()
+        self._event_numbers = itertools.count()
         self._events: list = []
         self.seeds = [record(number).address for number in seeds]
         self.by_address: dict[member_records.Address, Process] = {}
@@ -83,56 +89,67 @@
             self.start(number, self._random.uniform(0, start_s))
 
     def start(self, number: int, after_s: float = 0.0, **fields) -> None:
-        """Starts a member, at an address that may have been used before."""
+        """Starts a member, at an address that may have been used before.
+
+        Args:
+          number: Number of the member.
+          after_s: Delay of the start in seconds.
+          **fields: Fields of the member's record.
+        """
         own = record(number, **fields)
         members = membership.Membership(
             own, self.seeds, random.Random(number + own.incarnation)
         )
         process = Process(members)
-        self._at(self.now + after_s, self._begin, own.address, process)
+        self._schedule(
+            self.now + after_s, self._start_process, own.address, process
+        )
 
     def stop(self, *numbers: int) -> None:
-        """Ends members without a word."""
+        """Stops members without notice to the others."""
         for number in numbers:
             self.by_address[record(number).address].up = False
 
     def freeze(self, number: int, for_s: float) -> None:
-        """Has a member stand still and go on."""
+        """Pauses a member for a number of seconds."""
         process = self.by_address[record(number).address]
         process.frozen_until = self.now + for_s
 
     def split(self, numbers: Iterable[int]) -> None:
-        """Cuts some members off from the rest."""
+        """Partitions the network between some members and the rest."""
         self.sides = {record(number).host: 1 for number in numbers}
 
     def heal(self) -> None:
-        """Ends all cuts."""
+        """Ends the partition and all cut links."""
         self.sides = {}
         self.cut = set()
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the virtual time by a number of seconds."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            self.now, _, act, args = heapq.heappop(self._events)
-            act(*args)
+            self.now, _, action, args = heapq.heappop(self._events)
+            action(*args)
         self.now = until
 
     def running(self) -> list[membership.Membership]:
-        """Returns the views of the processes that run."""
+        """Returns the memberships of the running processes."""
         return [item.members for item in self.by_address.values() if item.up]
 
     def members(self, number: int) -> membership.Membership:
-        """Returns a member's view."""
+        """Returns a member's membership."""
         return self.by_address[record(number).address].members
 
     def view(self, number: int) -> set[str]:
-        """Returns whom a member holds for alive, itself included."""
+        """Returns ids of the members that a member considers alive.
+
+        The member itself is included.
+        """
         members = self.members(number)
         return {item.id for item in members.alive()} | {members.own.id}
 
     def agree(self) -> bool:
-        """Returns whether all who run know exactly those who run."""
+        """Returns whether all running processes see just the running ones."""
         views = [
             {item.id for item in members.alive()} | {members.own.id}
             for members in self.running()
@@ -141,42 +158,53 @@
         return all(view == present for view in views)
 
     def seconds_until_agreed(self, limit_s: float) -> float:
-        """Lets time pass until all agree; returns how long that took."""
-        began = self.now
-        while not self.agree() and self.now - began < limit_s:
+        """Advances the time until all agree.
+
+        Args:
+          limit_s: Maximum time to advance in seconds.
+
+        Returns:
+          The time that it took in seconds.
+        """
+        started_at = self.now
+        while not self.agree() and self.now - started_at < limit_s:
             self.run(0.25)
-        return self.now - began
+        return self.now - started_at
 
-    def _at(self, when: float, act, *args) -> None:
-        heapq.heappush(self._events, (when, next(self._count), act, args))
+    def _schedule(self, when: float, action, *args) -> None:
+        heapq.heappush(
+            self._events, (when, next(self._event_numbers), action, args)
+        )
 
-    def _begin(self, address: member_records.Address, process: Process) -> None:
-        before = self.by_address.get(address)
-        if before is not None:
-            before.up = False
+    def _start_process(
+        self, address: member_records.Address, process: Process
+    ) -> None:
+        previous = self.by_address.get(address)
+        if previous is not None:
+            previous.up = False
         self.by_address[address] = process
         self._tick(process)
 
     def _tick(self, process: Process) -> None:
         if not process.up:
             return
-        self._at(
+        self._schedule(
             max(self.now + membership.TICK_S, process.frozen_until),
             self._tick,
             process,
         )
-        self._after(process, process.members.tick(self.now))
+        self._send_and_schedule_flush(process, process.members.tick(self.now))
 
     def _flush(self, process: Process) -> None:
         process.flush_due = False
         if process.up:
             self._send(process, process.members.flush())
 
-    def _after(self, process: Process, sends) -> None:
+    def _send_and_schedule_flush(self, process: Process, sends) -> None:
         self._send(process, sends)
         if process.members.is_urgent() and not process.flush_due:
             process.flush_due = True
-            self._at(
+            self._schedule(
                 max(self.now + FLUSH_S, process.frozen_until),
                 self._flush,
                 process,
@@ -188,25 +216,29 @@
             message = outgoing.message
             process.sent += 1
             process.largest = max(process.largest, len(message.news))
-            if self._lost(host, outgoing.address[0]):
+            if self._is_lost(host, outgoing.address[0]):
                 continue
             delay_s = self._random.uniform(*_LATENCY_S)
-            self._at(
-                self.now + delay_s, self._arrive, outgoing.address, message
+            self._schedule(
+                self.now + delay_s, self._deliver, outgoing.address, message
             )
 
-    def _lost(self, sender: str, receiver: str) -> bool:
+    def _is_lost(self, sender: str, receiver: str) -> bool:
         return (
             (sender, receiver) in self.cut
             or self.sides.get(sender, 0) != self.sides.get(receiver, 0)
             or self._random.random() < self.loss
         )
 
-    def _arrive(self, address, message) -> None:
+    def _deliver(self, address, message) -> None:
         process = self.by_address.get(address)
         if process is None or not process.up:
             return
         if process.frozen_until > self.now:
-            self._at(process.frozen_until, self._arrive, address, message)
+            self._schedule(
+                process.frozen_until, self._deliver, address, message
+            )
             return
-        self._after(process, process.members.receive(message, self.now))
+        self._send_and_schedule_flush(
+            process, process.members.receive(message, self.now)
+        )
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who alone may order a pool's engines."""
+"""Tests of the selection of the VM that may send orders to engines."""
 
 import itertools
 import random
@@ -11,8 +11,8 @@
 
 _POOL = "writers"
 _LEASE_S = 3.0
-_PATIENCE_S = 3.5
-_LOOKS_A_SECOND = 4
+_FAILURE_TIMEOUT_S = 3.5
+_OBSERVATIONS_PER_SECOND = 4
 
 
 def _electorate(own, known_ids, alive_count, undiscovered_seeds=0):
@@ -21,100 +21,107 @@
         known_ids=frozenset(known_ids),
         alive_count=alive_count,
         undiscovered_seeds=undiscovered_seeds,
-        failure_timeout_s=_PATIENCE_S,
+        failure_timeout_s=_FAILURE_TIMEOUT_S,
     )
 
 
-def _first(known_ids):
+def _leader_of(known_ids):
     return _electorate("a", known_ids, 1).first(_POOL)
 
 
 class TestLeadership:
-    """One process's own judgement."""
+    """Decisions of a single process."""
 
-    def test_one_vm_leads_once_it_has_heard_of_nobody_new_for_long(self):
-        leader = _first("abc")
-        watch = leadership.Leadership()
+    def test_the_leader_starts_after_the_stabilization_period(self):
+        leader = _leader_of("abc")
+        process_leadership = leadership.Leadership()
         led_at = []
         for step in range(60):
-            now = step / _LOOKS_A_SECOND
-            watch.look(_electorate(leader, "abc", 3), now)
-            if watch.leads(_POOL, now):
+            now = step / _OBSERVATIONS_PER_SECOND
+            process_leadership.look(_electorate(leader, "abc", 3), now)
+            if process_leadership.leads(_POOL, now):
                 led_at.append(now)
         assert led_at[0] == _electorate("a", "abc", 3).calm_s()
-        assert led_at[-1] == 59 / _LOOKS_A_SECOND
+        assert led_at[-1] == 59 / _OBSERVATIONS_PER_SECOND
 
     def test_the_others_never_lead(self):
-        for own in {*"abc"} - {_first("abc")}:
-            watch = leadership.Leadership()
+        for own in {*"abc"} - {_leader_of("abc")}:
+            process_leadership = leadership.Leadership()
             for step in range(60):
-                now = step / _LOOKS_A_SECOND
-                watch.look(_electorate(own, "abc", 3), now)
-                assert not watch.leads(_POOL, now)
+                now = step / _OBSERVATIONS_PER_SECOND
+                process_leadership.look(_electorate(own, "abc", 3), now)
+                assert not process_leadership.leads(_POOL, now)
 
     def test_nobody_takes_over_from_a_silent_leader(self):
-        """A leader is cut off from its peers but not from the engines.
+        """Guards against engines that get orders from two VMs.
 
-        It goes on until it has missed their heartbeats. If another VM led
-        meanwhile, engines would get orders of two.
+        A leader is cut off from its peers but not from the engines. It goes on
+        until heartbeats of the peers time out, so no other VM may take over.
         """
-        second = next(vm for vm in "abc" if vm != _first("abc"))
-        watch = leadership.Leadership()
+        second = next(vm for vm in "abc" if vm != _leader_of("abc"))
+        process_leadership = leadership.Leadership()
         for step in range(400):
-            now = step / _LOOKS_A_SECOND
-            watch.look(_electorate(second, "abc", 2), now)
-            assert not watch.leads(_POOL, now)
+            now = step / _OBSERVATIONS_PER_SECOND
+            process_leadership.look(_electorate(second, "abc", 2), now)
+            assert not process_leadership.leads(_POOL, now)
 
-    def test_a_vm_that_hears_half_of_the_others_does_not_lead(self):
-        leader = _first("abcd")
-        watch = leadership.Leadership()
+    def test_a_leader_without_a_majority_sends_no_orders(self):
+        leader = _leader_of("abcd")
+        process_leadership = leadership.Leadership()
         for step in range(100):
-            now = step / _LOOKS_A_SECOND
-            watch.look(_electorate(leader, "abcd", 2), now)
-            assert not watch.leads(_POOL, now)
+            now = step / _OBSERVATIONS_PER_SECOND
+            process_leadership.look(_electorate(leader, "abcd", 2), now)
+            assert not process_leadership.leads(_POOL, now)
 
-    def test_seeds_that_nobody_was_met_at_count_as_silent_vms(self):
-        """A VM starts while it is cut off from all others.
+    def test_undiscovered_seeds_count_as_unreachable_vms(self):
+        """Guards against a second leader that starts while it is cut off.
 
-        It knows itself alone, so it hears all whom it knows. Its seeds tell
-        that there are others, one of whom leads.
+        The VM knows only itself, so all VMs that it knows are alive. Its seeds
+        show that there are others, one of which may be the leader.
         """
-        watch = leadership.Leadership()
+        process_leadership = leadership.Leadership()
         for step in range(100):
-            now = step / _LOOKS_A_SECOND
-            watch.look(_electorate("a", "a", 1, undiscovered_seeds=2), now)
-            assert not watch.leads(_POOL, now)
+            now = step / _OBSERVATIONS_PER_SECOND
+            process_leadership.look(
+                _electorate("a", "a", 1, undiscovered_seeds=2), now
+            )
+            assert not process_leadership.leads(_POOL, now)
 
-    def test_after_a_pause_the_wait_begins_anew(self):
-        """The leader's process stands still for some seconds and goes on.
+    def test_a_pause_restarts_the_stabilization_period(self):
+        """Guards against a paused leader that goes on with outdated knowledge.
 
-        What it knows is as old as that; a VM that came meanwhile may lead.
+        The leader's process is paused for some seconds. A VM that started
+        meanwhile may be the leader.
         """
-        leader = _first("abc")
-        watch = leadership.Leadership()
+        leader = _leader_of("abc")
+        process_leadership = leadership.Leadership()
         for step in range(60):
-            watch.look(_electorate(leader, "abc", 3), step / _LOOKS_A_SECOND)
-        woken = 15.0 + leadership.OBSERVATION_GAP_MAX_S
-        assert not watch.leads(_POOL, woken)
-        watch.look(_electorate(leader, "abc", 3), woken)
-        assert not watch.leads(_POOL, woken)
-        assert not watch.leads(_POOL, woken + leadership.OBSERVATION_GAP_MAX_S)
+            process_leadership.look(
+                _electorate(leader, "abc", 3), step / _OBSERVATIONS_PER_SECOND
+            )
+        resumed_at = 15.0 + leadership.OBSERVATION_GAP_MAX_S
+        assert not process_leadership.leads(_POOL, resumed_at)
+        process_leadership.look(_electorate(leader, "abc", 3), resumed_at)
+        assert not process_leadership.leads(_POOL, resumed_at)
+        assert not process_leadership.leads(
+            _POOL, resumed_at + leadership.OBSERVATION_GAP_MAX_S
+        )
 
 
 class TestFencingTokens:
-    """The numbers on orders."""
+    """Fencing tokens of orders."""
 
-    def test_numbers_rise_though_the_clock_is_set_back(self):
+    def test_tokens_increase_though_the_clock_is_set_back(self):
         tokens = leadership.FencingTokens("a")
         numbers = [tokens.next(ms) for ms in (5_000, 5_000, 100, 6_000)]
         assert numbers == sorted(set(numbers))
 
-    def test_two_vms_never_share_a_number(self):
+    def test_two_vms_never_share_a_token(self):
         vms = [f"edge-{number}" for number in range(8)]
         numbers = {leadership.FencingTokens(vm).next(7_000) for vm in vms}
         assert len(numbers) == len(vms)
 
-    def test_the_present_time_fits_into_a_json_number(self):
+    def test_tokens_are_exact_as_json_numbers(self):
         year_2100_ms = 4_102_444_800_000
         assert leadership.FencingTokens("a").next(year_2100_ms) < 2**53
 
@@ -135,13 +142,16 @@
         self.leadership = leadership.Leadership()
 
 
-def _times_led(starts, cuts, seeds):
-    """Plays three VMs and returns when which of them could have ordered.
+def _simulate(starts, cuts, seeds):
+    """Simulates three VMs.
 
     Args:
-      starts: Second of each VM's start.
-      cuts: First and last second of each pair's cut, by pair.
-      seeds: Names of the VMs that all are told of.
+      starts: Start time of each VM in seconds, by name.
+      cuts: First and last second of each cut link, by pair of names.
+      seeds: Names of the VMs that all VMs have as seeds.
+
+    Returns:
+      Pairs of a time and the VM that could have sent an order at that time.
     """
     addresses = [(name, 1) for name in seeds]
     vms_by_name = {
@@ -149,8 +159,8 @@
         for name, started in starts.items()
     }
     led = []
-    for step in range(22 * _LOOKS_A_SECOND):
-        now = step / _LOOKS_A_SECOND
+    for step in range(22 * _OBSERVATIONS_PER_SECOND):
+        now = step / _OBSERVATIONS_PER_SECOND
         running = {
             name: vm for name, vm in vms_by_name.items() if vm.started <= now
         }
@@ -170,8 +180,8 @@
     name = vm.members.own.id
     for outgoing in sends:
         target, _ = outgoing.address
-        first, last = cuts.get(frozenset((name, target)), (0, -1))
-        if target in running and not first <= now <= last:
+        cut_start, cut_end = cuts.get(frozenset((name, target)), (0, -1))
+        if target in running and not cut_start <= now <= cut_end:
             other = running[target]
             answers = other.members.receive(outgoing.message, now)
             _send(other, answers, running, cuts, now)
@@ -185,8 +195,8 @@
     ]
 
 
-def _histories():
-    """All ways in which three VMs start and each pair may be cut."""
+def _scenarios():
+    """Yields all combinations of start times and cut links of three VMs."""
     pairs = [frozenset(pair) for pair in ("ab", "bc", "ac")]
     cut_times = [(0, -1), (0, 7), (3, 14), (0, 30)]
     for starts in itertools.product((0, 2, 7.5), repeat=3):
@@ -195,34 +205,34 @@
             yield dict(zip("abc", starts, strict=True)), cuts
 
 
-class TestAllHistoriesOfThreeVms:
-    """Every start and cut of three VMs, to a stated grain, one after another.
+class TestAllScenariosOfThreeVms:
+    """Exhaustive simulation of starts and cut links, for given times.
 
-    Two VMs that lead within the lease time may give one engine orders that
-    contradict each other, and it would change to and fro.
+    Guards against two VMs that are leaders within the lease time: they may
+    send contradicting orders to one engine, which would switch back and forth.
     """
 
     @pytest.mark.parametrize("seeds", ["abc", "ab"])
     def test_two_vms_never_lead_within_the_lease_time(self, seeds):
-        led_in_some = False
-        for starts, cuts in _histories():
-            led = _times_led(starts, cuts, seeds)
-            led_in_some = led_in_some or bool(led)
+        had_leader = False
+        for starts, cuts in _scenarios():
+            led = _simulate(starts, cuts, seeds)
+            had_leader = had_leader or bool(led)
             assert not _conflicts(led), (starts, cuts)
-        assert led_in_some
+        assert had_leader
 
-    def test_without_the_wait_two_would(self, monkeypatch):
+    def test_without_the_stabilization_period_two_vms_would(self, monkeypatch):
         monkeypatch.setattr(leadership.Electorate, "calm_s", lambda self: 0.0)
         assert any(
-            _conflicts(_times_led(starts, cuts, "abc"))
-            for starts, cuts in _histories()
+            _conflicts(_simulate(starts, cuts, "abc"))
+            for starts, cuts in _scenarios()
         )
 
-    def test_without_hearing_most_two_would(self, monkeypatch):
+    def test_without_a_majority_two_vms_would(self, monkeypatch):
         monkeypatch.setattr(
             leadership.Electorate, "has_majority", lambda self: True
         )
         assert any(
-            _conflicts(_times_led(starts, cuts, "abc"))
-            for starts, cuts in _histories()
+            _conflicts(_simulate(starts, cuts, "abc"))
+            for starts, cuts in _scenarios()
         )
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.news`."""
+"""Tests of notices of leaving endpoints and their gossip."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 class TestLeavingNews:
-    """News of leaving endpoints and their end."""
+    """Storage and expiry of notices."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=100
@@ -28,96 +28,100 @@
             max_size=40,
         )
     )
-    def test_news_passed_in_circles_ends(self, hops: list) -> None:
-        """VMs tell each other the same item again and again.
+    def test_a_notice_that_circulates_expires(self, hops: list) -> None:
+        """Guards against a notice that never expires.
 
-        Each message comes late. If that made it last longer, an endpoint that
-        came back after its restart would never get work again.
+        VMs send each other the same notice repeatedly, and each message is
+        delayed. If that prolonged the notice, an endpoint that is back after a
+        restart would never get work again.
         """
-        held = [news.LeavingNews(name, 0) for name in _VMS]
-        held[0].report("d1", _TTL_S, 0.0)
+        notices_by_vm = [news.LeavingNews(name, 0) for name in _VMS]
+        notices_by_vm[0].report("d1", _TTL_S, 0.0)
         now = 0.0
-        for sender, hearer, delay_s in hops:
-            items = held[sender].items(now)
+        for sender, receiver, delay_s in hops:
+            items = notices_by_vm[sender].items(now)
             now += delay_s
             for item in items:
-                held[hearer].hear(item, now)
-        # Each VM takes an item once, so at most two hops add their delay.
+                notices_by_vm[receiver].hear(item, now)
+        # Each VM stores a notice once, so at most two hops add their delay.
         longest = max((delay for *_, delay in hops), default=0.0)
         end = max(now, _TTL_S + 2 * longest) + 0.001
-        assert not any(each.leaving(end) for each in held)
+        assert not any(each.leaving(end) for each in notices_by_vm)
 
-    def test_a_paused_vm_does_not_bring_an_item_back(self) -> None:
-        """A VM is paused with a message half sent.
+    def test_a_paused_vm_does_not_reactivate_a_notice(self) -> None:
+        """Guards against an expired notice that becomes active again.
 
-        It sends the rest after the item has ended everywhere. The endpoint must
-        not be shunned again.
+        A VM is paused while it sends a message, and finishes it after the
+        notice has expired everywhere. The endpoint must not be excluded again.
         """
-        teller = news.LeavingNews("vm0", 0)
-        hearer = news.LeavingNews("vm1", 0)
-        item = teller.report("d1", _TTL_S, 0.0)
-        assert hearer.hear(item, 0.0)
-        assert not hearer.hear(item, 100.0)
-        assert not hearer.leaving(100.0)
-
-    def test_refused_calls_make_one_item(self) -> None:
-        """Each call to a draining endpoint gives a report.
-
-        Were each passed on, a busy endpoint's end would flood the network with
-        news.
+        sender_notices = news.LeavingNews("vm0", 0)
+        receiver = news.LeavingNews("vm1", 0)
+        item = sender_notices.report("d1", _TTL_S, 0.0)
+        assert receiver.hear(item, 0.0)
+        assert not receiver.hear(item, 100.0)
+        assert not receiver.leaving(100.0)
+
+    def test_repeated_reports_create_one_notice(self) -> None:
+        """Guards against a flood of notices about one endpoint.
+
+        Each call to a draining endpoint causes a report. If each report became
+        a notice, the shutdown of a busy endpoint would flood the network.
         """
-        teller = news.LeavingNews("vm0", 0)
-        assert teller.report("d1", _TTL_S, 0.0)
-        assert teller.report("d1", _TTL_S, 1.0) is None
-        assert teller.report("d1", _TTL_S, 11.0)
-
-    def test_a_peer_can_not_make_news_last(self) -> None:
-        """A faulty peer sends an item that holds for a year."""
-        hearer = news.LeavingNews("vm1", 0)
-        hearer.hear(
+        sender_notices = news.LeavingNews("vm0", 0)
+        assert sender_notices.report("d1", _TTL_S, 0.0)
+        assert sender_notices.report("d1", _TTL_S, 1.0) is None
+        assert sender_notices.report("d1", _TTL_S, 11.0)
+
+    def test_the_ttl_of_a_peer_is_limited(self) -> None:
+        """A faulty peer sends a notice with a TTL of a year."""
+        receiver = news.LeavingNews("vm1", 0)
+        receiver.hear(
             news.LeavingItem(
                 endpoint_id="d1", origin="vm0", number=1, ttl_s=3e7
             ),
             0.0,
         )
-        assert hearer.next_expiry(0.0) == news.MAX_TTL_S
+        assert receiver.next_expiry(0.0) == news.MAX_TTL_S
 
 
 class TestFanOut:
-    """How far one piece of news gets."""
+    """Spread of one update by gossip."""
 
-    def test_news_reaches_nearly_all_of_a_large_fleet(self) -> None:
-        """One VM of 690 hears something.
+    def test_an_update_reaches_nearly_all_of_a_large_fleet(self) -> None:
+        """Guards against a fanout that is too small for a large fleet.
 
-        With too few messages most others would wait for the regular exchange,
-        and the change be late there.
+        One VM of 690 has an update. With too few messages most others would
+        receive it only at their next periodic exchange.
         """
         names = [f"vm{number}" for number in range(690)]
         random_source = random.Random(7)
-        known = {names[0]}
-        newly = set(known)
-        while newly:
-            told = set()
-            for name in sorted(newly):
+        informed = {names[0]}
+        newly_informed = set(informed)
+        while newly_informed:
+            receivers = set()
+            for name in sorted(newly_informed):
                 others = [each for each in names if each != name]
                 count = news.fan_out(len(others))
-                told |= set(news.choose_peers(others, count, random_source))
-            newly = told - known
-            known |= newly
-        assert len(known) >= 0.99 * len(names)
-
-    def test_a_vm_alone_tells_nobody(self) -> None:
+                receivers |= set(
+                    news.choose_peers(others, count, random_source)
+                )
+            newly_informed = receivers - informed
+            informed |= newly_informed
+        assert len(informed) >= 0.99 * len(names)
+
+    def test_a_single_vm_sends_to_nobody(self) -> None:
         assert news.fan_out(0) == 0
         assert news.choose_peers([], news.fan_out(0), random.Random(1)) == []
 
 
 class TestLeavingByList:
-    """What the platform's list says about endpoints."""
+    """Leaving endpoints by the platform's VM list."""
 
-    def test_only_listed_and_leaving_counts(self) -> None:
-        """A new endpoint's VM is not in the lagging list yet.
+    def test_only_vms_listed_as_leaving_count(self) -> None:
+        """Guards against a new endpoint that counts as leaving.
 
-        Taken as leaving, it would stay without work.
+        Its VM is not in the list yet, since the list lags behind. If it counted
+        as leaving, the endpoint would get no work.
         """
         endpoints = [
             model.Endpoint(
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.readers`: who reads the registry's store."""
+"""Tests of the selection of designated readers of the registry's store."""
 
 import dataclasses
 
@@ -14,7 +14,7 @@
     return [member_net.record(number, **fields) for number in range(count)]
 
 
-def _readers(fleet):
+def _selected(fleet):
     return [
         own
         for own in fleet
@@ -22,7 +22,7 @@
     ]
 
 
-def _change(fleet, ids, **fields):
+def _with_fields(fleet, ids, **fields):
     return [
         dataclasses.replace(record, **fields) if record.id in ids else record
         for record in fleet
@@ -30,42 +30,43 @@
 
 
 class TestReads:
-    """Few VMs of each zone read for the others."""
+    """Few VMs of each zone read the store on behalf of the others."""
 
     @pytest.mark.parametrize("count", [12, 195, 690])
-    def test_a_few_a_zone_whatever_the_fleet(self, count):
-        assert len(_readers(_fleet(count))) == _ZONES * readers.READERS_A_ZONE
+    def test_readers_per_zone_do_not_grow_with_the_fleet(self, count):
+        assert len(_selected(_fleet(count))) == _ZONES * readers.READERS_A_ZONE
 
-    def test_a_vm_alone_in_its_zone_reads(self):
-        assert len(_readers(_fleet(_ZONES))) == _ZONES
+    def test_the_only_vm_of_a_zone_reads(self):
+        assert len(_selected(_fleet(_ZONES))) == _ZONES
 
-    def test_others_stand_in_for_those_that_the_store_turns_away(self):
-        """The store turns a zone's readers away and serves the other VMs.
+    def test_backup_readers_take_over_from_refused_readers(self):
+        """Guards against a zone without updates while its readers are refused.
 
-        Nobody of the zone would have what is new until the store serves its
-        readers again. They go on trying themselves.
+        The store refuses the readers of each zone but serves other VMs. Backup
+        readers must take over, while the refused readers keep trying.
         """
         fleet = _fleet(195)
-        before = {own.id for own in _readers(fleet)}
-        fleet = _change(fleet, before, blind=True)
-        after = {own.id for own in _readers(fleet)}
+        before = {own.id for own in _selected(fleet)}
+        fleet = _with_fields(fleet, before, blind=True)
+        after = {own.id for own in _selected(fleet)}
         assert len(after) == 2 * len(before)
         assert after > before
 
-    def test_a_store_that_is_down_is_not_tried_by_all(self):
-        """The store is down, and each VM that tries finds it so.
+    def test_few_vms_try_a_store_that_is_down(self):
+        """Guards against a whole fleet that calls a store on its recovery.
 
-        If all tried, the store would be pressed by the whole fleet just when
-        it comes back.
+        While the store is down, every VM that tries to read it fails. If each
+        failure added a backup reader, all VMs would call the store when it
+        comes back.
         """
         fleet = _fleet(195)
         for _ in range(20):
-            ids = {own.id for own in _readers(fleet)}
-            fleet = _change(fleet, ids, blind=True)
-        assert len(_readers(fleet)) < 195 / 3
+            ids = {own.id for own in _selected(fleet)}
+            fleet = _with_fields(fleet, ids, blind=True)
+        assert len(_selected(fleet)) < 195 / 3
 
-    def test_one_that_leaves_hands_over(self):
+    def test_a_leaving_reader_is_replaced(self):
         fleet = _fleet(195)
-        before = {own.id for own in _readers(fleet)}
-        fleet = _change(fleet, before, leaving=True)
-        assert not before & {own.id for own in _readers(fleet)}
+        before = {own.id for own in _selected(fleet)}
+        fleet = _with_fields(fleet, before, leaving=True)
+        assert not before & {own.id for own in _selected(fleet)}
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.registry`: never an older state after a newer."""
+"""Tests of the registry view: newer states are never replaced by older ones."""
 
 import hypothesis
 from hypothesis import stateful
@@ -14,35 +14,36 @@
 
 
 class TestView:
-    """What one process knows of the entries below a prefix."""
+    """One process's view of the entries below a key prefix."""
 
-    def test_takes_a_listing_and_goes_on_from_its_first_page(self):
+    def test_a_listing_sets_the_position_to_its_first_page(self):
         view = registry.View("servers/")
         changes = view.take_listing([_entry("servers/a", 3)], 7)
         assert [change.key for change in changes] == ["servers/a"]
         assert view.position == 7
 
-    def test_old_news_of_a_peer_brings_nothing_back(self):
-        """A peer that was cut off still names an engine that has left.
+    def test_an_outdated_peer_update_restores_nothing(self):
+        """Guards against a removed engine that an outdated peer restores.
 
-        Requests would go to an address that another service may have now.
+        A peer that was cut off still sends the entry of an engine that has
+        left. Requests would go to an address that another service may use now.
         """
         view = registry.View("servers/")
         view.take_listing([_entry("servers/a", 3)], 3)
         view.take_watched([registry.Removal(key="servers/a", revision=5)], 5)
-        news = registry.News(changes=(_entry("servers/a", 3),), position=4)
-        assert view.take_news(news) == []
+        update = registry.News(changes=(_entry("servers/a", 3),), position=4)
+        assert view.take_news(update) == []
         assert view.entries_by_key == {}
 
-    def test_a_listing_shows_what_was_removed_unseen(self):
-        """The store forgot its history while an engine left."""
+    def test_a_listing_reveals_missed_removals(self):
+        """The store lost its history, and with it the removal of an engine."""
         view = registry.View("servers/")
         view.take_listing([_entry("servers/a", 3), _entry("servers/b", 4)], 4)
         changes = view.take_listing([_entry("servers/b", 4)], 9)
         assert changes == [registry.Removal(key="servers/a", revision=9)]
 
-    def test_a_listing_keeps_what_is_newer_than_its_first_page(self):
-        """An engine registered while the pages were read one by one."""
+    def test_a_listing_keeps_entries_newer_than_its_first_page(self):
+        """An engine registered while the pages of the listing were read."""
         view = registry.View("servers/")
         view.take_news(
             registry.News(changes=(_entry("servers/a", 8),), position=8)
@@ -50,7 +51,7 @@
         assert view.take_listing([], 7) == []
         assert "servers/a" in view.entries_by_key
 
-    def test_a_peer_that_missed_nothing_tells_differences(self):
+    def test_a_peer_with_complete_history_sends_changes_only(self):
         view = registry.View("servers/")
         view.take_listing([_entry("servers/a", 3)], 3)
         view.take_watched(
@@ -60,21 +61,23 @@
             ],
             6,
         )
-        news = view.news_since(4)
-        assert not news.whole
-        assert news.changes == (registry.Removal(key="servers/a", revision=6),)
+        update = view.news_since(4)
+        assert not update.whole
+        assert update.changes == (
+            registry.Removal(key="servers/a", revision=6),
+        )
 
-    def test_an_asker_from_before_the_first_listing_gets_all(self):
-        """The peer can't know what was removed before it began."""
+    def test_a_request_from_before_the_first_listing_gets_all_entries(self):
+        """The peer has no tombstones from before its first listing."""
         view = registry.View("servers/")
         view.take_listing([_entry("servers/a", 7)], 10)
-        asker = registry.View("servers/")
-        asker.take_listing([_entry("servers/b", 2)], 5)
-        changes = asker.take_news(view.news_since(asker.position))
+        requester = registry.View("servers/")
+        requester.take_listing([_entry("servers/b", 2)], 5)
+        changes = requester.take_news(view.news_since(requester.position))
         assert {change.key for change in changes} == {"servers/a", "servers/b"}
-        assert set(asker.entries_by_key) == {"servers/a"}
+        assert set(requester.entries_by_key) == {"servers/a"}
 
-    def test_keys_of_other_prefixes_are_passed_over(self):
+    def test_keys_of_other_prefixes_are_ignored(self):
         view = registry.View("servers/")
         assert view.take_listing([_entry("op/config", 3)], 3) == []
 
@@ -83,33 +86,33 @@
     max_examples=150, stateful_step_count=30, derandomize=True, deadline=None
 )
 class Processes(stateful.RuleBasedStateMachine):
-    """A store and two processes that hear of it in every order.
+    """A store and two processes that receive its changes in random order.
 
-    The rule: what a process holds of a key never becomes older, and a process
-    that has read everything knows exactly what the store holds.
+    Invariants: the state of a key in a process's view never becomes older, and
+    a view that is complete up to the store's revision equals the store.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.revision = 0
         self.history: list[registry.Change] = []
-        self.held: dict[str, registry.Entry] = {}
+        self.stored: dict[str, registry.Entry] = {}
         self.views = [registry.View("servers/") for _ in range(2)]
-        self.seen: list[dict[str, int]] = [{}, {}]
-        self.late: list[tuple[int, registry.News]] = []
+        self.seen_revisions: list[dict[str, int]] = [{}, {}]
+        self.in_flight: list[tuple[int, registry.News]] = []
 
     @stateful.rule(key=strategies.sampled_from(_KEYS))
     def write(self, key: str) -> None:
         self.revision += 1
         entry = _entry(key, self.revision)
-        self.held[key] = entry
+        self.stored[key] = entry
         self.history.append(entry)
 
     @stateful.rule(key=strategies.sampled_from(_KEYS))
     def remove(self, key: str) -> None:
-        if key in self.held:
+        if key in self.stored:
             self.revision += 1
-            del self.held[key]
+            del self.stored[key]
             self.history.append(
                 registry.Removal(key=key, revision=self.revision)
             )
@@ -117,8 +120,8 @@
     @stateful.rule(number=strategies.integers(0, 1))
     def list_all(self, number: int) -> None:
         view = self.views[number]
-        view.take_listing(self.held.values(), self.revision)
-        assert view.entries_by_key == self.held
+        view.take_listing(self.stored.values(), self.revision)
+        assert view.entries_by_key == self.stored
 
     @stateful.rule(
         number=strategies.integers(0, 1), count=strategies.integers(1, 4)
@@ -134,28 +137,32 @@
         view.take_watched(missed, as_of)
 
     @stateful.rule(number=strategies.integers(0, 1))
-    def ask_peer(self, number: int) -> None:
-        asker, teller = self.views[number], self.views[1 - number]
-        self.late.append((number, teller.news_since(asker.position)))
+    def request_update(self, number: int) -> None:
+        requester, responder = self.views[number], self.views[1 - number]
+        self.in_flight.append(
+            (number, responder.news_since(requester.position))
+        )
 
     @stateful.rule(index=strategies.integers(0, 9))
-    def news_arrive(self, index: int) -> None:
-        if self.late:
-            number, news = self.late[index % len(self.late)]
-            self.views[number].take_news(news)
+    def deliver_update(self, index: int) -> None:
+        if self.in_flight:
+            number, update = self.in_flight[index % len(self.in_flight)]
+            self.views[number].take_news(update)
 
     @stateful.invariant()
-    def nothing_turns_back(self) -> None:
-        for view, seen in zip(self.views, self.seen, strict=True):
+    def no_state_becomes_older(self) -> None:
+        for view, seen_revisions in zip(
+            self.views, self.seen_revisions, strict=True
+        ):
             for key, entry in view.entries_by_key.items():
-                assert entry.revision >= seen.get(key, 0)
-                seen[key] = entry.revision
+                assert entry.revision >= seen_revisions.get(key, 0)
+                seen_revisions[key] = entry.revision
 
     @stateful.invariant()
-    def whoever_has_read_all_knows_all(self) -> None:
+    def a_complete_view_equals_the_store(self) -> None:
         for view in self.views:
             if view.position == self.revision:
-                assert view.entries_by_key == self.held
+                assert view.entries_by_key == self.stored
 
 
 TestProcesses = Processes.TestCase
--- a/tests/test_revision.py
+++ b/tests/test_revision.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.revision`."""
+"""Tests of the ordering of settings versions."""
 
 import dataclasses
 
@@ -19,23 +19,29 @@
 
 @dataclasses.dataclass(slots=True)
 class _Reader:
-    """A reader that may be paused between its judgement and its acceptance."""
+    """A process that may be paused between comparing and accepting."""
 
-    keeper: revision.Keeper = dataclasses.field(default_factory=revision.Keeper)
-    judged: list[revision.Version] = dataclasses.field(default_factory=list)
+    tracker: revision.Keeper = dataclasses.field(
+        default_factory=revision.Keeper
+    )
+    pending_versions: list[revision.Version] = dataclasses.field(
+        default_factory=list
+    )
     log: list[revision.Version] = dataclasses.field(default_factory=list)
 
-    def hear(self, version: revision.Version) -> None:
-        if self.keeper.judge(version) is revision.Verdict.NEWER:
-            self.judged.append(version)
+    def receive(self, version: revision.Version) -> None:
+        if self.tracker.judge(version) is revision.Verdict.NEWER:
+            self.pending_versions.append(version)
 
-    def finish(self, place: int) -> None:
-        if not self.judged:
+    def finish(self, position: int) -> None:
+        if not self.pending_versions:
             return
-        version = self.judged.pop(place % len(self.judged))
+        version = self.pending_versions.pop(
+            position % len(self.pending_versions)
+        )
         if version in _INVALID:
-            self.keeper.refuse(version, "invalid")
-        elif self.keeper.accept(version):
+            self.tracker.refuse(version, "invalid")
+        elif self.tracker.accept(version):
             self.log.append(version)
 
 
@@ -56,33 +62,35 @@
 )
 
 
-def _play(steps: list[tuple]) -> list[_Reader]:
+def _run_steps(steps: list[tuple]) -> list[_Reader]:
     readers = [_Reader() for _ in range(_READERS)]
-    border = 0
+    partition_index = 0
     for kind, first, second in steps:
         match kind:
             case "read":
-                readers[first].hear(second)
-            case "tell" if (first < border) == (second < border):
-                readers[second].hear(readers[first].keeper.in_force)
+                readers[first].receive(second)
+            case "tell" if (first < partition_index) == (
+                second < partition_index
+            ):
+                readers[second].receive(readers[first].tracker.in_force)
             case "finish":
                 readers[first].finish(second)
             case "cut":
-                border = first if second else 0
+                partition_index = first if second else 0
     return readers
 
 
 def _heal(readers: list[_Reader]) -> None:
     for _ in range(_READERS):
-        for teller in readers:
-            for hearer in readers:
-                hearer.hear(teller.keeper.in_force)
-                while hearer.judged:
-                    hearer.finish(0)
+        for sender in readers:
+            for receiver in readers:
+                receiver.receive(sender.tracker.in_force)
+                while receiver.pending_versions:
+                    receiver.finish(0)
 
 
 class TestKeeper:
-    """What is in force under any order of messages."""
+    """The version in force under any order of messages."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=200
@@ -96,14 +104,13 @@
         ]
     )
     @hypothesis.given(_steps)
-    def test_the_version_in_force_never_falls(self, steps: list) -> None:
-        """Stale replicas offer old versions.
+    def test_the_version_in_force_never_decreases(self, steps: list) -> None:
+        """Guards against a return to settings that an operator has replaced.
 
-        Besides, a reader is paused between its judgement and its acceptance. If
-        it then went back, callers would meet rules that an operator had
-        replaced.
+        Stale replicas offer old versions, and a process may be paused between
+        comparing a version and accepting it.
         """
-        for reader in _play(steps):
+        for reader in _run_steps(steps):
             assert reader.log == sorted(set(reader.log))
 
     @hypothesis.settings(
@@ -111,35 +118,39 @@
     )
     @hypothesis.given(_steps)
     def test_all_agree_after_a_partition(self, steps: list) -> None:
-        """Two halves of a partition read different versions.
+        """Guards against VMs that disagree on the settings permanently.
 
-        Two of them have one number. If they stayed apart after it, two VMs
-        would give engines different orders for ever.
+        Two halves of a partition read different versions, two of which have
+        the same number. If VMs did not agree after the partition, they would
+        keep sending conflicting orders to engines.
         """
-        readers = _play(steps)
-        highest = max(reader.keeper.in_force for reader in readers)
-        pending = [version for each in readers for version in each.judged]
+        readers = _run_steps(steps)
+        highest = max(reader.tracker.in_force for reader in readers)
+        pending = [
+            version for each in readers for version in each.pending_versions
+        ]
         valid = [each for each in pending if each not in _INVALID]
         _heal(readers)
-        in_force = {reader.keeper.in_force for reader in readers}
+        in_force = {reader.tracker.in_force for reader in readers}
         assert in_force == {max([highest, *valid])}
 
-    def test_an_invalid_version_is_judged_once(self) -> None:
-        """The platform goes on serving a revision that doesn't fit.
+    def test_an_invalid_version_is_read_once(self) -> None:
+        """Guards against repeated reads of an invalid revision.
 
-        Reading it over and over would use up the platform's calls.
+        The platform keeps serving the revision. Reading it each time would use
+        up the limited calls to the platform.
         """
-        keeper = revision.Keeper()
+        tracker = revision.Keeper()
         version = revision.Version(2, "aa")
-        keeper.refuse(version, "settings_invalid: users")
-        verdict = keeper.judge(version)
+        tracker.refuse(version, "settings_invalid: users")
+        verdict = tracker.judge(version)
         assert verdict is revision.Verdict.REFUSED_BEFORE
         repaired = revision.Version(2, "cc")
-        assert keeper.judge(repaired) is revision.Verdict.NEWER
-
-    def test_only_another_content_of_one_number_conflicts(self) -> None:
-        keeper = revision.Keeper()
-        keeper.accept(revision.Version(2, "bb"))
-        assert keeper.conflicts(revision.Version(2, "aa"))
-        assert not keeper.conflicts(revision.Version(2, "bb"))
-        assert not keeper.conflicts(revision.Version(3, "aa"))
+        assert tracker.judge(repaired) is revision.Verdict.NEWER
+
+    def test_only_other_content_of_the_same_number_conflicts(self) -> None:
+        tracker = revision.Keeper()
+        tracker.accept(revision.Version(2, "bb"))
+        assert tracker.conflicts(revision.Version(2, "aa"))
+        assert not tracker.conflicts(revision.Version(2, "bb"))
+        assert not tracker.conflicts(revision.Version(3, "aa"))
