--- a/src/cowsliprill/decisions/leadership.py
+++ b/src/cowsliprill/decisions/leadership.py
@@ -22,8 +22,8 @@
 # previous leader, know the new VM: two heartbeats of 1 s, one of them lost.
 _PROPAGATION_S = 2.0
 
-# `look` is called several times a second. A longer gap means that the process
-# or its VM was paused, and that its knowledge is as old as the gap.
+# `look` is called several times a second. A longer gap means that the
+# process or its VM was paused, and that its knowledge is as old as the gap.
 OBSERVATION_GAP_MAX_S = 1.0
 
 # Token values within one millisecond, so that two VMs hardly ever use the same
--- a/src/cowsliprill/decisions/member_records.py
+++ b/src/cowsliprill/decisions/member_records.py
@@ -26,8 +26,9 @@
       leaving: Whether the process accepts no more work.
       cores: Processor cores that the process may use, 0 if unknown.
       blind: Whether the process can't read the registry's store.
-      changing: Role changes that the process has ordered from engines and that
-        the registry doesn't show yet, as pairs of endpoint id and target role.
+      changing: Role changes that the process has ordered from
+        engines and that the registry doesn't show yet, as pairs of endpoint id
+        and target role.
     """
 
     id: str
@@ -86,11 +87,11 @@
 
     Attributes:
       sender: The sender's own record.
-      newest: Revision of the newest registry change known to the sender, one
-        for each followed key prefix.
+      newest: Revision of the newest registry change known to the
+        sender, one for each followed key prefix.
       digest: Digest of the sender's member table.
-      known: Number of members in the sender's table, dead ones and the sender
-        included.
+      known: Number of members in the sender's table, dead ones and the
+        sender included.
       watched: Whether the receiver is asked to monitor the sender's
         heartbeats.
       ping: Whether the receiver must reply at once.
--- a/src/cowsliprill/decisions/membership.py
+++ b/src/cowsliprill/decisions/membership.py
@@ -50,8 +50,8 @@
 
     Attributes:
       seeds: Addresses to contact while they aren't known as members.
-      newest_heard: Highest registry revision that any member reported, one for
-        each key prefix.
+      newest_heard: Highest registry revision that any member reported, one
+        for each key prefix.
     """
 
     def __init__(
--- a/src/cowsliprill/decisions/revision.py
+++ b/src/cowsliprill/decisions/revision.py
@@ -84,9 +84,9 @@
     def accept(self, version: Version) -> bool:
         """Puts a version in force whose content was found valid.
 
-        The order is checked again here. The content was read after `judge` was
-        called, and a process that was paused or slow meanwhile would otherwise
-        replace a newer version by an older one.
+        The order is checked again here. The content was read after `judge`
+        was called, and a process that was paused or slow meanwhile would
+        otherwise replace a newer version by an older one.
 
         Args:
           version: The version.
