--- a/features/steps/endpoint_steps.py
+++ b/features/steps/endpoint_steps.py
@@ -110,7 +110,7 @@
     resuming = _error_of(site.client.resume(endpoint, context.stream))
     error = site.runner.run(resuming)
     assert error is not None
-    assert error.run is messages.Run.NO
+    assert error.run is messages.Executed.NO
 
 
 @behave.then("it holds no slot and no KV cache")
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -9,7 +9,7 @@
 from tools import truth
 
 from cowsliprill import clock
-from cowsliprill.decisions import slots
+from cowsliprill.decisions import slot_ledger
 
 _SLOTS_ALL = 40
 
@@ -124,7 +124,8 @@
     frozen_at = clock.now()
     dispatch_site.wait_until(
         lambda: (
-            clock.now() > frozen_at + slots.LEASE_S and not _in_prefill(site)
+            clock.now() > frozen_at + slot_ledger.LEASE_DURATION_S
+            and not _in_prefill(site)
         ),
         "the leases have run out and the prefill has finished",
     )
--- a/features/support/endpoint_processes.py
+++ b/features/support/endpoint_processes.py
@@ -36,7 +36,7 @@
     name="booking",
     kind=model.ServiceKind.PLAIN,
     pool="desk",
-    idempotency=model.Idempotency.UNREPEATABLE,
+    idempotency=model.Idempotency.NON_IDEMPOTENT,
     timeout_s=_BOOKING_TIMEOUT_S,
 )
 
--- a/src/cowsliprill/capacity/measure.py
+++ b/src/cowsliprill/capacity/measure.py
@@ -10,13 +10,13 @@
 from cowsliprill.capacity import gauge
 from cowsliprill.capacity import synthetic
 from cowsliprill.capacity import wire
-from cowsliprill.decisions import home_map
+from cowsliprill.decisions import coordinator_map
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import orphans
 from cowsliprill.decisions import scheduler
-from cowsliprill.decisions import slots
+from cowsliprill.decisions import slot_ledger
 from cowsliprill.settings import parts
 from cowsliprill.settings import publish
 from cowsliprill.settings import resolve
@@ -64,8 +64,8 @@
     return fit.fit(name, per, "µs", points)
 
 
-def _ledger(entries: int) -> slots.SlotLedger:
-    ledger = slots.SlotLedger("engine-0000", 20)
+def _ledger(entries: int) -> slot_ledger.SlotLedger:
+    ledger = slot_ledger.SlotLedger("engine-0000", 20)
     for number in range(entries):
         entry = f"vm-{number:04d}.e0.0123456789abcdef"
         ledger.ask(entry, synthetic.ask("engine-0000", 1, 1), 0.0)
@@ -259,11 +259,11 @@
     points = []
     for engines in _ENDPOINTS:
         names = [f"engine-{n:04d}" for n in range(engines)]
-        homes = home_map.HomeMap()
+        homes = coordinator_map.CoordinatorMap()
 
         def look(homes=homes, names=names) -> None:
             for name in names:
-                homes.home_of(name)
+                homes.coordinator_of(name)
 
         def begin(homes=homes, look=look) -> None:
             homes.keep_only([])
@@ -285,25 +285,28 @@
 def _sweep_slopes() -> list[fit.Slope]:
     points = []
     for count in (20, 80, 170, 340):
-        sweep = orphans.OrphanSweep(0.0)
-        sweep.see_list(synthetic.vms(690), 0.0)
+        sweep = orphans.OrphanDetector(0.0)
+        sweep.update_vms(synthetic.vms(690), 0.0)
         requests = [_running(n) for n in range(count)]
         for number in range(count):
             owner = identity.Incarnation(f"vm-{number:04d}", "e0", "abc")
-            sweep.hear(owner, 0.5)
+            sweep.record_heartbeat(owner, 0.5)
 
         def judge(sweep=sweep, requests=requests) -> None:
-            sweep.suspects(requests, 1.0)
+            sweep.vms_to_probe(requests, 1.0)
             sweep.orphans(
-                requests, longest_request_s=120.0, reaches_zone=True, now=1.0
+                requests,
+                longest_request_s=120.0,
+                has_zone_majority=True,
+                now=1.0,
             )
 
         points.append((count, gauge.cpu_s(judge, 20) * 1e6))
     return [fit.fit("sweep_cpu", "running requests of a home", "µs", points)]
 
 
-def _running(number: int) -> orphans.Running:
-    return orphans.Running(
+def _running(number: int) -> orphans.ObservedRequest:
+    return orphans.ObservedRequest(
         endpoint_id="engine",
         request_id=f"vm-{number:04d}.e0.abc.{number}.0",
         age_s=1.0,
@@ -315,7 +318,7 @@
     for engines in _ENDPOINTS:
         snapshot = resolve.resolve(synthetic.text(500, 3, engines))
         vms = {vm.id: vm for vm in synthetic.vms(690)}
-        world = messages.WorldChanged(
+        world = messages.ClusterStateChanged(
             snapshot, model.Fleet(version=1, vms_by_id=vms)
         )
         decide.append((engines, _request_cpu_s(world) * 1e6))
@@ -337,14 +340,14 @@
     points = []
     for customers in (500, 2_000, 8_000):
         snapshot = resolve.resolve(synthetic.text(customers, 3, 13))
-        world = messages.WorldChanged(snapshot, model.Fleet(version=1))
+        world = messages.ClusterStateChanged(snapshot, model.Fleet(version=1))
         one = scheduler.Scheduler("zone-0", 1)
         cpu_s = gauge.cpu_s(lambda o=one, w=world: o.handle(w, 0.0))
         points.append((customers, cpu_s * 1e6))
     return points
 
 
-def _request_cpu_s(world: messages.WorldChanged) -> float:
+def _request_cpu_s(world: messages.ClusterStateChanged) -> float:
     """Measures all decisions on one request, beside a home that has room."""
     one = scheduler.Scheduler("zone-0", 1)
     one.handle(world, 0.0)
@@ -374,10 +377,10 @@
     one: scheduler.Scheduler, actions: list[messages.Action], now: float
 ) -> None:
     """Answers asks as a home with room does, each endpoint's newest first."""
-    asks_by_endpoint: dict[str, messages.SlotAsk] = {}
+    asks_by_endpoint: dict[str, messages.SlotDemand] = {}
     while not any(isinstance(each, messages.Start) for each in actions):
         for each in actions:
-            if isinstance(each, messages.SlotAsk):
+            if isinstance(each, messages.SlotDemand):
                 asks_by_endpoint[each.endpoint_id] = each
         if not asks_by_endpoint:
             raise RuntimeError("the measured request was not placed")
--- a/src/cowsliprill/capacity/roles.py
+++ b/src/cowsliprill/capacity/roles.py
@@ -5,8 +5,8 @@
 
 from cowsliprill.capacity import fit
 from cowsliprill.capacity import fleet as fleet_lib
+from cowsliprill.decisions import engine_subset
 from cowsliprill.decisions import fencing
-from cowsliprill.decisions import subset
 
 # Assumptions that are neither measured nor in the letter.
 ENTRIES_PER_NODE = 2
@@ -94,7 +94,9 @@
 def _slot_rows(
     slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
 ) -> list[Row]:
-    engines = subset.PREFILLS_MAX + subset.DECODES_MAX
+    engines = (
+        engine_subset.MAX_PREFILL_ENGINES + engine_subset.MAX_DECODE_ENGINES
+    )
     homes = fleet.nodes * (1 - (1 - 1 / fleet.nodes) ** engines)
     customers = slopes_by_name["slots_user_bytes"].each
     running = running_per_node(fleet) / ENTRIES_PER_NODE
@@ -158,7 +160,7 @@
         Row(
             role="dispatch",
             what="orders read back",
-            rate_per_s=homed / fencing.READ_S,
+            rate_per_s=homed / fencing.READ_BACK_INTERVAL_S,
             bytes_each=order_bytes,
             cpu_us_each=slopes_by_name["running_cpu"].at(1),
         ),
@@ -279,7 +281,7 @@
     customers_of_engine = (
         ENTRIES_PER_NODE
         * fleet.nodes
-        * (subset.PREFILLS_MAX + subset.DECODES_MAX)
+        * (engine_subset.MAX_PREFILL_ENGINES + engine_subset.MAX_DECODE_ENGINES)
         / fleet.engines
     )
     ledger = slopes_by_name["ledger_memory"].at(customers_of_engine)
--- a/src/cowsliprill/capacity/synthetic.py
+++ b/src/cowsliprill/capacity/synthetic.py
@@ -90,10 +90,10 @@
     ]
 
 
-def ask(endpoint_id: str, in_use: int, sequence: int) -> messages.SlotAsk:
+def ask(endpoint_id: str, in_use: int, sequence: int) -> messages.SlotDemand:
     """Makes an ask of an entry with some running requests and one waiting."""
     customers = [f"{PARENT}/customer-{n:05d}" for n in range(in_use + 1)]
-    return messages.SlotAsk(
+    return messages.SlotDemand(
         endpoint_id=endpoint_id,
         in_use=in_use,
         want=in_use + 1,
--- a/src/cowsliprill/cells/client.py
+++ b/src/cowsliprill/cells/client.py
@@ -12,11 +12,11 @@
 from cowsliprill import clock
 from cowsliprill import errors
 from cowsliprill.cells import wire
-from cowsliprill.decisions import cell as cell_lib
-from cowsliprill.decisions import channel
-from cowsliprill.decisions import home_choice
+from cowsliprill.decisions import coordinator_choice
+from cowsliprill.decisions import message_channel
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
+from cowsliprill.decisions import pool_scheduler as pool_scheduler_lib
 from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 
@@ -45,7 +45,7 @@
     """
 
     submit: messages.Submit
-    decisions: asyncio.Queue[cell_lib.Decision]
+    decisions: asyncio.Queue[pool_scheduler_lib.Decision]
     start: messages.Start | None = None
     stage: messages.Stage = messages.Stage.QUEUED
 
@@ -77,10 +77,12 @@
         self.placed_by_number: dict[int, _Placed] = {}
         self.prompt_part = 0.0
         self.attentive = False
-        self._choice = home_choice.HomeChoice(pool)
+        self._choice = coordinator_choice.CoordinatorChoice(pool)
         self._epoch = 0
-        self._outbox: channel.Outbox[wire.Event] = channel.Outbox()
-        self._inbox = channel.Inbox()
+        self._outbox: message_channel.Outbox[wire.Event] = (
+            message_channel.Outbox()
+        )
+        self._inbox = message_channel.Inbox()
         self._news = asyncio.Event()
         self._waiting = asyncio.Event()
         self._tasks = [
@@ -136,7 +138,7 @@
 
     def _look_up_home(self) -> None:
         vms_by_id = self._world.fleet.vms_by_id
-        if self._choice.look_up(vms_by_id, clock.now()):
+        if self._choice.update(vms_by_id, clock.now()):
             self._turned()
 
     def _turned(self) -> None:
@@ -149,8 +151,8 @@
     def _begin_anew(self) -> None:
         """States all requests to a home that doesn't know of them."""
         self._epoch += 1
-        self._outbox = channel.Outbox()
-        self._inbox = channel.Inbox()
+        self._outbox = message_channel.Outbox()
+        self._inbox = message_channel.Inbox()
         now = clock.now()
         for placed in self.placed_by_number.values():
             request = wire.write_request(placed.submit, now)
@@ -220,7 +222,7 @@
             events=events,
             acknowledged=self._inbox.last,
             wait_s=wait_s,
-            avoids=self._choice.avoided(clock.now()),
+            avoids=self._choice.suspended_ids(clock.now()),
         )
         try:
             answer = await self._post(home, request, _CALL_S + wait_s)
@@ -253,7 +255,7 @@
             )
         ]
         now = clock.now()
-        for decision in self._inbox.take(answer.first, decisions):
+        for decision in self._inbox.receive(answer.first, decisions):
             placed = self.placed_by_number.get(decision.request_id)
             if placed is None:
                 continue
@@ -268,7 +270,7 @@
                     placed.decisions.put_nowait(decision)
 
     def _note_failure(self, home: model.Vm, error: Exception) -> None:
-        failures = self._choice.failed(home, clock.now())
+        failures = self._choice.record_failure(home, clock.now())
         if not failures:
             return
         self._log.warning(
@@ -278,7 +280,7 @@
             failures=failures,
             reason=str(error),
         )
-        if failures >= home_choice.FAILURES_MAX:
+        if failures >= coordinator_choice.MAX_CONSECUTIVE_FAILURES:
             self._look_up_home()
 
 
@@ -308,7 +310,7 @@
 
     def submit(
         self, submit: messages.Submit
-    ) -> asyncio.Queue[cell_lib.Decision]:
+    ) -> asyncio.Queue[pool_scheduler_lib.Decision]:
         """Sends a request to its home.
 
         Args:
@@ -319,14 +321,14 @@
         """
         pool = submit.service.pool
         known = self._channel(pool)
-        decisions: asyncio.Queue[cell_lib.Decision] = asyncio.Queue()
+        decisions: asyncio.Queue[pool_scheduler_lib.Decision] = asyncio.Queue()
         self._pools_by_number[submit.request_id] = pool
         known.submit(_Placed(submit, decisions))
         return decisions
 
     def post(self, event: messages.Event) -> None:
         """Sends an event of a request to its home."""
-        if isinstance(event, messages.WorldChanged):
+        if isinstance(event, messages.ClusterStateChanged):
             self._world_changed()
             return
         number = event.request_id
--- a/src/cowsliprill/cells/homes.py
+++ b/src/cowsliprill/cells/homes.py
@@ -6,11 +6,11 @@
 
 from cowsliprill import clock
 from cowsliprill.cells import wire
-from cowsliprill.decisions import cell as cell_lib
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
-from cowsliprill.decisions import ownership
 from cowsliprill.decisions import pool as pools
+from cowsliprill.decisions import pool_scheduler as pool_scheduler_lib
+from cowsliprill.decisions import rendezvous
 from cowsliprill.observability import log as log_lib
 
 # An answer is held back no longer, so that an entry whose connection was lost
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Homed:
-    cell: cell_lib.Cell
+    cell: pool_scheduler_lib.PoolScheduler
     news_by_entry: dict[str, asyncio.Event] = dataclasses.field(
         default_factory=dict
     )
@@ -61,7 +61,7 @@
         self._snapshot = model.Snapshot()
         self._fleet = model.Fleet()
         self._homed_by_pool: dict[str, _Homed] = {}
-        self._ranking = ownership.HomeRanking()
+        self._ranking = rendezvous.VmRankingCache()
         self._wake = asyncio.Event()
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
@@ -71,7 +71,7 @@
         now = clock.now()
         for pool, homed in self._homed_by_pool.items():
             homed.cell.update(snapshot, fleet, now)
-            homed.cell.set_home(self._is_home(pool), now)
+            homed.cell.set_is_coordinator(self._is_home(pool), now)
             self._notify(homed)
 
     async def answer(self, request: wire.CellRequest) -> wire.CellAnswer:
@@ -88,17 +88,17 @@
             return wire.CellAnswer(known=False, home=wire.write_home(home))
         homed = self._homed(request.pool)
         now = clock.now()
-        knows = homed.cell.knows(request.entry, request.epoch)
+        has_session = homed.cell.has_session(request.entry, request.epoch)
         begins = request.first == 1
-        old = homed.cell.is_old(request.entry, request.epoch)
-        if old or not (knows or begins):
+        old = homed.cell.is_superseded(request.entry, request.epoch)
+        if old or not (has_session or begins):
             return wire.CellAnswer(known=False)
         events = tuple(wire.read_event(event, now) for event in request.events)
         homed.cell.receive(
             request.entry, request.epoch, request.first, events, now
         )
         homed.cell.acknowledge(request.entry, request.acknowledged)
-        if not knows:
+        if not has_session:
             self._log.event(
                 "cell_joined",
                 pool=request.pool,
@@ -134,13 +134,13 @@
             except TimeoutError:
                 pass
 
-    def standings(self) -> dict[str, pools.Standing]:
+    def pool_loads(self) -> dict[str, pools.PoolLoad]:
         """Returns how full the pools are that entries ask for here."""
         found = {}
         for pool, homed in self._homed_by_pool.items():
-            standing = homed.cell.standing(pool)
-            if standing is not None:
-                found[pool] = standing
+            pool_load = homed.cell.pool_load(pool)
+            if pool_load is not None:
+                found[pool] = pool_load
         return found
 
     def status(self) -> list[str]:
@@ -161,16 +161,18 @@
         return bool(ranked) and ranked[0].id == self._vm_id
 
     def _ranked(self, pool: str) -> list[model.Vm]:
-        return self._ranking.of(pool, self._fleet.vms_by_id)
+        return self._ranking.ranked_vms(pool, self._fleet.vms_by_id)
 
     def _homed(self, pool: str) -> _Homed:
         homed = self._homed_by_pool.get(pool)
         if homed is None:
             seed = self._random.getrandbits(_SEED_BITS)
-            homed = _Homed(cell_lib.Cell(self._availability_zone, seed))
+            homed = _Homed(
+                pool_scheduler_lib.PoolScheduler(self._availability_zone, seed)
+            )
             now = clock.now()
             homed.cell.update(self._snapshot, self._fleet, now)
-            homed.cell.set_home(self._is_home(pool), now)
+            homed.cell.set_is_coordinator(self._is_home(pool), now)
             self._homed_by_pool[pool] = homed
             self._log.event("cell_begun", pool=pool)
         return homed
@@ -179,7 +181,7 @@
         older = homed.news_by_entry.pop(request.entry, None)
         if older is not None:
             older.set()
-        if homed.cell.has_news(request.entry):
+        if homed.cell.has_pending_decisions(request.entry):
             return
         news = asyncio.Event()
         homed.news_by_entry[request.entry] = news
@@ -194,13 +196,13 @@
 
     def _notify(self, homed: _Homed) -> None:
         for entry, news in homed.news_by_entry.items():
-            if homed.cell.has_news(entry):
+            if homed.cell.has_pending_decisions(entry):
                 news.set()
 
     def _written(
         self, homed: _Homed, request: wire.CellRequest
     ) -> wire.CellAnswer:
-        if not homed.cell.knows(request.entry, request.epoch):
+        if not homed.cell.has_session(request.entry, request.epoch):
             return wire.CellAnswer(known=False)
         first, decisions, taken = homed.cell.decisions(request.entry)
         numbered = [*enumerate(decisions, first)]
--- a/src/cowsliprill/cells/wire.py
+++ b/src/cowsliprill/cells/wire.py
@@ -231,7 +231,7 @@
         priority=submit.priority,
         deadline_in_s=submit.deadline - now,
         useful_in_s=submit.useful_until - now if submit.useful_until else 0.0,
-        repeatable=service.idempotency is model.Idempotency.REPEATABLE,
+        repeatable=service.idempotency is model.Idempotency.IDEMPOTENT,
         attempts=service.retries.attempts,
         retry_ratio=service.retries.ratio,
         retry_burst=service.retries.burst,
@@ -254,9 +254,9 @@
       The request.
     """
     idempotency = (
-        model.Idempotency.REPEATABLE
+        model.Idempotency.IDEMPOTENT
         if request.repeatable
-        else model.Idempotency.UNREPEATABLE
+        else model.Idempotency.NON_IDEMPOTENT
     )
     service = model.Service(
         id=request.service,
@@ -267,7 +267,7 @@
         ttft_target_s=request.ttft_target_s,
         worth_by_size=request.worth_by_size,
         idempotency=idempotency,
-        retries=model.RetryRules(
+        retries=model.RetryPolicy(
             ratio=request.retry_ratio,
             burst=request.retry_burst,
             attempts=request.attempts,
--- a/src/cowsliprill/decisions/table_comparison.py
+++ b/src/cowsliprill/decisions/anti_entropy.py
@@ -40,9 +40,9 @@
             self._mismatch_since = math.inf
             self._peer_member_count = 0
             return
-        if message.known >= self._peer_member_count:
+        if message.member_count >= self._peer_member_count:
             self._peer = message.sender.id
-            self._peer_member_count = message.known
+            self._peer_member_count = message.member_count
         self._mismatch_since = min(self._mismatch_since, now)
 
     def next_peer(self, now: float) -> str:
--- a/src/cowsliprill/decisions/call.py
+++ b/src/cowsliprill/decisions/call_state.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Progress:
+class CallProgress:
     """State of one call; valid at any time, also after a cancellation.
 
     Attributes:
@@ -28,7 +28,7 @@
 
     state: CallState = CallState.NOTHING_WRITTEN
 
-    def writing(self) -> None:
+    def mark_writing(self) -> None:
         """Records that bytes are about to be written.
 
         Must be called right before the first write rather than after it: a
@@ -37,18 +37,18 @@
         """
         self.state = CallState.WRITTEN
 
-    def refused(self) -> None:
+    def mark_refused(self) -> None:
         """Records a complete response that states that nothing was executed."""
         self.state = CallState.REFUSED
 
     @property
-    def run(self) -> messages.Run:
+    def run(self) -> messages.Executed:
         """Whether the endpoint may have executed the call."""
         match self.state:
             case CallState.NOTHING_WRITTEN | CallState.REFUSED:
-                return messages.Run.NO
+                return messages.Executed.NO
             case _:
-                return messages.Run.UNKNOWN
+                return messages.Executed.UNKNOWN
 
 
 def is_refusal(
@@ -71,6 +71,6 @@
     min_error_status = 400
     return (
         status >= min_error_status
-        and run == messages.Run.NO.value
+        and run == messages.Executed.NO.value
         and echoed_request_id == request_id
     )
--- a/src/cowsliprill/decisions/elapsed.py
+++ b/src/cowsliprill/decisions/caller_timeouts.py
@@ -16,7 +16,7 @@
     seen_at: float
 
 
-class FullWaits:
+class CallerTimeouts:
     """Estimates the timeout with which callers of each service start.
 
     Callers send their remaining time with each attempt. The longest recent
@@ -26,7 +26,9 @@
     def __init__(self) -> None:
         self._longest_by_service: dict[str, _LongestTimeout] = {}
 
-    def spent_s(self, service_id: str, remaining_s: float, now: float) -> float:
+    def time_spent_s(
+        self, service_id: str, remaining_s: float, now: float
+    ) -> float:
         """Returns how much of its timeout a caller spent on earlier attempts.
 
         Args:
@@ -47,5 +49,5 @@
                 remaining_s, now
             )
             return 0.0
-        spent_s = longest.timeout_s - remaining_s
-        return spent_s if spent_s > _NETWORK_JITTER_S else 0.0
+        time_spent_s = longest.timeout_s - remaining_s
+        return time_spent_s if time_spent_s > _NETWORK_JITTER_S else 0.0
--- a/src/cowsliprill/decisions/cancels.py
+++ b/src/cowsliprill/decisions/cancel_queue.py
@@ -9,7 +9,7 @@
 import dataclasses
 from collections.abc import Container
 
-FIRST_RETRY_S = 0.1
+MIN_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 2.0
 # Maximum number of cancellations per attempt while an engine fails to answer.
 # Without it a dead engine would turn the cancellations of all its requests into
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CancelOrder:
+class Cancellation:
     """Cancellation of one request at one engine.
 
     Attributes:
@@ -49,17 +49,17 @@
 
     cancels_by_id: dict[str, _PendingCancel]
     failing: bool = False
-    retry_s: float = FIRST_RETRY_S
+    retry_s: float = MIN_RETRY_DELAY_S
     blocked_until: float = float("-inf")
 
 
-class CancelBook:
+class CancelQueue:
     """Cancellations that haven't been acknowledged by their engines."""
 
     def __init__(self) -> None:
         self._engines_by_id: dict[str, _EngineState] = {}
 
-    def add(self, cancellation: CancelOrder, now: float) -> None:
+    def add(self, cancellation: Cancellation, now: float) -> None:
         """Adds a cancellation; has no effect if it is already pending.
 
         Args:
@@ -73,7 +73,7 @@
             cancellation.request_id, _PendingCancel(added_at=now, next_at=now)
         )
 
-    def due(self, now: float) -> list[CancelOrder]:
+    def due(self, now: float) -> list[Cancellation]:
         """Returns the cancellations to send now.
 
         A cancellation without a reported outcome is due again after
@@ -93,11 +93,11 @@
                 cancellation = engine.cancels_by_id[request_id]
                 cancellation.next_at = now + MAX_RETRY_DELAY_S
                 found.append(
-                    CancelOrder(endpoint_id=endpoint_id, request_id=request_id)
+                    Cancellation(endpoint_id=endpoint_id, request_id=request_id)
                 )
         return found
 
-    def acknowledge(self, cancellation: CancelOrder, now: float) -> None:
+    def acknowledge(self, cancellation: Cancellation, now: float) -> None:
         """Removes a cancellation that the engine has acknowledged.
 
         The first acknowledgment after a failure also resets the engine's
@@ -115,10 +115,10 @@
             del self._engines_by_id[cancellation.endpoint_id]
         elif engine.failing:
             engine.failing = False
-            engine.retry_s = FIRST_RETRY_S
+            engine.retry_s = MIN_RETRY_DELAY_S
             engine.blocked_until = now
 
-    def fail(self, cancellation: CancelOrder, now: float) -> None:
+    def record_failure(self, cancellation: Cancellation, now: float) -> None:
         """Schedules a retry of a cancellation that was refused or timed out.
 
         Args:
@@ -136,7 +136,7 @@
             engine.blocked_until = now + engine.retry_s
         pending_cancel = engine.cancels_by_id[cancellation.request_id]
         pending_cancel.next_at = now + min(
-            FIRST_RETRY_S * 2**pending_cancel.retries, MAX_RETRY_DELAY_S
+            MIN_RETRY_DELAY_S * 2**pending_cancel.retries, MAX_RETRY_DELAY_S
         )
         pending_cancel.retries += 1
 
@@ -173,10 +173,10 @@
             times.append(max(earliest, engine.blocked_until))
         return min(times, default=None)
 
-    def all(self) -> list[CancelOrder]:
+    def all(self) -> list[Cancellation]:
         """Returns all pending cancellations, for the handover at shutdown."""
         return [
-            CancelOrder(endpoint_id=endpoint_id, request_id=request_id)
+            Cancellation(endpoint_id=endpoint_id, request_id=request_id)
             for endpoint_id, engine in self._engines_by_id.items()
             for request_id in engine.cancels_by_id
         ]
--- a/src/cowsliprill/decisions/connections.py
+++ b/src/cowsliprill/decisions/connection_limits.py
@@ -31,7 +31,7 @@
 Address = tuple[str, int]
 
 
-class Opening(enum.Enum):
+class OpenAction(enum.Enum):
     """Action to take before a connection is opened."""
 
     OPEN = enum.auto()
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Allowance:
+class ConnectionLimits:
     """Connection limits of one VM for one endpoint.
 
     Attributes:
@@ -51,7 +51,7 @@
     connections: int
     idle: int
 
-    def opening(self, connections: int, idle: int) -> Opening:
+    def plan_open(self, connections: int, idle: int) -> OpenAction:
         """Decides on opening a connection.
 
         Args:
@@ -62,10 +62,10 @@
           The action to take.
         """
         if connections < self.connections:
-            return Opening.OPEN
-        return Opening.CLOSE_IDLE_FIRST if idle else Opening.REFUSE
+            return OpenAction.OPEN
+        return OpenAction.CLOSE_IDLE_FIRST if idle else OpenAction.REFUSE
 
-    def keeps(self, connections: int, idle: int) -> bool:
+    def keeps_idle(self, connections: int, idle: int) -> bool:
         """Returns whether to keep a connection whose call has ended.
 
         Args:
@@ -75,7 +75,7 @@
         return idle < self.idle and connections <= self.connections
 
 
-def limits_per_vm(endpoint_limit: int, vm_count: int) -> Allowance:
+def limits_per_vm(endpoint_limit: int, vm_count: int) -> ConnectionLimits:
     """Returns the connection limits of one VM.
 
     Args:
@@ -87,14 +87,14 @@
         int(endpoint_limit * _SHARED_FRACTION / max(vm_count, 1)),
         _MIN_CONNECTIONS,
     )
-    return Allowance(
+    return ConnectionLimits(
         connections=share, idle=max(int(share * _IDLE_FRACTION), 1)
     )
 
 
-def allowances(
+def limits_for_endpoints(
     snapshot: model.Snapshot, fleet: model.Fleet
-) -> Mapping[Address, Allowance]:
+) -> Mapping[Address, ConnectionLimits]:
     """Returns this VM's limits for all endpoints that limit connections.
 
     Args:
--- a/src/cowsliprill/decisions/home_choice.py
+++ b/src/cowsliprill/decisions/coordinator_choice.py
@@ -6,18 +6,18 @@
 """
 
 from cowsliprill.decisions import model
-from cowsliprill.decisions import ownership
+from cowsliprill.decisions import rendezvous
 
 # After this many consecutive failed calls the coordinator is suspended for
 # `_SUSPENSION_S`, and the next VM of the ranking is called.
-FAILURES_MAX = 2
+MAX_CONSECUTIVE_FAILURES = 2
 _SUSPENSION_S = 2.0
 
 # A redirect overrides the ranking over the local VM list for this long.
 _REDIRECT_VALID_S = 1.0
 
 
-class HomeChoice:
+class CoordinatorChoice:
     """Chooses the coordinator of one key.
 
     Args:
@@ -31,13 +31,13 @@
     def __init__(self, key: str) -> None:
         self.home: model.Vm | None = None
         self._key = key
-        self._ranking = ownership.HomeRanking()
+        self._ranking = rendezvous.VmRankingCache()
         self._redirect_target: model.Vm | None = None
         self._redirect_until = 0.0
         self._suspended_until_by_vm: dict[str, float] = {}
         self._consecutive_failures = 0
 
-    def look_up(self, vms_by_id: dict[str, model.Vm], now: float) -> bool:
+    def update(self, vms_by_id: dict[str, model.Vm], now: float) -> bool:
         """Updates `home` from the VM list, redirects and recent failures.
 
         Where every VM is suspended, the first of the ranking is the coordinator
@@ -52,9 +52,9 @@
         """
         if self._redirect_target is not None and now < self._redirect_until:
             return self._set_coordinator(self._redirect_target)
-        ranked = self._ranking.of(self._key, vms_by_id)
-        avoided = self.avoided(now)
-        available = [vm for vm in ranked if vm.id not in avoided]
+        ranked = self._ranking.ranked_vms(self._key, vms_by_id)
+        suspended_ids = self.suspended_ids(now)
+        available = [vm for vm in ranked if vm.id not in suspended_ids]
         return self._set_coordinator(next(iter(available or ranked), None))
 
     def follow(self, called: model.Vm, target: model.Vm, now: float) -> bool:
@@ -76,7 +76,7 @@
         self._redirect_until = now + _REDIRECT_VALID_S
         return self._set_coordinator(target)
 
-    def avoided(self, now: float) -> tuple[str, ...]:
+    def suspended_ids(self, now: float) -> tuple[str, ...]:
         """Returns the ids of the VMs that are suspended at this time."""
         return tuple(
             vm
@@ -88,7 +88,7 @@
         """Records a successful call; resets the count of failures."""
         self._consecutive_failures = 0
 
-    def failed(self, called: model.Vm, now: float) -> int:
+    def record_failure(self, called: model.Vm, now: float) -> int:
         """Records a call that failed or timed out.
 
         Args:
@@ -97,14 +97,14 @@
 
         Returns:
           The number of consecutive failures of the coordinator, 0 if the VM is
-          no longer the coordinator. At `FAILURES_MAX` the VM is
+          no longer the coordinator. At `MAX_CONSECUTIVE_FAILURES` the VM is
           suspended and the count starts again.
         """
         if self.home is None or called.id != self.home.id:
             return 0
         self._consecutive_failures += 1
         failures = self._consecutive_failures
-        if failures >= FAILURES_MAX:
+        if failures >= MAX_CONSECUTIVE_FAILURES:
             self._consecutive_failures = 0
             self._suspended_until_by_vm[called.id] = now + _SUSPENSION_S
             self._redirect_target = None
--- a/src/cowsliprill/decisions/home_map.py
+++ b/src/cowsliprill/decisions/coordinator_map.py
@@ -1,6 +1,6 @@
 """Incrementally updated map from endpoints to their coordinators.
 
-Returns the same coordinators as `ownership.home_of`. A full
+Returns the same coordinators as `rendezvous.coordinator_of`. A full
 recomputation at each change of the VM list costs one hash per endpoint and VM:
 with 5,900 engines and 690 VMs four million hashes, which is seconds of CPU time
 about every three seconds. With rendezvous hashing a new VM can only take
@@ -15,7 +15,7 @@
 from cowsliprill.decisions import model
 
 
-class HomeMap:
+class CoordinatorMap:
     """Caches the coordinator of each endpoint that was looked up."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         if removed or added:
             self._update_assignments(removed, added)
 
-    def home_of(self, endpoint_id: str) -> model.Vm | None:
+    def coordinator_of(self, endpoint_id: str) -> model.Vm | None:
         """Returns the coordinator of an endpoint, None without a live entry VM.
 
         Args:
--- a/src/cowsliprill/decisions/shares.py
+++ b/src/cowsliprill/decisions/customer_shares.py
@@ -6,7 +6,7 @@
 from cowsliprill.decisions import model
 
 
-class Shares(Mapping[str, float]):
+class CustomerShares(Mapping[str, float]):
     """Fair-share weight of each configured customer, read on access.
 
     The settings store customers in packed form. Copying all shares into a
--- a/src/cowsliprill/decisions/readers.py
+++ b/src/cowsliprill/decisions/designated_readers.py
@@ -10,19 +10,19 @@
 from collections.abc import Iterable
 
 from cowsliprill.decisions import member_records
-from cowsliprill.decisions import ownership
+from cowsliprill.decisions import rendezvous
 
 # Two, so that one may fail or lose its connection to the store.
-READERS_A_ZONE = 2
+READERS_PER_ZONE = 2
 
 # Readers that can't reach the store are backed up by the next VMs in order. If
 # the store is down, nobody reaches it; this bounds the VMs that keep trying.
-_CANDIDATES_MAX = 4 * READERS_A_ZONE
+_CANDIDATES_MAX = 4 * READERS_PER_ZONE
 
 _KEY = "registry"
 
 
-def reads(
+def is_reader(
     own: member_records.Record, others: Iterable[member_records.Record]
 ) -> bool:
     """Returns whether a VM is a designated reader of the store.
@@ -31,10 +31,10 @@
       own: The VM's record.
       others: Records of the other live VMs.
     """
-    return own in of_zone(own, others)
+    return own in readers_in_zone(own, others)
 
 
-def of_zone(
+def readers_in_zone(
     own: member_records.Record, others: Iterable[member_records.Record]
 ) -> list[member_records.Record]:
     """Returns the designated readers in a VM's availability zone.
@@ -52,15 +52,15 @@
 
     def rank(record: member_records.Record) -> tuple[bool, bool, int, str]:
         # A reader serves all other VMs of its zone, so powerful VMs come first.
-        weak = ownership.is_weak(record.cores, max_cores)
-        score = ownership.score(record.id, _KEY)
-        return (record.leaving, weak, -score, record.id)
+        weak = rendezvous.has_few_cores(record.cores, max_cores)
+        rendezvous_score = rendezvous.rendezvous_score(record.id, _KEY)
+        return (record.leaving, weak, -rendezvous_score, record.id)
 
     selected: list[member_records.Record] = []
     connected = 0
     for record in sorted(zone, key=rank)[:_CANDIDATES_MAX]:
         selected.append(record)
-        connected += not record.blind
-        if connected == READERS_A_ZONE:
+        connected += not record.store_unreachable
+        if connected == READERS_PER_ZONE:
             break
     return selected
--- a/src/cowsliprill/decisions/leases.py
+++ b/src/cowsliprill/decisions/endpoint_lease.py
@@ -4,18 +4,18 @@
 import math
 
 from cowsliprill.decisions import messages
-from cowsliprill.decisions import prefixes
+from cowsliprill.decisions import prefix_cache
 
 
 @dataclasses.dataclass(slots=True)
-class Holding:
+class EndpointLease:
     """Lease and usage of one endpoint's slots by this entry process.
 
     Attributes:
       in_use: Slots occupied by running requests of this entry process.
       slots: Slots leased, including those in use.
       expires_at: When the lease expires; no new work may be placed after it.
-      fallback: Slots that may be used without a lease while the
+      fallback_slots: Slots that may be used without a lease while the
         coordinator is unreachable.
       others_waiting: Requests of other entry processes waiting for a slot.
       used: Slots in use by all entry processes.
@@ -36,15 +36,15 @@
     in_use: int = 0
     slots: int = 0
     expires_at: float = 0.0
-    fallback: int = 0
+    fallback_slots: int = 0
     others_waiting: int = 0
     used: int = 0
     full_until: float = 0.0
     running: int = 0
     prompts: int = 0
     in_use_by_customer: dict[str, int] = dataclasses.field(default_factory=dict)
-    cached: prefixes.CachedBlocks = dataclasses.field(
-        default_factory=prefixes.CachedBlocks
+    cached: prefix_cache.CachedBlocks = dataclasses.field(
+        default_factory=prefix_cache.CachedBlocks
     )
     prefix_epoch: int = 0
     demanded_slots: int = 0
@@ -53,7 +53,7 @@
         default_factory=list
     )
 
-    def own(self, slots: int) -> None:
+    def assign_permanently(self, slots: int) -> None:
         """Assigns slots permanently, without a lease.
 
         Args:
@@ -62,7 +62,7 @@
         self.slots = slots
         self.expires_at = math.inf
         # The assigned slots may be fewer than one request needs.
-        self.fallback = 1
+        self.fallback_slots = 1
 
     def held_slots(self, now: float) -> int:
         """Returns the slots held, including those of work past its lease."""
@@ -72,7 +72,7 @@
     def free_slots(self, now: float) -> int:
         """Returns the number of slots available for new work."""
         leased = self.slots if self.expires_at > now else 0
-        return max(leased, self.fallback) - self.in_use
+        return max(leased, self.fallback_slots) - self.in_use
 
     def fits(self, slots: int, now: float) -> bool:
         """Returns whether a request may be placed at the endpoint now.
@@ -89,13 +89,13 @@
             return False
         if self.free_slots(now) >= slots:
             return True
-        return bool(self.fallback) and not self.in_use
+        return bool(self.fallback_slots) and not self.in_use
 
     def idle_slots(self, now: float) -> int:
         """Returns the number of held slots that aren't in use."""
         return self.held_slots(now) - self.in_use
 
-    def take(self, customer: str, slots: int = 1) -> None:
+    def acquire(self, customer: str, slots: int = 1) -> None:
         """Marks slots as in use by a request of a customer."""
         self.running += 1
         self.in_use += slots
@@ -139,7 +139,7 @@
         )
         self.slots = min(grant.slots, max_slots)
         self.expires_at = grant.expires_at
-        self.fallback = 0
+        self.fallback_slots = 0
         self.others_waiting = grant.waiting
         self.used = max(grant.used, self.in_use)
         self._apply_prefix_update(grant)
@@ -150,11 +150,11 @@
         # route requests to blocks that are no longer cached.
         if grant.prefix_epoch != self.prefix_epoch:
             self.prefix_epoch = grant.prefix_epoch
-            self.cached = prefixes.CachedBlocks()
+            self.cached = prefix_cache.CachedBlocks()
         self.cached.remove(grant.prefix_hashes_gone)
         self.cached.add(grant.prefix_hashes)
 
-    def drop_free(self, until: float = 0.0) -> None:
+    def mark_full(self, until: float = 0.0) -> None:
         """Gives up the free slots after the endpoint reported that it is full.
 
         Args:
@@ -163,7 +163,7 @@
         """
         self.full_until = until
         self.slots = min(self.slots, self.in_use)
-        self.fallback = min(self.fallback, self.in_use)
+        self.fallback_slots = min(self.fallback_slots, self.in_use)
 
     def record_demand(self, sequence: int, held: int) -> None:
         """Records a sent slot demand that gives up all but `held` slots.
--- a/src/cowsliprill/decisions/chooser.py
+++ b/src/cowsliprill/decisions/engine_selection.py
@@ -6,7 +6,7 @@
 from cowsliprill.decisions import health
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
-from cowsliprill.decisions import placement
+from cowsliprill.decisions import pair_selection
 from cowsliprill.decisions import pool as pools
 
 # While all prefill slots are taken and a decode engine has free slots, prefill
@@ -22,7 +22,7 @@
 _FULL_MEMORY_COST_S = 0.1
 
 
-class Chooser:
+class EngineSelector:
     """Selects engines for the requests of one scheduler.
 
     Args:
@@ -31,14 +31,14 @@
     """
 
     def __init__(
-        self, availability_zone: str, engine_health: health.Health
+        self, availability_zone: str, engine_health: health.EngineHealth
     ) -> None:
         self._availability_zone = availability_zone
         self._health = engine_health
 
-    def choose(
+    def select_pair(
         self, pool: pools.Pool, submit: messages.Submit, slots: int, now: float
-    ) -> placement.Pair | None:
+    ) -> pair_selection.EnginePair | None:
         """Selects the best pair of engines with free leased slots.
 
         Args:
@@ -53,9 +53,9 @@
         prefills = self._prefill_candidates(pool, submit, now)
         if not prefills:
             return self._choose_without_prefill(pool, submit, slots, now)
-        pool.prefills_short_since = math.inf
+        pool.prefill_shortage_since = math.inf
         endpoints_by_id = pool.endpoints_by_id
-        return placement.choose(
+        return pair_selection.select_pair(
             prefills,
             self._decode_candidates(pool, submit, slots, now),
             lambda prefill_id, decode_id: estimates.transfer_s(
@@ -71,8 +71,8 @@
         submit: messages.Submit,
         slots: int,
         now: float,
-    ) -> placement.Pair | None:
-        if not pool.decodes_read_prompts():
+    ) -> pair_selection.EnginePair | None:
+        if not pool.decodes_can_prefill():
             return None
         local_prefill_engines = [
             (candidate.cost_s, candidate.id)
@@ -81,24 +81,27 @@
         ]
         if not local_prefill_engines:
             return None
-        pool.prefills_short_since = min(pool.prefills_short_since, now)
-        prefills_busy_s = now - pool.prefills_short_since
-        if pool.has_sound_prefill() and prefills_busy_s < _PREFILL_BUSY_GRACE_S:
+        pool.prefill_shortage_since = min(pool.prefill_shortage_since, now)
+        prefills_busy_s = now - pool.prefill_shortage_since
+        if (
+            pool.has_healthy_prefill()
+            and prefills_busy_s < _PREFILL_BUSY_GRACE_S
+        ):
             return None
         cost_s, engine_id = min(local_prefill_engines)
-        cost_s += estimates.own_prefill_s(
+        cost_s += estimates.local_prefill_s(
             pool.endpoints_by_id[engine_id], submit
         )
-        return placement.Pair(engine_id, engine_id, cost_s)
+        return pair_selection.EnginePair(engine_id, engine_id, cost_s)
 
-    def choose_decode(
+    def select_decode(
         self,
         pool: pools.Pool,
         submit: messages.Submit,
         slots: int,
         prefill: model.Endpoint,
         now: float,
-    ) -> placement.Pair | None:
+    ) -> pair_selection.EnginePair | None:
         """Selects a decode engine for a completed prefill.
 
         Args:
@@ -111,8 +114,8 @@
         Returns:
           The best pair, None if the request has to wait.
         """
-        return placement.choose(
-            [placement.Candidate(prefill.id, 0.0)],
+        return pair_selection.select_pair(
+            [pair_selection.Candidate(prefill.id, 0.0)],
             self._decode_candidates(pool, submit, slots, now),
             lambda _, decode_id: estimates.transfer_s(
                 prefill, pool.endpoints_by_id[decode_id], submit.prompt_tokens
@@ -121,48 +124,48 @@
 
     def _prefill_candidates(
         self, pool: pools.Pool, submit: messages.Submit, now: float
-    ) -> list[placement.Candidate]:
+    ) -> list[pair_selection.Candidate]:
         candidates = []
-        left_alone = self._health.left_alone(pool.prefills)
-        all_ejected = len(left_alone) == len(pool.prefills)
+        ejected_engine_ids = self._health.ejected_engine_ids(pool.prefills)
+        all_ejected = len(ejected_engine_ids) == len(pool.prefills)
         for endpoint in pool.prefills:
-            if not pool.holding(endpoint.id).fits(1, now):
+            if not pool.lease(endpoint.id).fits(1, now):
                 continue
-            is_probe = endpoint.id in left_alone
+            is_probe = endpoint.id in ejected_engine_ids
             if is_probe and not self._may_probe(
                 pool, endpoint, submit, now, all_ejected
             ):
                 continue
             cost_s = pool.prefill_wait_s(endpoint, submit)
             cost_s += self._cross_zone_s(endpoint)
-            candidates.append(placement.Candidate(endpoint.id, cost_s))
+            candidates.append(pair_selection.Candidate(endpoint.id, cost_s))
         return candidates
 
     def _decode_candidates(
         self, pool: pools.Pool, submit: messages.Submit, slots: int, now: float
-    ) -> list[placement.Candidate]:
+    ) -> list[pair_selection.Candidate]:
         candidates = []
-        left_alone = self._health.left_alone(pool.decodes)
-        all_ejected = len(left_alone) == len(pool.decodes)
+        ejected_engine_ids = self._health.ejected_engine_ids(pool.decodes)
+        all_ejected = len(ejected_engine_ids) == len(pool.decodes)
         for endpoint in pool.decodes:
-            holding = pool.holding(endpoint.id)
-            if not holding.fits(slots, now):
+            lease = pool.lease(endpoint.id)
+            if not lease.fits(slots, now):
                 continue
             # Short requests leave KV cache memory free when the engine already
             # runs its maximum number of requests. It would reject one more only
             # after the prefill of the prompt.
-            if endpoint.places and holding.running >= endpoint.places:
+            if endpoint.places and lease.running >= endpoint.places:
                 continue
-            is_probe = endpoint.id in left_alone
+            is_probe = endpoint.id in ejected_engine_ids
             if is_probe and not self._may_probe(
                 pool, endpoint, submit, now, all_ejected
             ):
                 continue
-            occupancy = holding.used / max(endpoint.slots, 1)
+            occupancy = lease.used / max(endpoint.slots, 1)
             cost_s = self._cross_zone_s(endpoint) * (1 + occupancy)
             if endpoint.block_tokens:
                 cost_s += occupancy * _FULL_MEMORY_COST_S
-            candidates.append(placement.Candidate(endpoint.id, cost_s))
+            candidates.append(pair_selection.Candidate(endpoint.id, cost_s))
         return candidates
 
     def _may_probe(
@@ -176,7 +179,7 @@
         # A probe is likely to fail and costs less with a short prompt. Prompts
         # are compared with the pool's mean length: with a fixed limit, an
         # engine of a pool whose prompts are all longer would never be probed.
-        is_short_prompt = submit.prompt_tokens <= pool.usual_prompt_tokens
+        is_short_prompt = submit.prompt_tokens <= pool.mean_prompt_tokens
         # An engine that is still unreachable is detected before the prefill.
         is_cheap = is_short_prompt or self._health.was_unreachable(endpoint.id)
         usable = self._health.usable(endpoint.id, now, last_resort=all_ejected)
--- a/src/cowsliprill/decisions/subset.py
+++ b/src/cowsliprill/decisions/engine_subset.py
@@ -13,11 +13,11 @@
 # Engines of one pool, per kind, that an entry process uses. At 50 requests per
 # second of a few seconds each, an entry process fills about a dozen decode
 # engines.
-PREFILLS_MAX = 8
-DECODES_MAX = 24
+MAX_PREFILL_ENGINES = 8
+MAX_DECODE_ENGINES = 24
 
 
-def choose(
+def choose_engines(
     endpoints: Iterable[model.Endpoint],
     limit: int,
     seed: int,
--- a/src/cowsliprill/decisions/estimates.py
+++ b/src/cowsliprill/decisions/estimates.py
@@ -32,7 +32,7 @@
     return _PREFILL_OVERHEAD_S + (tokens / speed if speed > 0 else 0.0)
 
 
-def own_prefill_s(decode: model.Endpoint, submit: messages.Submit) -> float:
+def local_prefill_s(decode: model.Endpoint, submit: messages.Submit) -> float:
     """Returns the expected duration of a prefill on a decode engine.
 
     Args:
--- a/src/cowsliprill/decisions/failure_detector.py
+++ b/src/cowsliprill/decisions/failure_detector.py
@@ -36,9 +36,9 @@
 _EXTRA_PROBES = 6
 _STALE_AFTER_S = 2.0
 
-_ALIVE = records_lib.Standing.ALIVE
-_SUSPECT = records_lib.Standing.SUSPECT
-_DEAD = records_lib.Standing.DEAD
+_ALIVE = records_lib.MemberStatus.ALIVE
+_SUSPECT = records_lib.MemberStatus.SUSPECT
+_DEAD = records_lib.MemberStatus.DEAD
 
 
 class FailureDetector:
@@ -167,9 +167,9 @@
     def _declare(
         self,
         member: member_table.Member,
-        status: records_lib.Standing,
+        status: records_lib.MemberStatus,
         now: float,
     ) -> None:
-        update = records_lib.News(record=member.record, standing=status)
+        update = records_lib.GossipUpdate(record=member.record, status=status)
         self._table.apply(update, now)
         self._gossip.add(member.record.id)
--- a/src/cowsliprill/decisions/fencing.py
+++ b/src/cowsliprill/decisions/fencing.py
@@ -5,12 +5,12 @@
 coordinators at the same revision send the same order. An engine that checks
 fencing tokens refuses every outdated order. For engines that don't, the
 coordinator checks its own state before each order, reads the engine's actual
-target back every `READ_S` seconds and corrects it.
+target back every `READ_BACK_INTERVAL_S` seconds and corrects it.
 
 Known limitation for engines that don't check tokens: if a coordinator is paused
 between its last check and sending the order, or the order is delayed in a
 network buffer, an outdated order takes effect. It stays in effect until the
-current coordinator reads the engine back, at most `READ_S` later,
+current coordinator reads the engine back, at most `READ_BACK_INTERVAL_S` later,
 and sends its own order, which `MIN_LOAD_INTERVAL_S` may delay further.
 """
 
@@ -20,7 +20,7 @@
 
 from cowsliprill.decisions import model
 
-READ_S = 5.0
+READ_BACK_INTERVAL_S = 5.0
 # Minimum interval between orders of a coordinator that make an engine load a
 # model, because the weight store is rate limited and shared by all
 # coordinators.
@@ -33,10 +33,10 @@
 # exchanges updates with its peers again.
 RESUME_DELAY_S = 5.0
 # Validity of the answers from the other VMs of the availability zone.
-HEARD_S = 2.0
+ZONE_REPORT_VALID_S = 2.0
 
 
-class Hold(enum.StrEnum):
+class HoldReason(enum.StrEnum):
     """Why a coordinator holds an order back.
 
     Attributes:
@@ -60,19 +60,19 @@
 
     Attributes:
       listed: Number of those VMs that the VM list marks as live.
-      heard: How many of them answered.
+      responded: How many of them answered.
       highest_revision: Highest revision in force at the VMs that answered.
       at: When the VMs were asked, seconds.
     """
 
     listed: int
-    heard: int
+    responded: int
     highest_revision: int
     at: float
 
-    def hears_most(self) -> bool:
+    def has_majority(self) -> bool:
         """Returns whether this VM and those that answered are a majority."""
-        return 2 * (self.heard + 1) > self.listed + 1
+        return 2 * (self.responded + 1) > self.listed + 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -135,7 +135,7 @@
     read: ReadBack | None = None
 
 
-class OrderBook:
+class TargetReconciler:
     """Decides which orders the engines of this coordinator need, and when.
 
     Args:
@@ -149,7 +149,7 @@
         self._resumed_at = float("-inf")
         self._load_sent_at = float("-inf")
 
-    def look(self, now: float) -> bool:
+    def detect_pause(self, now: float) -> bool:
         """Detects pauses of the process; to be called several times a second.
 
         Args:
@@ -165,7 +165,7 @@
             self._resumed_at = now
         return paused
 
-    def see_engines(
+    def update_engines(
         self, revision: int, endpoints: Iterable[model.Endpoint]
     ) -> None:
         """Replaces the set of engines and their targets.
@@ -185,7 +185,7 @@
             if endpoint.target is not None
         }
 
-    def to_read(self, now: float) -> list[str]:
+    def due_read_backs(self, now: float) -> list[str]:
         """Returns the ids of the engines that are due to be read back.
 
         Args:
@@ -194,10 +194,10 @@
         return [
             endpoint_id
             for endpoint_id, engine in self._engines_by_id.items()
-            if now - engine.read_at >= READ_S
+            if now - engine.read_at >= READ_BACK_INTERVAL_S
         ]
 
-    def see_read_back(
+    def record_read_back(
         self, endpoint_id: str, read: ReadBack | None, now: float
     ) -> None:
         """Records the result of reading an engine back.
@@ -213,9 +213,9 @@
         engine.read_at = now
         engine.read = read
         if read is not None:
-            self.see_fencing(endpoint_id, read.fencing)
+            self.record_fencing_token(endpoint_id, read.fencing)
 
-    def see_fencing(self, endpoint_id: str, fencing: int) -> None:
+    def record_fencing_token(self, endpoint_id: str, fencing: int) -> None:
         """Records a fencing token that an engine has accepted.
 
         Args:
@@ -226,8 +226,8 @@
         if engine is not None:
             engine.highest_token = max(engine.highest_token, fencing)
 
-    def wanted(self, now: float) -> list[Order]:
-        """Returns the orders to send as soon as `hold` permits them.
+    def needed_orders(self, now: float) -> list[Order]:
+        """Returns the orders to send as soon as `hold_reason` permits them.
 
         Args:
           now: Current time in seconds.
@@ -235,7 +235,7 @@
         orders = []
         for endpoint_id, engine in self._engines_by_id.items():
             read = engine.read
-            if read is None or now - engine.read_at > READ_S:
+            if read is None or now - engine.read_at > READ_BACK_INTERVAL_S:
                 continue
             if read.target == engine.target and _has_current_token(
                 engine, read
@@ -250,19 +250,19 @@
             )
         return orders
 
-    def hold(
+    def hold_reason(
         self,
         order: Order,
         *,
-        is_home: bool,
+        is_coordinator: bool,
         zone: ZoneReport | None,
         now: float,
-    ) -> Hold | None:
+    ) -> HoldReason | None:
         """Checks immediately before sending whether an order may be sent.
 
         Args:
           order: The order.
-          is_home: Whether this VM is the engine's coordinator by the
+          is_coordinator: Whether this VM is the engine's coordinator by the
             newest VM list.
           zone: Last answers of the zone's other VMs, None before the first.
           now: Current time in seconds, read right before the call.
@@ -270,28 +270,32 @@
         Returns:
           The reason to hold the order back, or None if it may be sent.
         """
-        self.look(now)
+        self.detect_pause(now)
         engine = self._engines_by_id.get(order.endpoint_id)
-        if engine is None or not is_home:
-            return Hold.NOT_HOME
+        if engine is None or not is_coordinator:
+            return HoldReason.NOT_HOME
         if now - self._resumed_at < RESUME_DELAY_S:
-            return Hold.JUST_WOKEN
+            return HoldReason.JUST_WOKEN
         if engine.highest_token > order.fencing:
-            return Hold.BEHIND
+            return HoldReason.BEHIND
         if order.fencing != fencing_token(self._revision):
-            return Hold.BEHIND
-        if zone is None or now - zone.at > HEARD_S or not zone.hears_most():
-            return Hold.CUT_OFF
+            return HoldReason.BEHIND
+        if (
+            zone is None
+            or now - zone.at > ZONE_REPORT_VALID_S
+            or not zone.has_majority()
+        ):
+            return HoldReason.CUT_OFF
         if zone.highest_revision > self._revision:
-            return Hold.BEHIND
+            return HoldReason.BEHIND
         causes_load = (
             engine.read is not None and engine.read.target != order.target
         )
         if causes_load and now - self._load_sent_at < MIN_LOAD_INTERVAL_S:
-            return Hold.RATE
+            return HoldReason.RATE
         return None
 
-    def sent(self, order: Order, now: float) -> None:
+    def record_sent(self, order: Order, now: float) -> None:
         """Records that an order was sent and schedules a read-back.
 
         Args:
--- a/src/cowsliprill/decisions/freshness.py
+++ b/src/cowsliprill/decisions/freshness.py
@@ -45,7 +45,7 @@
         return math.isfinite(self._max_staleness_s)
 
     @property
-    def watch_s(self) -> float:
+    def watch_timeout_s(self) -> float:
         """Longest timeout of a watch of the settings in seconds."""
         return self._max_staleness_s * _WATCH_TIMEOUT_FRACTION
 
@@ -65,7 +65,7 @@
         """
         return now - self._confirmed_at
 
-    def honours_keys(self, now: float) -> bool:
+    def accepts_api_keys(self, now: float) -> bool:
         """Returns whether API keys of the active settings may be accepted.
 
         Args:
@@ -75,7 +75,7 @@
             return True
         return self.age_s(now) <= self._max_staleness_s * _ACCEPT_KEYS_FRACTION
 
-    def must_ask_peers(self, now: float) -> bool:
+    def must_query_peers(self, now: float) -> bool:
         """Returns whether to query peers for newer settings.
 
         Args:
@@ -83,7 +83,7 @@
         """
         return self.age_s(now) > self._max_staleness_s * _QUERY_PEERS_FRACTION
 
-    def must_ask_store(self, now: float) -> bool:
+    def must_query_store(self, now: float) -> bool:
         """Returns whether to query the store, even if this VM is no reader.
 
         Args:
--- a/src/cowsliprill/decisions/health.py
+++ b/src/cowsliprill/decisions/health.py
@@ -55,7 +55,7 @@
     last_good_transfer_at: float = 0.0
 
 
-class Health:
+class EngineHealth:
     """Tracks failures and slowness of engines and ejects the affected ones."""
 
     def __init__(self) -> None:
@@ -86,7 +86,9 @@
         state = self._states_by_endpoint.get(endpoint_id)
         return state is not None and state.ejected
 
-    def left_alone(self, endpoints: Collection[model.Endpoint]) -> set[str]:
+    def ejected_engine_ids(
+        self, endpoints: Collection[model.Endpoint]
+    ) -> set[str]:
         """Returns which engines of one kind are ejected.
 
         If all of them are, those that are slow but don't fail are left out: the
@@ -112,7 +114,7 @@
             if self._states_by_endpoint[endpoint_id].failing
         }
 
-    def placed(self, endpoint_id: str, now: float) -> bool:
+    def record_placement(self, endpoint_id: str, now: float) -> bool:
         """Records that a request was placed on an engine.
 
         If the engine is ejected, the request is a probe, and no other request
@@ -131,13 +133,15 @@
         state.probe_expires_at = now + _PROBE_TIMEOUT_S
         return True
 
-    def probe_ended(self, endpoint_id: str) -> None:
+    def end_probe(self, endpoint_id: str) -> None:
         """Records the end of a probe, whatever its outcome."""
         state = self._states_by_endpoint.get(endpoint_id)
         if state is not None:
             state.probe_expires_at = 0.0
 
-    def answered(self, endpoint_id: str, sent_at: float = math.inf) -> None:
+    def record_success(
+        self, endpoint_id: str, sent_at: float = math.inf
+    ) -> None:
         """Records a successful response.
 
         Readmits the engine if it was ejected for a failure. An engine that was
@@ -152,7 +156,7 @@
         if state is not None and state.failing:
             self._record_good(state, sent_at)
 
-    def failed(
+    def record_failure(
         self, endpoint_id: str, now: float, *, unreachable: bool = False
     ) -> None:
         """Records a failure and ejects the engine at once.
@@ -172,7 +176,7 @@
         state = self._states_by_endpoint.get(endpoint_id)
         return state is not None and state.unreachable
 
-    def pace(
+    def record_token_time_ratio(
         self,
         endpoint_id: str,
         ratio: float,
@@ -193,7 +197,7 @@
         else:
             self._record_good(state, sent_at)
 
-    def transfer(
+    def record_transfer(
         self,
         prefill_id: str,
         decode_id: str,
@@ -230,13 +234,13 @@
         blamed = min(states, key=lambda state: state.last_good_transfer_at)
         self._record_slow(blamed, now)
 
-    def forget(self, endpoint_id: str) -> None:
+    def reset(self, endpoint_id: str) -> None:
         """Drops the state of an engine that has restarted."""
         state = self._states_by_endpoint.pop(endpoint_id, None)
         if state is not None:
             self._ejected_count -= state.ejected
 
-    def forget_except(self, endpoint_ids: set[str]) -> None:
+    def retain(self, endpoint_ids: set[str]) -> None:
         """Drops the state of engines that were removed."""
         for endpoint_id in self._states_by_endpoint.keys() - endpoint_ids:
             self._ejected_count -= self._states_by_endpoint.pop(
--- a/src/cowsliprill/decisions/leadership.py
+++ b/src/cowsliprill/decisions/leadership.py
@@ -13,7 +13,7 @@
 
 import dataclasses
 
-from cowsliprill.decisions import ownership
+from cowsliprill.decisions import rendezvous
 
 # Two VMs must not send orders to the same engine within this time.
 LEASE_S = 3.0
@@ -22,7 +22,7 @@
 # previous leader, know the new VM: two heartbeats of 1 s, one of them lost.
 _PROPAGATION_S = 2.0
 
-# `look` is called several times a second. A longer gap means that the
+# `observe` is called several times a second. A longer gap means that the
 # process or its VM was paused, and that its knowledge is as old as the gap.
 OBSERVATION_GAP_MAX_S = 1.0
 
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Electorate:
+class MembershipView:
     """The membership as one process knows it.
 
     Attributes:
@@ -55,7 +55,7 @@
             2 * self.alive_count > len(self.known_ids) + self.undiscovered_seeds
         )
 
-    def calm_s(self) -> float:
+    def stabilization_s(self) -> float:
         """Returns the stabilization period before a VM may lead, in seconds.
 
         A previous leader goes on until it learns of this VM, or until the VMs
@@ -63,14 +63,15 @@
         """
         return self.failure_timeout_s + _PROPAGATION_S + LEASE_S
 
-    def first(self, pool: str) -> str:
+    def leader_of(self, pool: str) -> str:
         """Returns the id of a pool's leader by rendezvous hashing.
 
         Args:
           pool: Name of the pool.
         """
         return max(
-            self.known_ids, key=lambda vm: (ownership.score(vm, pool), vm)
+            self.known_ids,
+            key=lambda vm: (rendezvous.rendezvous_score(vm, pool), vm),
         )
 
 
@@ -78,48 +79,48 @@
     """Tracks whether this process may send orders to engines."""
 
     def __init__(self) -> None:
-        self._electorate: Electorate | None = None
+        self._membership_view: MembershipView | None = None
         self._observed_at = 0.0
         self._stable_since = 0.0
 
-    def look(self, electorate: Electorate, now: float) -> None:
+    def observe(self, membership_view: MembershipView, now: float) -> None:
         """Records the current membership.
 
         Args:
-          electorate: The membership.
+          membership_view: The membership.
           now: Current time in seconds, by a clock that goes on while the VM is
             suspended.
         """
-        before = self._electorate
+        before = self._membership_view
         stable = (
             before is not None
-            and before.known_ids == electorate.known_ids
-            and electorate.has_majority()
+            and before.known_ids == membership_view.known_ids
+            and membership_view.has_majority()
             and now - self._observed_at <= OBSERVATION_GAP_MAX_S
         )
         if not stable:
             self._stable_since = now
-        self._electorate = electorate
+        self._membership_view = membership_view
         self._observed_at = now
 
-    def leads(self, pool: str, now: float) -> bool:
+    def is_leader(self, pool: str, now: float) -> bool:
         """Returns whether this process may send orders to a pool's engines.
 
         Must be called directly before each order.
 
         Args:
           pool: Name of the pool.
-          now: Current time in seconds, as for `look`.
+          now: Current time in seconds, as for `observe`.
         """
-        electorate = self._electorate
+        membership_view = self._membership_view
         if (
-            electorate is None
+            membership_view is None
             or now - self._observed_at > OBSERVATION_GAP_MAX_S
         ):
             return False
-        if now - self._stable_since < electorate.calm_s():
+        if now - self._stable_since < membership_view.stabilization_s():
             return False
-        return electorate.first(pool) == electorate.own
+        return membership_view.leader_of(pool) == membership_view.own
 
 
 class FencingTokens:
@@ -136,7 +137,7 @@
     """
 
     def __init__(self, own: str) -> None:
-        self._tie_breaker = ownership.score(own, "") % _TIE_BREAKERS
+        self._tie_breaker = rendezvous.rendezvous_score(own, "") % _TIE_BREAKERS
         self._last_ms = 0
 
     def next(self, wall_clock_ms: int) -> int:
--- a/src/cowsliprill/decisions/news.py
+++ b/src/cowsliprill/decisions/leaving_notices.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class LeavingItem:
+class LeavingNotice:
     """A notice that an endpoint is leaving.
 
     Attributes:
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _StoredNotice:
-    item: LeavingItem
+    item: LeavingNotice
     expires_at: float
 
 
-class LeavingNews:
+class LeavingNotices:
     """The notices known to one VM.
 
     Args:
@@ -64,7 +64,7 @@
 
     def report(
         self, endpoint_id: str, ttl_s: float, now: float
-    ) -> LeavingItem | None:
+    ) -> LeavingNotice | None:
         """Creates a notice from a report of a local process.
 
         Args:
@@ -81,15 +81,15 @@
         if self._remaining_s(endpoint_id, now) >= ttl_s / 2:
             return None
         self._number += 1
-        item = LeavingItem(
+        item = LeavingNotice(
             endpoint_id=endpoint_id,
             origin=self._vm,
             number=self._number,
             ttl_s=ttl_s,
         )
-        return item if self.hear(item, now) else None
+        return item if self.receive(item, now) else None
 
-    def hear(self, item: LeavingItem, now: float) -> bool:
+    def receive(self, item: LeavingNotice, now: float) -> bool:
         """Stores a notice of a peer.
 
         A notice that is known already is ignored. Otherwise each exchange
@@ -122,7 +122,7 @@
             if notice.expires_at > now
         )
 
-    def items(self, now: float) -> list[LeavingItem]:
+    def items(self, now: float) -> list[LeavingNotice]:
         """Returns the notices that haven't expired, with the remaining TTL.
 
         Args:
@@ -166,7 +166,7 @@
         }
 
 
-def leaving_by_list(
+def leaving_by_vm_list(
     endpoints: Iterable[model.Endpoint], vms_by_id: dict[str, model.Vm]
 ) -> frozenset[str]:
     """Returns the ids of endpoints whose VM is leaving by the VM list.
@@ -186,7 +186,7 @@
     )
 
 
-def fan_out(peers: int, *, from_platform: bool = False) -> int:
+def gossip_fanout(peers: int, *, from_platform: bool = False) -> int:
     """Returns the gossip fanout: the number of peers to send an update to.
 
     If each VM that receives a new update sends it to ln(n) + 1 others, the
@@ -204,7 +204,7 @@
     return min(peers, math.ceil(math.log(peers + 1)) + 1) if peers else 0
 
 
-def choose_peers(
+def sample_peers(
     peers: Iterable[str], count: int, random_source: random.Random
 ) -> list[str]:
     """Draws peers at random.
--- a/src/cowsliprill/decisions/mechanisms.py
+++ b/src/cowsliprill/decisions/mechanisms.py
@@ -19,53 +19,55 @@
 
     Attributes:
       CONNECTION_SHARES: Limit on each VM's connections to an endpoint.
-      DECODE_PLACES: Limit on an engine's concurrent decodes
+      DECODE_CONCURRENCY_LIMIT: Limit on an engine's concurrent decodes
         besides the one on its KV cache memory.
-      FEW_READERS: Only a few VMs of each availability zone watch
+      DESIGNATED_READERS: Only a few VMs of each availability zone watch
         the registry's store.
-      LATE_QUEUE: Requests stay queued past their target while the
+      QUEUE_PAST_TARGET: Requests stay queued past their target while the
         output is still of use, until callers are expected to disconnect.
-      LEARNT_SPEEDS: Measured engine speeds replace the configured defaults.
-      ONE_LIFE_AN_ADDRESS: Of several registry entries with one
+      ESTIMATED_SPEEDS: Measured engine speeds replace the configured defaults.
+      ONE_INCARNATION_PER_ADDRESS: Of several registry entries with one
         address, only the latest incarnation is used.
-      OWN_READING: Local prefill on decode engines.
-      PEER_NEWS: VMs get registry updates from each other.
+      LOCAL_PREFILL: Local prefill on decode engines.
+      PEER_UPDATES: VMs get registry updates from each other.
       ROLE_ORDERS: Engines are switched between prefill and decode.
-      SERVER_COMPARISON: Servers of plain services are ejected by their failure
+      OUTLIER_DETECTION: Servers of plain services are ejected by their failure
         rate compared with that of their peers.
-      SIZE_WORTH: Larger requests of a service count as more valuable.
+      SIZE_VALUE: Larger requests of a service count as more valuable.
     """
 
     CONNECTION_SHARES = "connection_shares"
-    DECODE_PLACES = "decode_places"
-    FEW_READERS = "few_readers"
-    LATE_QUEUE = "late_queue"
-    LEARNT_SPEEDS = "learnt_speeds"
-    ONE_LIFE_AN_ADDRESS = "one_life_an_address"
-    OWN_READING = "own_reading"
-    PEER_NEWS = "peer_news"
+    DECODE_CONCURRENCY_LIMIT = "decode_places"
+    DESIGNATED_READERS = "few_readers"
+    QUEUE_PAST_TARGET = "late_queue"
+    ESTIMATED_SPEEDS = "learnt_speeds"
+    ONE_INCARNATION_PER_ADDRESS = "one_life_an_address"
+    LOCAL_PREFILL = "own_reading"
+    PEER_UPDATES = "peer_news"
     ROLE_ORDERS = "role_orders"
-    SERVER_COMPARISON = "server_comparison"
-    SIZE_WORTH = "size_worth"
+    OUTLIER_DETECTION = "server_comparison"
+    SIZE_VALUE = "size_worth"
 
 
-Off = Collection[Mechanism]
+DisabledMechanisms = Collection[Mechanism]
 
 
 # Field values of endpoints and services that disable a mechanism.
 _ENDPOINT_OVERRIDES = {
     Mechanism.CONNECTION_SHARES: {"connections_max": 0},
-    Mechanism.DECODE_PLACES: {"places": 0},
-    Mechanism.LEARNT_SPEEDS: {"speeds_guessed": False},
-    Mechanism.OWN_READING: {"own_prefill_tokens_per_s": 0.0},
+    Mechanism.DECODE_CONCURRENCY_LIMIT: {"places": 0},
+    Mechanism.ESTIMATED_SPEEDS: {"speeds_guessed": False},
+    Mechanism.LOCAL_PREFILL: {"own_prefill_tokens_per_s": 0.0},
 }
 _SERVICE_OVERRIDES = {
-    Mechanism.LATE_QUEUE: {"patience_s": 0.0},
-    Mechanism.SIZE_WORTH: {"worth_by_size": 0.0},
+    Mechanism.QUEUE_PAST_TARGET: {"patience_s": 0.0},
+    Mechanism.SIZE_VALUE: {"worth_by_size": 0.0},
 }
 
 
-def endpoint(original: model.Endpoint, disabled: Off) -> model.Endpoint:
+def endpoint(
+    original: model.Endpoint, disabled: DisabledMechanisms
+) -> model.Endpoint:
     """Returns an endpoint with the fields of disabled mechanisms cleared.
 
     Args:
@@ -77,7 +79,7 @@
 
 
 def services(
-    originals_by_id: dict[str, model.Service], disabled: Off
+    originals_by_id: dict[str, model.Service], disabled: DisabledMechanisms
 ) -> dict[str, model.Service]:
     """Returns services with the fields of disabled mechanisms cleared.
 
@@ -97,7 +99,7 @@
 
 def _overrides(
     overrides_by_mechanism: Mapping[Mechanism, Mapping[str, Any]],
-    disabled: Off,
+    disabled: DisabledMechanisms,
 ) -> dict[str, Any]:
     return {
         name: value
--- a/src/cowsliprill/decisions/member_records.py
+++ b/src/cowsliprill/decisions/member_records.py
@@ -25,8 +25,8 @@
         coordinator.
       leaving: Whether the process accepts no more work.
       cores: Processor cores that the process may use, 0 if unknown.
-      blind: Whether the process can't read the registry's store.
-      changing: Role changes that the process has ordered from
+      store_unreachable: Whether the process can't read the registry's store.
+      pending_role_changes: Role changes that the process has ordered from
         engines and that the registry doesn't show yet, as pairs of endpoint id
         and target role.
     """
@@ -40,8 +40,8 @@
     ready: bool = False
     leaving: bool = False
     cores: float = 0.0
-    blind: bool = False
-    changing: tuple[tuple[str, str], ...] = ()
+    store_unreachable: bool = False
+    pending_role_changes: tuple[tuple[str, str], ...] = ()
 
     @property
     def address(self) -> Address:
@@ -53,7 +53,7 @@
         return (self.incarnation, self.version)
 
 
-class Standing(enum.IntEnum):
+class MemberStatus(enum.IntEnum):
     """Status of a member in the view of others; the highest one wins.
 
     Statuses are compared only for the same version of a record.
@@ -65,20 +65,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class News:
+class GossipUpdate:
     """A gossip update: a member's record and its status.
 
     Attributes:
       record: The member's record.
-      standing: The member's status in the view of the update's sender.
+      status: The member's status in the view of the update's sender.
     """
 
     record: Record
-    standing: Standing = Standing.ALIVE
+    status: MemberStatus = MemberStatus.ALIVE
 
     def precedence(self) -> tuple[int, int, int]:
         """Returns the sort key by which one update overrides another."""
-        return (*self.record.version_key(), self.standing)
+        return (*self.record.version_key(), self.status)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -87,26 +87,26 @@
 
     Attributes:
       sender: The sender's own record.
-      newest: Revision of the newest registry change known to the
+      newest_revisions: Revision of the newest registry change known to the
         sender, one for each followed key prefix.
       digest: Digest of the sender's member table.
-      known: Number of members in the sender's table, dead ones and the
+      member_count: Number of members in the sender's table, dead ones and the
         sender included.
-      watched: Whether the receiver is asked to monitor the sender's
+      monitored: Whether the receiver is asked to monitor the sender's
         heartbeats.
       ping: Whether the receiver must reply at once.
-      news: Gossip updates about members.
+      updates: Gossip updates about members.
       digests: Digests of the buckets of the sender's table, if it asks for the
         buckets that differ; else empty.
     """
 
     sender: Record
-    newest: tuple[int, ...] = ()
+    newest_revisions: tuple[int, ...] = ()
     digest: int = 0
-    known: int = 0
-    watched: bool = False
+    member_count: int = 0
+    monitored: bool = False
     ping: bool = False
-    news: tuple[News, ...] = ()
+    updates: tuple[GossipUpdate, ...] = ()
     digests: tuple[int, ...] = ()
 
 
--- a/src/cowsliprill/decisions/member_table.py
+++ b/src/cowsliprill/decisions/member_table.py
@@ -33,7 +33,7 @@
         for each key prefix.
     """
 
-    update: records_lib.News
+    update: records_lib.GossipUpdate
     status_changed_at: float = 0.0
     last_received_at: float = -math.inf
     monitored: bool = False
@@ -45,9 +45,9 @@
         return self.update.record
 
     @property
-    def status(self) -> records_lib.Standing:
+    def status(self) -> records_lib.MemberStatus:
         """The member's status."""
-        return self.update.standing
+        return self.update.status
 
 
 class MemberTable:
@@ -66,7 +66,7 @@
         self.members_by_id: dict[str, Member] = {}
         self.digests = [0] * BUCKETS
         self.revision = 0
-        self._own = records_lib.News(record=own)
+        self._own = records_lib.GossipUpdate(record=own)
         self._toggle_digest(self._own)
 
     @property
@@ -77,7 +77,7 @@
     @own.setter
     def own(self, record: records_lib.Record) -> None:
         self._toggle_digest(self._own)
-        self._own = records_lib.News(record=record)
+        self._own = records_lib.GossipUpdate(record=record)
         self._toggle_digest(self._own)
         self.revision += 1
 
@@ -88,7 +88,7 @@
             whole ^= bucket_digest
         return whole
 
-    def apply(self, update: records_lib.News, now: float) -> bool:
+    def apply(self, update: records_lib.GossipUpdate, now: float) -> bool:
         """Applies an update about another member.
 
         Args:
@@ -109,7 +109,7 @@
             return True
         if update.precedence() <= member.update.precedence():
             return False
-        if update.standing is not member.status:
+        if update.status is not member.status:
             member.status_changed_at = now
         self._toggle_digest(member.update)
         member.update = update
@@ -119,7 +119,7 @@
 
     def alive(self) -> list[Member]:
         """Returns the other members that are alive or suspect."""
-        dead = records_lib.Standing.DEAD
+        dead = records_lib.MemberStatus.DEAD
         return [
             member
             for member in self.members_by_id.values()
@@ -128,14 +128,16 @@
 
     def dead(self) -> list[Member]:
         """Returns the other members that are considered dead."""
-        dead = records_lib.Standing.DEAD
+        dead = records_lib.MemberStatus.DEAD
         return [
             member
             for member in self.members_by_id.values()
             if member.status is dead
         ]
 
-    def differing(self, digests: Iterable[int]) -> list[records_lib.News]:
+    def differing(
+        self, digests: Iterable[int]
+    ) -> list[records_lib.GossipUpdate]:
         """Returns the updates in buckets that differ from another table's.
 
         Args:
@@ -155,7 +157,7 @@
             if _bucket(update.record.id) in buckets
         ]
 
-    def _toggle_digest(self, update: records_lib.News) -> None:
+    def _toggle_digest(self, update: records_lib.GossipUpdate) -> None:
         # XOR: the same call adds an update to the digest or removes it.
         self.digests[_bucket(update.record.id)] ^= _digest(update)
 
@@ -164,9 +166,9 @@
     return xxhash.xxh3_64_intdigest(member_id.encode()) % BUCKETS
 
 
-def _digest(update: records_lib.News) -> int:
+def _digest(update: records_lib.GossipUpdate) -> int:
     # SUSPECT is left out, since a suspicion ends by itself within seconds.
     record = update.record
-    dead = update.standing is records_lib.Standing.DEAD
+    dead = update.status is records_lib.MemberStatus.DEAD
     text = f"{record.id}\0{record.incarnation}\0{record.version}\0{dead}"
     return xxhash.xxh32_intdigest(text.encode())
--- a/src/cowsliprill/decisions/membership.py
+++ b/src/cowsliprill/decisions/membership.py
@@ -19,13 +19,13 @@
 from collections.abc import Iterable
 from collections.abc import Iterator
 
+from cowsliprill.decisions import anti_entropy
 from cowsliprill.decisions import failure_detector as detector_lib
 from cowsliprill.decisions import gossip as gossip_lib
 from cowsliprill.decisions import leadership
 from cowsliprill.decisions import member_records as records_lib
 from cowsliprill.decisions import member_table
-from cowsliprill.decisions import table_comparison
-from cowsliprill.decisions import watchers as monitors_lib
+from cowsliprill.decisions import monitors as monitors_lib
 
 HEARTBEAT_S = 1.0
 
@@ -37,7 +37,7 @@
 _CONTACT_TIMEOUT_S = 1.5
 
 _Messages = list[records_lib.Outgoing]
-_ALIVE = records_lib.Standing.ALIVE
+_ALIVE = records_lib.MemberStatus.ALIVE
 
 
 class Membership:
@@ -50,7 +50,7 @@
 
     Attributes:
       seeds: Addresses to contact while they aren't known as members.
-      newest_heard: Highest registry revision that any member reported, one
+      newest_reported: Highest registry revision that any member reported, one
         for each key prefix.
     """
 
@@ -68,13 +68,13 @@
         self._random = rng
         self._newest_revisions: tuple[int, ...] = ()
         self._newest_revisions_sent: tuple[int, ...] = ()
-        self.newest_heard: tuple[int, ...] = ()
+        self.newest_reported: tuple[int, ...] = ()
         self._monitors = monitors_lib.Monitors(self._table, rng)
         self._last_heartbeat_at = -math.inf
         self._detector = detector_lib.FailureDetector(
             self._table, self._gossip, rng, TICK_S
         )
-        self._anti_entropy = table_comparison.AntiEntropy()
+        self._anti_entropy = anti_entropy.AntiEntropy()
 
     # Queries.
 
@@ -97,7 +97,7 @@
         """Returns the records of the live members, without the own one."""
         return [member.record for member in self._alive()]
 
-    def known(self) -> int:
+    def member_count(self) -> int:
         """Returns the number of members ever seen, this process included.
 
         Dead members count: shares that are divided by the number of members
@@ -106,16 +106,20 @@
         """
         return len(self._table.members_by_id) + 1
 
-    def heard_part(self) -> float:
+    def reachable_fraction(self) -> float:
         """Returns the fraction of all members ever seen that are alive."""
-        return (len(self._alive()) + 1) / self.known()
+        return (len(self._alive()) + 1) / self.member_count()
 
-    def changing(self) -> frozenset[tuple[str, str]]:
+    def pending_role_changes(self) -> frozenset[tuple[str, str]]:
         """Returns role changes that live members have ordered from engines."""
         records = (self.own, *self.alive())
-        return frozenset(pair for record in records for pair in record.changing)
+        return frozenset(
+            pair for record in records for pair in record.pending_role_changes
+        )
 
-    def ahead(self, prefix: int, revision: int) -> list[records_lib.Record]:
+    def members_ahead(
+        self, prefix: int, revision: int
+    ) -> list[records_lib.Record]:
         """Returns the live members that reported newer registry changes.
 
         Args:
@@ -128,7 +132,7 @@
             if member.newest_revisions[prefix : prefix + 1] > (revision,)
         ]
 
-    def hears_somebody(self, now: float) -> bool:
+    def has_recent_contact(self, now: float) -> bool:
         """Returns whether a message of any member arrived recently.
 
         Args:
@@ -136,12 +140,12 @@
         """
         return self._detector.received_within(_CONTACT_TIMEOUT_S, now)
 
-    def electorate(self) -> leadership.Electorate:
+    def membership_view(self) -> leadership.MembershipView:
         """Returns the membership as the leader selection needs it."""
         members = self._table.members_by_id
         known_addresses = {member.record.address for member in members.values()}
         known_addresses.add(self.own.address)
-        return leadership.Electorate(
+        return leadership.MembershipView(
             own=self.own.id,
             known_ids=frozenset((self.own.id, *members)),
             alive_count=len(self._alive()) + 1,
@@ -162,7 +166,7 @@
 
     # Changes of this process's own state.
 
-    def tell_newest(self, revisions: tuple[int, ...]) -> None:
+    def publish_newest(self, revisions: tuple[int, ...]) -> None:
         """Sets the registry revisions to report in messages.
 
         Args:
@@ -171,7 +175,7 @@
         """
         self._newest_revisions = revisions
 
-    def tell(self, **changes: object) -> None:
+    def publish(self, **changes: object) -> None:
         """Changes the own record; the change is spread by gossip.
 
         Args:
@@ -203,7 +207,7 @@
             messages += self._heartbeat()
         return messages
 
-    def is_urgent(self) -> bool:
+    def has_unsent_updates(self) -> bool:
         """Returns whether there is an update that was never sent."""
         return (
             self._gossip.has_unsent()
@@ -220,7 +224,9 @@
           Messages to send.
         """
         self._newest_revisions_sent = self._newest_revisions
-        return [*self._gossip_round(self._gossip.next_round(self.known()))]
+        return [
+            *self._gossip_round(self._gossip.next_round(self.member_count()))
+        ]
 
     def receive(self, message: records_lib.Message, now: float) -> _Messages:
         """Handles a message of a member.
@@ -236,12 +242,14 @@
         if sender.id == self.own.id:
             # A seed address may be this process's own, and a message may come
             # from an earlier incarnation of it.
-            self._refute(records_lib.News(record=sender))
+            self._refute(records_lib.GossipUpdate(record=sender))
             return []
         self._detector.record_received(now)
-        self._apply_update(records_lib.News(record=sender), now)
+        self._apply_update(records_lib.GossipUpdate(record=sender), now)
         self._record_sender(message, now)
-        refuted = [self._apply_update(update, now) for update in message.news]
+        refuted = [
+            self._apply_update(update, now) for update in message.updates
+        ]
         self._anti_entropy.compare(message, self.digest, now)
         messages = [*self._sync_replies(message)]
         reply_wanted = (
@@ -253,7 +261,9 @@
 
     # Handling of updates.
 
-    def _apply_update(self, update: records_lib.News, now: float) -> bool:
+    def _apply_update(
+        self, update: records_lib.GossipUpdate, now: float
+    ) -> bool:
         """Applies an update; returns whether it was wrong about this process.
 
         Args:
@@ -264,19 +274,19 @@
             return self._refute(update)
         if self._table.apply(update, now):
             self._gossip.add(update.record.id)
-            if update.standing is _ALIVE:
+            if update.status is _ALIVE:
                 member = self._table.members_by_id[update.record.id]
                 member.monitored = False
         return False
 
-    def _refute(self, update: records_lib.News) -> bool:
+    def _refute(self, update: records_lib.GossipUpdate) -> bool:
         own = self.own
         if update.precedence() <= (*own.version_key(), _ALIVE):
-            if update.standing is not _ALIVE:
+            if update.status is not _ALIVE:
                 # It was refuted before, but the refutation didn't arrive: its
                 # receivers may be unreachable.
                 self._gossip.add(own.id)
-            return update.standing is not _ALIVE
+            return update.status is not _ALIVE
         if update.record.incarnation > own.incarnation:
             # The wall clock may have been set back since the last start. The
             # others would then ignore this process's updates as outdated.
@@ -290,12 +300,12 @@
     def _record_sender(self, message: records_lib.Message, now: float) -> None:
         member = self._table.members_by_id[message.sender.id]
         member.last_received_at = now
-        member.newest_revisions = message.newest
-        member.monitored = message.watched
-        self.newest_heard = tuple(
+        member.newest_revisions = message.newest_revisions
+        member.monitored = message.monitored
+        self.newest_reported = tuple(
             max(pair)
             for pair in itertools.zip_longest(
-                self.newest_heard, message.newest, fillvalue=0
+                self.newest_reported, message.newest_revisions, fillvalue=0
             )
         )
 
@@ -308,7 +318,7 @@
     def _knows_more_members(self, message: records_lib.Message) -> bool:
         # A member that few others know receives few messages. Without a reply
         # it would be the last one to learn of the others.
-        return message.known < self.known()
+        return message.member_count < self.member_count()
 
     def _set_own(self, record: records_lib.Record) -> None:
         self._table.own = record
@@ -322,7 +332,7 @@
 
     def _heartbeat(self) -> Iterator[records_lib.Outgoing]:
         released = self._monitors.rotate()
-        chosen = self._gossip.next_round(self.known())
+        chosen = self._gossip.next_round(self.member_count())
         updates = self._updates_of(chosen)
         yield from self._gossip_round(chosen)
         for member in released:
@@ -330,7 +340,7 @@
         yield from self._contact_dead_and_seeds(updates)
 
     def _contact_dead_and_seeds(
-        self, updates: tuple[records_lib.News, ...]
+        self, updates: tuple[records_lib.GossipUpdate, ...]
     ) -> Iterator[records_lib.Outgoing]:
         # A dead member is contacted at each heartbeat as well. After a network
         # partition each side considers the other dead, and nothing else would
@@ -396,28 +406,28 @@
     def _outgoing(
         self,
         receiver: records_lib.Record,
-        updates: tuple[records_lib.News, ...],
+        updates: tuple[records_lib.GossipUpdate, ...],
         **fields: object,
     ) -> records_lib.Outgoing:
         is_monitor = receiver.id in self._monitors.ids
-        message = self._message(updates, watched=is_monitor, **fields)
+        message = self._message(updates, monitored=is_monitor, **fields)
         return records_lib.Outgoing(receiver.address, message)
 
     def _message(
-        self, updates: tuple[records_lib.News, ...], **fields: object
+        self, updates: tuple[records_lib.GossipUpdate, ...], **fields: object
     ) -> records_lib.Message:
         return records_lib.Message(
             sender=self.own,
-            newest=self._newest_revisions,
+            newest_revisions=self._newest_revisions,
             digest=self.digest,
-            known=self.known(),
-            news=updates,
+            member_count=self.member_count(),
+            updates=updates,
             **fields,
         )
 
     def _updates_of(
         self, member_ids: list[str]
-    ) -> tuple[records_lib.News, ...]:
+    ) -> tuple[records_lib.GossipUpdate, ...]:
         members = self._table.members_by_id
         return tuple(
             members[member_id].update
--- a/src/cowsliprill/decisions/channel.py
+++ b/src/cowsliprill/decisions/message_channel.py
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self.last = 0
 
-    def take(self, first: int, messages: Iterable[_T]) -> list[_T]:
+    def receive(self, first: int, messages: Iterable[_T]) -> list[_T]:
         """Accepts messages and returns those that are new.
 
         Args:
--- a/src/cowsliprill/decisions/messages.py
+++ b/src/cowsliprill/decisions/messages.py
@@ -3,7 +3,7 @@
 `scheduler.Scheduler` does no I/O: it consumes events and returns actions. The
 I/O layer (a process of the router, or the simulator) performs the actions and
 reports their outcomes as events. `slots.SlotLedger` runs in the dispatch
-process of an endpoint's coordinator and answers a `SlotAsk` with a
+process of an endpoint's coordinator and answers a `SlotDemand` with a
 `SlotGrant`. All times are in seconds on the clock of the I/O layer, which keeps
 counting while the VM is suspended.
 """
@@ -14,7 +14,7 @@
 from cowsliprill.decisions import model
 
 
-class Run(enum.StrEnum):
+class Executed(enum.StrEnum):
     """Whether a failed request was executed, as reported to the caller.
 
     Attributes:
@@ -201,7 +201,7 @@
         of the previous grant, earlier reports may be stale; 0 means unknown.
       used: Slots of the endpoint in use by all entry processes, as last
         reported.
-      sequence: The `SlotAsk.sequence` that this answers.
+      sequence: The `SlotDemand.sequence` that this answers.
     """
 
     endpoint_id: str
@@ -224,7 +224,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WorldChanged:
+class ClusterStateChanged:
     """The settings or the VM list changed.
 
     Attributes:
@@ -252,7 +252,7 @@
     | AttemptFailed
     | SlotGrant
     | HomeUnreachable
-    | WorldChanged
+    | ClusterStateChanged
     | Tick
 )
 
@@ -332,7 +332,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class SlotAsk:
+class SlotDemand:
     """An entry process's demand for slots, sent to an endpoint's coordinator.
 
     A message carries the demand for all endpoints of one coordinator. It states
@@ -368,4 +368,4 @@
 
 
 Decision = Start | Refuse
-Action = Start | Refuse | CancelAttempt | SlotAsk
+Action = Start | Refuse | CancelAttempt | SlotDemand
--- a/src/cowsliprill/decisions/model.py
+++ b/src/cowsliprill/decisions/model.py
@@ -27,8 +27,8 @@
 class Idempotency(enum.StrEnum):
     """Whether a request of a service may be executed more than once."""
 
-    REPEATABLE = "repeatable"
-    UNREPEATABLE = "unrepeatable"
+    IDEMPOTENT = "repeatable"
+    NON_IDEMPOTENT = "unrepeatable"
 
 
 class VmState(enum.StrEnum):
@@ -130,16 +130,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class EngineFacts:
+class EngineSpec:
     """Configured properties shared by all engines of one pool.
 
     Speeds are defaults, replaced by measured ones at run time.
 
     Attributes:
       places: Maximum number of concurrent requests of a decode engine.
-      memory_tokens: KV cache capacity of a decode engine, in tokens.
+      kv_cache_tokens: KV cache capacity of a decode engine, in tokens.
       block_tokens: Tokens per KV cache block.
-      prefills_at_once: Maximum number of concurrent requests of a
+      max_concurrent_prefills: Maximum number of concurrent requests of a
         prefill engine.
       prefill_tokens_per_s: Prefill speed.
       own_prefill_tokens_per_s: Speed of local prefills on a decode engine,
@@ -154,9 +154,9 @@
     """
 
     places: int
-    memory_tokens: int
+    kv_cache_tokens: int
     block_tokens: int
-    prefills_at_once: int
+    max_concurrent_prefills: int
     prefill_tokens_per_s: float
     own_prefill_tokens_per_s: float
     seconds_per_token: float
@@ -165,7 +165,7 @@
     export_ttl_s: float
     role_change_s: float
 
-    def describe(self, endpoint: Endpoint, connections_max: int) -> Endpoint:
+    def apply_to(self, endpoint: Endpoint, connections_max: int) -> Endpoint:
         """Returns an engine with the configured properties set.
 
         Args:
@@ -174,8 +174,8 @@
             0 if unknown.
         """
         slots_by_kind = {
-            EndpointKind.PREFILL: self.prefills_at_once,
-            EndpointKind.DECODE: self.memory_tokens // self.block_tokens,
+            EndpointKind.PREFILL: self.max_concurrent_prefills,
+            EndpointKind.DECODE: self.kv_cache_tokens // self.block_tokens,
         }
         is_decode = endpoint.kind is EndpointKind.DECODE
         return dataclasses.replace(
@@ -198,7 +198,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class RetryRules:
+class RetryPolicy:
     """Retry budget of one service, a token bucket filled by its requests.
 
     Attributes:
@@ -261,8 +261,8 @@
     ttft_target_s: float = 1.0
     tpot_target_s: float = 0.05
     priority: int = 0
-    idempotency: Idempotency = Idempotency.REPEATABLE
-    retries: RetryRules = RetryRules()
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    retries: RetryPolicy = RetryPolicy()
     may_wait_s: float = 2.0
     timeout_s: float = 120.0
     resume: bool = True
@@ -318,7 +318,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CallLimits:
+class HttpLimits:
     """HTTP limits for callers.
 
     Attributes:
@@ -413,7 +413,7 @@
     routes_by_prefix_by_host: Mapping[str, Mapping[str, Route]] = (
         dataclasses.field(default_factory=dict)
     )
-    limits: CallLimits = CallLimits()
+    limits: HttpLimits = HttpLimits()
     keys_required: bool = False
 
 
--- a/src/cowsliprill/decisions/orphans.py
+++ b/src/cowsliprill/decisions/orphans.py
@@ -34,13 +34,13 @@
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import model
 
-SUSPECT_S = 2.5
+SUSPECT_AFTER_S = 2.5
 ENDED_AFTER_S = 4.0
 ABSENT_AFTER_S = 60.0
 MAX_AGE_MARGIN_S = 30.0
 # Observations further apart than this don't count as uninterrupted, because the
 # coordinator itself may have been paused in between.
-MAX_GAP_S = 4.0
+MAX_OBSERVATION_GAP_S = 4.0
 _UNANSWERED_PROBE_INTERVAL_S = 5.0
 _RECORD_TTL_S = 3_600.0
 
@@ -62,15 +62,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Silent:
+class NoAnswer:
     """No usable answer, for example a timeout or an unreachable host."""
 
 
-PortReply = Answered | Refused | Silent
+ProbeResult = Answered | Refused | NoAnswer
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Running:
+class ObservedRequest:
     """A request reported by an engine.
 
     Attributes:
@@ -134,7 +134,7 @@
     answered_at: float = float("-inf")
 
 
-class OrphanSweep:
+class OrphanDetector:
     """Tracks the owners of running requests and finds orphaned requests.
 
     Args:
@@ -147,16 +147,16 @@
         self._records_by_vm: dict[str, _VmRecord] = {}
         self._last_seen_by_incarnation: dict[identity.Incarnation, float] = {}
 
-    def see_list(self, vms: Iterable[model.Vm], now: float) -> None:
+    def update_vms(self, vms: Iterable[model.Vm], now: float) -> None:
         """Records the VM list.
 
-        To be called at intervals of at most `MAX_GAP_S`.
+        To be called at intervals of at most `MAX_OBSERVATION_GAP_S`.
 
         Args:
           vms: The listed VMs.
           now: Current time in seconds.
         """
-        uninterrupted = now - self._list_updated_at <= MAX_GAP_S
+        uninterrupted = now - self._list_updated_at <= MAX_OBSERVATION_GAP_S
         self._list_updated_at = now
         listed = {vm.id: vm for vm in vms if vm.role is model.VmRole.ENTRY}
         for vm in listed.values():
@@ -168,7 +168,9 @@
                 record.absent_since = now
         self._drop_old_records(now)
 
-    def hear(self, incarnation: identity.Incarnation, now: float) -> None:
+    def record_heartbeat(
+        self, incarnation: identity.Incarnation, now: float
+    ) -> None:
         """Records a heartbeat: a slot demand or an answer to a port probe.
 
         Args:
@@ -177,8 +179,8 @@
         """
         self._last_seen_by_incarnation[incarnation] = now
 
-    def see_ports(
-        self, vm_id: str, replies: Iterable[PortReply], now: float
+    def record_probe(
+        self, vm_id: str, replies: Iterable[ProbeResult], now: float
     ) -> None:
         """Records the results of probing all entry ports of a VM.
 
@@ -194,21 +196,21 @@
         for reply in replies:
             match reply:
                 case Answered(incarnation):
-                    self.hear(incarnation, now)
+                    self.record_heartbeat(incarnation, now)
                     record.answered_at = now
-                case Silent():
+                case NoAnswer():
                     any_unanswered = True
                 case Refused():
                     pass
-        uninterrupted = now - record.probed_at <= MAX_GAP_S
+        uninterrupted = now - record.probed_at <= MAX_OBSERVATION_GAP_S
         record.probed_at = now
         if any_unanswered:
             record.all_responding_since = None
         elif record.all_responding_since is None or not uninterrupted:
             record.all_responding_since = now
 
-    def suspects(
-        self, running: Iterable[Running], now: float
+    def vms_to_probe(
+        self, running: Iterable[ObservedRequest], now: float
     ) -> list[model.Vm]:
         """Returns the VMs whose entry ports should be probed now.
 
@@ -217,7 +219,7 @@
           now: Current time in seconds.
 
         Returns:
-          VMs of owners without a heartbeat for `SUSPECT_S`, sorted by the
+          VMs of owners without a heartbeat for `SUSPECT_AFTER_S`, sorted by the
           time of their last probe, oldest first.
         """
         records_by_vm = {}
@@ -225,7 +227,7 @@
             owner = _owner(request)
             if (
                 owner is None
-                or self._time_since_heartbeat_s(owner, now) < SUSPECT_S
+                or self._time_since_heartbeat_s(owner, now) < SUSPECT_AFTER_S
             ):
                 continue
             record = self._records_by_vm.get(owner.vm)
@@ -238,10 +240,10 @@
 
     def orphans(
         self,
-        running: Iterable[Running],
+        running: Iterable[ObservedRequest],
         *,
         longest_request_s: float,
-        reaches_zone: bool,
+        has_zone_majority: bool,
         now: float,
     ) -> list[Orphan]:
         """Returns the requests whose owner has terminated.
@@ -250,7 +252,7 @@
           running: The requests that the engines run.
           longest_request_s: Largest `timeout_s` of any service in any
             revision that may still be in use.
-          reaches_zone: Whether this coordinator recently reached a
+          has_zone_majority: Whether this coordinator recently reached a
             majority of its availability zone.
           now: Current time in seconds.
 
@@ -266,7 +268,7 @@
             if request.age_s > max_age_s:
                 reason = OrphanReason.OVERAGE
             else:
-                reason = self._orphan_reason(owner, reaches_zone, now)
+                reason = self._orphan_reason(owner, has_zone_majority, now)
             if reason is not None:
                 found.append(
                     Orphan(
@@ -278,7 +280,7 @@
         return found
 
     def _orphan_reason(
-        self, owner: identity.Incarnation, reaches_zone: bool, now: float
+        self, owner: identity.Incarnation, has_zone_majority: bool, now: float
     ) -> OrphanReason | None:
         record = self._records_by_vm.get(owner.vm)
         if record is None:
@@ -287,7 +289,7 @@
             return None
         if self._has_ended(record, owner):
             return OrphanReason.ENDED
-        if reaches_zone and self._is_absent(record, owner, now):
+        if has_zone_majority and self._is_absent(record, owner, now):
             return OrphanReason.ABSENT
         return None
 
@@ -355,7 +357,7 @@
         }
 
 
-def _owner(request: Running) -> identity.Incarnation | None:
+def _owner(request: ObservedRequest) -> identity.Incarnation | None:
     return _owner_of(request.request_id)
 
 
--- a/src/cowsliprill/decisions/learning.py
+++ b/src/cowsliprill/decisions/outcome_recorder.py
@@ -6,17 +6,17 @@
 from cowsliprill.decisions import requests
 
 
-class Learning:
+class OutcomeRecorder:
     """Derives health samples of engines from the requests that they served.
 
     Args:
       engine_health: Receives the samples and detects outliers.
     """
 
-    def __init__(self, engine_health: health.Health) -> None:
+    def __init__(self, engine_health: health.EngineHealth) -> None:
         self._health = engine_health
 
-    def first_token(self, request: requests.Request, now: float) -> None:
+    def record_first_token(self, request: requests.Request, now: float) -> None:
         """Records the time of a KV cache transfer.
 
         Where the decode engine ran the prefill itself, records the time of that
@@ -29,13 +29,13 @@
         prefill, decode = request.prefill, request.decode
         assert prefill is not None and decode is not None
         if prefill is decode:
-            expected_s = estimates.own_prefill_s(decode, request.submit)
+            expected_s = estimates.local_prefill_s(decode, request.submit)
         else:
             expected_s = decode.seconds_per_token + estimates.transfer_s(
                 prefill, decode, request.submit.prompt_tokens
             )
-        measured_s = now - request.stage_at
-        self._health.transfer(
+        measured_s = now - request.stage_started_at
+        self._health.record_transfer(
             prefill.id,
             decode.id,
             measured_s,
@@ -44,7 +44,7 @@
             request.started_at,
         )
 
-    def pace(
+    def record_pace(
         self, request: requests.Request, output_tokens: int, now: float
     ) -> None:
         """Records the time per output token of a stream.
@@ -56,15 +56,17 @@
         """
         decode = request.decode
         assert decode is not None
-        decode_s = now - request.stage_at
-        request.pool.learn_writing(output_tokens - 1, decode_s)
+        decode_s = now - request.stage_started_at
+        request.pool.record_decode_speed(output_tokens - 1, decode_s)
         if output_tokens < 2 or decode.seconds_per_token <= 0:
             return
         measured_s_per_token = decode_s / (output_tokens - 1)
         ratio = measured_s_per_token / decode.seconds_per_token
-        self._health.pace(decode.id, ratio, now, request.started_at)
+        self._health.record_token_time_ratio(
+            decode.id, ratio, now, request.started_at
+        )
 
-    def failed(
+    def record_failure(
         self,
         request: requests.Request,
         event: messages.AttemptFailed,
@@ -80,21 +82,25 @@
         prefill, decode = request.prefill, request.decode
         assert prefill is not None and decode is not None
         if event.refused:
-            holding = request.pool.holding(event.endpoint_id)
+            lease = request.pool.lease(event.endpoint_id)
             # An engine that rejects its only request from this process isn't
             # full because of it: it is draining, or its slots are taken by
             # requests unknown here. Without ejection it would be chosen again
             # at once and reject one request after the other.
-            if holding.in_use <= request.slots and not event.unsent:
-                self._health.failed(event.endpoint_id, now)
+            if lease.in_use <= request.slots and not event.unsent:
+                self._health.record_failure(event.endpoint_id, now)
         elif event.unreachable:
-            self._health.failed(event.endpoint_id, now, unreachable=True)
+            self._health.record_failure(
+                event.endpoint_id, now, unreachable=True
+            )
         elif event.answered:
-            self._health.failed(event.endpoint_id, now)
+            self._health.record_failure(event.endpoint_id, now)
         elif event.stage is messages.Stage.TRANSFER:
             # A transfer that never completed counts as infinitely slow, which
             # doesn't tell which end is at fault.
             never_s = float("inf")
-            self._health.transfer(prefill.id, decode.id, never_s, 0.0, now)
+            self._health.record_transfer(
+                prefill.id, decode.id, never_s, 0.0, now
+            )
         else:
-            self._health.failed(event.endpoint_id, now)
+            self._health.record_failure(event.endpoint_id, now)
--- a/src/cowsliprill/decisions/server_health.py
+++ b/src/cowsliprill/decisions/outlier_detection.py
@@ -30,24 +30,24 @@
     ejected_until: float = 0.0
 
 
-class ServerHealth:
+class OutlierDetector:
     """Tracks the failure rates of servers, as seen by one process."""
 
     def __init__(self) -> None:
         self._servers_by_id: dict[str, _ServerState] = {}
 
-    def is_alone(self, server_id: str, now: float) -> bool:
+    def is_ejected(self, server_id: str, now: float) -> bool:
         """Returns whether a server is ejected now."""
         server = self._servers_by_id.get(server_id)
         return server is not None and now < server.ejected_until
 
-    def answered(self, server_id: str) -> None:
+    def record_success(self, server_id: str) -> None:
         """Records a response that is not an error."""
         server = self._servers_by_id.get(server_id)
         if server is not None:
             server.failure_rate -= server.failure_rate * _NEWEST_WEIGHT
 
-    def answered_with_failure(
+    def record_error_response(
         self, server_id: str, peer_ids: Collection[str], now: float
     ) -> None:
         """Records an error response.
@@ -63,7 +63,7 @@
         if excess > _EXCESS_TO_EJECT:
             self._eject(server_id, excess, now)
 
-    def lost(
+    def record_no_response(
         self, server_id: str, peer_ids: Collection[str], now: float
     ) -> None:
         """Records a call without a response and ejects the server.
@@ -76,7 +76,7 @@
         excess = self._record_failure(server_id, peer_ids)
         self._eject(server_id, excess, now)
 
-    def forget_except(self, server_ids: Collection[str]) -> None:
+    def retain(self, server_ids: Collection[str]) -> None:
         """Drops the state of servers that were removed."""
         gone = [
             server_id
@@ -108,7 +108,7 @@
         server.ejected_until = now + min(ejection_s, _EJECTION_MAX_S)
 
 
-class Uncompared(ServerHealth):
+class FixedEjectionDetector(OutlierDetector):
     """Ejects a server for the same short time after any failure."""
 
     def _record_failure(
@@ -118,8 +118,8 @@
         self._servers_by_id.setdefault(server_id, _ServerState())
         return 0.0
 
-    def answered_with_failure(
+    def record_error_response(
         self, server_id: str, peer_ids: Collection[str], now: float
     ) -> None:
         """Records an error response like a call without a response."""
-        self.lost(server_id, peer_ids, now)
+        self.record_no_response(server_id, peer_ids, now)
--- a/src/cowsliprill/decisions/pacing.py
+++ b/src/cowsliprill/decisions/pacing.py
@@ -14,25 +14,25 @@
 
 
 @dataclasses.dataclass(slots=True)
-class CallBudget:
+class CallRateLimiter:
     """This VM's share of the platform's call rate, as a token bucket.
 
     Attributes:
-      readers: Number of VMs that share the rate.
+      vm_count: Number of VMs that share the rate.
       tokens: Calls that may be made at once; negative while calls wait.
       updated_at: When tokens were last added, in seconds.
     """
 
-    readers: int = 1
+    vm_count: int = 1
     tokens: float = _MIN_BURST_CALLS
     updated_at: float = 0.0
 
     @property
     def calls_per_s(self) -> float:
         """Sustained number of calls per second that this VM may make."""
-        return PLATFORM_CALLS_PER_S * _OWN_FRACTION / max(1, self.readers)
+        return PLATFORM_CALLS_PER_S * _OWN_FRACTION / max(1, self.vm_count)
 
-    def take(self, now: float) -> float:
+    def reserve(self, now: float) -> float:
         """Reserves one call.
 
         The call is counted even if the caller has to wait first.
@@ -70,12 +70,12 @@
     max_s: float = 2.0
     failures: int = 0
 
-    def failed(self) -> float:
+    def next_delay_s(self) -> float:
         """Counts a failure and returns the delay before a retry, in seconds."""
         ceiling = min(self.max_s, self.base_s * 2**self.failures)
         self.failures = min(self.failures + 1, 30)
         return self.rng.uniform(ceiling / 4, ceiling)
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """Resets the delay after a success."""
         self.failures = 0
--- a/src/cowsliprill/decisions/placement.py
+++ b/src/cowsliprill/decisions/pair_selection.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pair:
+class EnginePair:
     """A prefill engine and a decode engine selected for one request.
 
     Attributes:
@@ -34,11 +34,11 @@
     cost_s: float
 
 
-def choose(
+def select_pair(
     prefills: list[Candidate],
     decodes: list[Candidate],
     transfer_s: Callable[[str, str], float],
-) -> Pair | None:
+) -> EnginePair | None:
     """Finds the pair with the least expected time to first token.
 
     Candidates are tried in order of cost. As the transfer time is never
@@ -54,7 +54,7 @@
     Returns:
       The best pair, the first by ids among equals; None without candidates.
     """
-    best: Pair | None = None
+    best: EnginePair | None = None
     decodes_by_cost = sorted(
         decodes, key=lambda candidate: (candidate.cost_s, candidate.id)
     )
@@ -66,11 +66,11 @@
             if best is not None and engines_s > best.cost_s:
                 break
             total_s = engines_s + transfer_s(prefill.id, decode.id)
-            pair = Pair(prefill.id, decode.id, total_s)
+            pair = EnginePair(prefill.id, decode.id, total_s)
             if best is None or _rank(pair) < _rank(best):
                 best = pair
     return best
 
 
-def _rank(pair: Pair) -> tuple[float, str, str]:
+def _rank(pair: EnginePair) -> tuple[float, str, str]:
     return (pair.cost_s, pair.prefill_id, pair.decode_id)
--- a/src/cowsliprill/decisions/pool.py
+++ b/src/cowsliprill/decisions/pool.py
@@ -8,15 +8,15 @@
 
 from cowsliprill.decisions import admission
 from cowsliprill.decisions import demand
+from cowsliprill.decisions import endpoint_lease
 from cowsliprill.decisions import estimates
 from cowsliprill.decisions import health
-from cowsliprill.decisions import leases
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
-from cowsliprill.decisions import queue
+from cowsliprill.decisions import request_queue
+from cowsliprill.decisions import request_value
 from cowsliprill.decisions import speeds
 from cowsliprill.decisions import workload
-from cowsliprill.decisions import worth
 
 _EMA_WEIGHT = 0.05
 _INITIAL_HOLD_S = 5.0
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Standing:
+class PoolLoad:
     """Load of a pool.
 
     Attributes:
@@ -100,29 +100,29 @@
     """
 
     def __init__(
-        self, rng: random.Random, engine_health: health.Health
+        self, rng: random.Random, engine_health: health.EngineHealth
     ) -> None:
         self._health = engine_health
-        self.queue = queue.WaitingQueue()
+        self.queue = request_queue.RequestQueue()
         self.demand = demand.DemandWindow()
         self.prefills: list[model.Endpoint] = []
         self.decodes: list[model.Endpoint] = []
         self.endpoints_by_id: dict[str, model.Endpoint] = {}
-        self.holdings_by_endpoint: dict[str, leases.Holding] = {}
+        self.leases_by_endpoint: dict[str, endpoint_lease.EndpointLease] = {}
         self.in_use_by_customer: dict[str, int] = {}
         self.shares_by_customer: Mapping[str, float] = {}
         self.block_tokens = 0
         self.mean_slots_per_request = 1.0
-        self.usual_prompt_tokens = 0.0
-        self._speeds = speeds.Speeds()
+        self.mean_prompt_tokens = 0.0
+        self._speeds = speeds.SpeedEstimator()
         self._workload = workload.Workload()
         self.output_lengths = estimates.OutputLengths()
-        self.request_values = worth.RequestValues()
+        self.request_values = request_value.RequestValues()
         self.mean_hold_s = _INITIAL_HOLD_S
         self._has_hold_samples = False
         self.prefill_s = _INITIAL_PREFILL_S
         self.first_token_delay_s = 0.0
-        self.prefills_short_since = math.inf
+        self.prefill_shortage_since = math.inf
         self.slowdown_by_prefill: dict[str, float] = {}
         self._token_interval_s = 0.0
         self._transfer_s_per_token = 0.0
@@ -140,8 +140,8 @@
           prefills: Prefill engines.
           decodes: Decode engines.
         """
-        self.prefills = [self._speeds.describe(item) for item in prefills]
-        self.decodes = [self._speeds.describe(item) for item in decodes]
+        self.prefills = [self._speeds.apply_to(item) for item in prefills]
+        self.decodes = [self._speeds.apply_to(item) for item in decodes]
         prefills, decodes = self.prefills, self.decodes
         for endpoint in prefills + decodes:
             previous = self.endpoints_by_id.get(endpoint.id)
@@ -152,7 +152,7 @@
                 # doesn't apply any more. Without the reset, an engine that
                 # rejected a prompt during its role change could stay ejected
                 # for good.
-                self._health.forget(endpoint.id)
+                self._health.reset(endpoint.id)
         self.endpoints_by_id = {item.id: item for item in prefills + decodes}
         self.block_tokens = max(
             (item.block_tokens for item in decodes), default=self.block_tokens
@@ -172,18 +172,18 @@
         )
         current_ids = {endpoint.id for endpoint in prefills + decodes}
         for endpoint_id in current_ids:
-            self.holding(endpoint_id)
-        for endpoint_id, holding in list(self.holdings_by_endpoint.items()):
-            if endpoint_id not in current_ids and not holding.in_use:
-                del self.holdings_by_endpoint[endpoint_id]
+            self.lease(endpoint_id)
+        for endpoint_id, lease in list(self.leases_by_endpoint.items()):
+            if endpoint_id not in current_ids and not lease.in_use:
+                del self.leases_by_endpoint[endpoint_id]
 
-    def holding(self, endpoint_id: str) -> leases.Holding:
+    def lease(self, endpoint_id: str) -> endpoint_lease.EndpointLease:
         """Returns the slots leased at an endpoint, a new lease if unknown."""
-        holding = self.holdings_by_endpoint.get(endpoint_id)
-        if holding is None:
-            holding = leases.Holding()
-            self.holdings_by_endpoint[endpoint_id] = holding
-        return holding
+        lease = self.leases_by_endpoint.get(endpoint_id)
+        if lease is None:
+            lease = endpoint_lease.EndpointLease()
+            self.leases_by_endpoint[endpoint_id] = lease
+        return lease
 
     def slots_for(self, submit: messages.Submit) -> int:
         """Returns the number of decode slots that a request takes.
@@ -210,10 +210,10 @@
 
     def record_prompt_tokens(self, tokens: int) -> None:
         """Records the prompt length of a new request."""
-        if not self.usual_prompt_tokens:
-            self.usual_prompt_tokens = float(tokens)
-        change = tokens - self.usual_prompt_tokens
-        self.usual_prompt_tokens += change * _EMA_WEIGHT
+        if not self.mean_prompt_tokens:
+            self.mean_prompt_tokens = float(tokens)
+        change = tokens - self.mean_prompt_tokens
+        self.mean_prompt_tokens += change * _EMA_WEIGHT
 
     def record_hold(self, seconds: float) -> None:
         """Records how long a finished request held its decode slots."""
@@ -227,17 +227,17 @@
           tokens: Prompt tokens that were not cached.
           seconds: Duration of the prefill.
         """
-        if self._speeds.read(tokens, seconds):
+        if self._speeds.add_prefill(tokens, seconds):
             self.set_engines(self.prefills, self.decodes)
 
-    def learn_writing(self, tokens: int, seconds: float) -> None:
+    def record_decode_speed(self, tokens: int, seconds: float) -> None:
         """Records the decode speed of a stream.
 
         Args:
           tokens: Output tokens after the first one.
           seconds: Time since the first token.
         """
-        if self._speeds.wrote(tokens, seconds):
+        if self._speeds.add_decode(tokens, seconds):
             self.set_engines(self.prefills, self.decodes)
 
     def record_work(
@@ -258,7 +258,9 @@
             are already reserved.
           now: Current time in seconds.
         """
-        if not (self.prefills and self.decodes and self._speeds.are_known()):
+        if not (
+            self.prefills and self.decodes and self._speeds.has_estimates()
+        ):
             return
         prefill, decode = self.prefills[0], self.decodes[0]
         occupancy = max(
@@ -266,8 +268,8 @@
         )
         output_tokens = self.output_lengths.expected_tokens(submit)
         self._workload.add(
-            prompt_s=submit.prompt_tokens / prefill.prefill_tokens_per_s,
-            answer_s=(min_ttft_s + output_tokens * self._token_interval_s)
+            prefill_s=submit.prompt_tokens / prefill.prefill_tokens_per_s,
+            decode_s=(min_ttft_s + output_tokens * self._token_interval_s)
             * occupancy,
             now=now,
         )
@@ -308,14 +310,14 @@
           ignore_slowdown: Whether to ignore the slowdown recorded for the
             engine.
         """
-        holding = self.holding(endpoint.id)
-        cached = holding.cached.cached_tokens(submit.prefix_hashes)
+        lease = self.lease(endpoint.id)
+        cached = lease.cached.cached_tokens(submit.prefix_hashes)
         processing_s = estimates.prefill_s(endpoint, submit, cached)
-        seconds = processing_s + holding.used * self.prefill_s
+        seconds = processing_s + lease.used * self.prefill_s
         slowdown = self.slowdown_by_prefill.get(endpoint.id, 1.0)
         return seconds if ignore_slowdown else seconds * slowdown
 
-    def take(self, customer: str) -> None:
+    def acquire(self, customer: str) -> None:
         """Counts a started request, for fair sharing."""
         self.in_use_by_customer[customer] = (
             self.in_use_by_customer.get(customer, 0) + 1
@@ -349,13 +351,13 @@
             0.0,
         )
 
-    def standing(self) -> Standing:
+    def pool_load(self) -> PoolLoad:
         """Returns the load of the pool."""
-        return Standing(
-            promised=sum(self.holding(item.id).used for item in self.decodes),
-            running=sum(self.holding(item.id).running for item in self.decodes),
+        return PoolLoad(
+            promised=sum(self.lease(item.id).used for item in self.decodes),
+            running=sum(self.lease(item.id).running for item in self.decodes),
             prefilling=sum(
-                self.holding(item.id).running for item in self.prefills
+                self.lease(item.id).running for item in self.prefills
             ),
             slots=sum(item.slots for item in self.decodes),
             waiting=len(self.queue),
@@ -375,11 +377,13 @@
         """
         return sum(endpoint.slots for endpoint in self._healthy(self.decodes))
 
-    def has_sound_prefill(self) -> bool:
+    def has_healthy_prefill(self) -> bool:
         """Returns whether any prefill engine is not ejected."""
-        return len(self._health.left_alone(self.prefills)) < len(self.prefills)
+        return len(self._health.ejected_engine_ids(self.prefills)) < len(
+            self.prefills
+        )
 
-    def decodes_read_prompts(self) -> bool:
+    def decodes_can_prefill(self) -> bool:
         """Returns whether any decode engine can run prefills."""
         return any(
             endpoint.own_prefill_tokens_per_s for endpoint in self.decodes
@@ -387,13 +391,15 @@
 
     def can_prefill(self) -> bool:
         """Returns whether any engine can run prefills."""
-        return bool(self.prefills) or self.decodes_read_prompts()
+        return bool(self.prefills) or self.decodes_can_prefill()
 
     def _healthy(self, endpoints: list[model.Endpoint]) -> list[model.Endpoint]:
-        left_alone = self._health.left_alone(endpoints)
-        if not left_alone:
+        ejected_engine_ids = self._health.ejected_engine_ids(endpoints)
+        if not ejected_engine_ids:
             return endpoints
-        healthy = [item for item in endpoints if item.id not in left_alone]
+        healthy = [
+            item for item in endpoints if item.id not in ejected_engine_ids
+        ]
         # If all engines are ejected, all count: they are probed soon, and
         # requests have the time to wait for that.
         return healthy or endpoints
@@ -406,18 +412,20 @@
             requests that wait at other entry processes aren't known; they are
             assumed to be distributed as those of recent requests here.
         """
-        holdings = [
-            self.holding(item.id) for item in self._healthy(self.decodes)
+        endpoint_leases = [
+            self.lease(item.id) for item in self._healthy(self.decodes)
         ]
-        others = max((item.others_waiting for item in holdings), default=0)
+        others = max(
+            (item.others_waiting for item in endpoint_leases), default=0
+        )
         queued = [
             item for item in self.queue if item.submit.priority >= priority
         ]
         ahead = others * self.demand.fraction_at_or_above(priority)
         slots = self.slots()
-        used = sum(item.used for item in holdings)
+        used = sum(item.used for item in endpoint_leases)
         prefills = self._healthy(self.prefills)
-        if not prefills and self.decodes_read_prompts():
+        if not prefills and self.decodes_can_prefill():
             # Without prefill engines, decode engines run the prefills.
             prefills = self._healthy(self.decodes)
         return admission.Backlog(
@@ -430,7 +438,9 @@
             slots_per_request=self.mean_slots_per_request,
         )
 
-    def _expected_hold_s(self, waiting: list[queue.Waiting]) -> float:
+    def _expected_hold_s(
+        self, waiting: list[request_queue.QueuedRequest]
+    ) -> float:
         # Before the first request has finished, the estimate comes from the
         # queued requests. The initial value would refuse a first burst of
         # requests with short outputs.
@@ -439,7 +449,9 @@
         return statistics.fmean(item.cost_s for item in waiting)
 
     def _expected_prefill_s(
-        self, waiting: list[queue.Waiting], prefills: list[model.Endpoint]
+        self,
+        waiting: list[request_queue.QueuedRequest],
+        prefills: list[model.Endpoint],
     ) -> float:
         # The lengths of the queued prompts are known. After some long prompts,
         # the moving average would refuse short ones that drain at once.
@@ -460,7 +472,7 @@
                 estimates.prefill_s(
                     endpoint,
                     submit,
-                    self.holding(endpoint.id).cached.cached_tokens(
+                    self.lease(endpoint.id).cached.cached_tokens(
                         submit.prefix_hashes
                     ),
                 )
--- a/src/cowsliprill/decisions/cell.py
+++ b/src/cowsliprill/decisions/pool_scheduler.py
@@ -16,7 +16,7 @@
 
 import dataclasses
 
-from cowsliprill.decisions import channel
+from cowsliprill.decisions import message_channel
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import pool as pools
@@ -47,16 +47,18 @@
 class _EntrySession:
     epoch: int
     last_received_at: float
-    inbox: channel.Inbox = dataclasses.field(default_factory=channel.Inbox)
-    outbox: channel.Outbox[Decision] = dataclasses.field(
-        default_factory=channel.Outbox
+    inbox: message_channel.Inbox = dataclasses.field(
+        default_factory=message_channel.Inbox
+    )
+    outbox: message_channel.Outbox[Decision] = dataclasses.field(
+        default_factory=message_channel.Outbox
     )
     request_ids_by_number: dict[int, int] = dataclasses.field(
         default_factory=dict
     )
 
 
-class Cell:
+class PoolScheduler:
     """Schedules the requests of one pool for all entry processes.
 
     Args:
@@ -75,15 +77,15 @@
         self._coordinator_since: float | None = None
         self._slot_fraction: float | None = None
 
-    def set_home(self, is_home: bool, now: float) -> None:
+    def set_is_coordinator(self, is_coordinator: bool, now: float) -> None:
         """Sets whether this VM is the pool's coordinator in its own VM list.
 
         Args:
-          is_home: Whether it is the coordinator; else it is an acting
+          is_coordinator: Whether it is the coordinator; else it is an acting
             coordinator.
           now: Current time in seconds.
         """
-        if not is_home:
+        if not is_coordinator:
             self._coordinator_since = None
         elif self._coordinator_since is None:
             self._coordinator_since = now
@@ -105,10 +107,10 @@
             if vm.role is model.VmRole.ENTRY
             and vm.state is not model.VmState.JOINING
         )
-        self._handle(messages.WorldChanged(snapshot, fleet), now)
+        self._handle(messages.ClusterStateChanged(snapshot, fleet), now)
         self._update_slot_fraction(now)
 
-    def knows(self, entry: str, epoch: int) -> bool:
+    def has_session(self, entry: str, epoch: int) -> bool:
         """Returns whether an entry process has an open session.
 
         Args:
@@ -118,7 +120,7 @@
         session = self._sessions_by_entry.get(entry)
         return session is not None and session.epoch == epoch
 
-    def is_old(self, entry: str, epoch: int) -> bool:
+    def is_superseded(self, entry: str, epoch: int) -> bool:
         """Returns whether a session was superseded by a newer one.
 
         Without this check a delayed call of the old session would discard the
@@ -157,7 +159,7 @@
             self._sessions_by_entry[entry] = session
             self._update_slot_fraction(now)
         session.last_received_at = now
-        for event in session.inbox.take(first, events):
+        for event in session.inbox.receive(first, events):
             translated = self._translate(entry, session, event)
             if translated is not None:
                 self._handle(translated, now)
@@ -182,7 +184,7 @@
         outbox = session.outbox
         return outbox.first, outbox.pending(), session.inbox.last
 
-    def has_news(self, entry: str) -> bool:
+    def has_pending_decisions(self, entry: str) -> bool:
         """Returns whether a long poll of an entry process must end now.
 
         This is so if there are unacknowledged decisions or no session.
@@ -194,9 +196,9 @@
         """Returns the number of engines of a pool."""
         return self._scheduler.engines(pool)
 
-    def standing(self, pool: str) -> pools.Standing | None:
+    def pool_load(self, pool: str) -> pools.PoolLoad | None:
         """Returns the load of a pool, or None if the pool is unknown."""
-        return self._scheduler.standing(pool)
+        return self._scheduler.pool_load(pool)
 
     def prompt_part(self, pool: str) -> float | None:
         """Returns the fraction of a pool's engine time spent on prefills.
--- a/src/cowsliprill/decisions/pool_set.py
+++ b/src/cowsliprill/decisions/pool_set.py
@@ -2,15 +2,15 @@
 
 import random
 
+from cowsliprill.decisions import customer_shares
+from cowsliprill.decisions import engine_subset
 from cowsliprill.decisions import health
 from cowsliprill.decisions import model
 from cowsliprill.decisions import pool as pools
-from cowsliprill.decisions import shares
-from cowsliprill.decisions import subset
 
 _LIMITS_BY_KIND = {
-    model.EndpointKind.PREFILL: subset.PREFILLS_MAX,
-    model.EndpointKind.DECODE: subset.DECODES_MAX,
+    model.EndpointKind.PREFILL: engine_subset.MAX_PREFILL_ENGINES,
+    model.EndpointKind.DECODE: engine_subset.MAX_DECODE_ENGINES,
 }
 
 _EndpointsByKind = dict[model.EndpointKind, list[model.Endpoint]]
@@ -39,7 +39,7 @@
         availability_zone: str,
         seed: int,
         rng: random.Random,
-        engine_health: health.Health,
+        engine_health: health.EngineHealth,
         *,
         owns_slots: bool = False,
     ) -> None:
@@ -66,7 +66,9 @@
             if vm.role is model.VmRole.ENTRY
         )
         self.entry_count = 1 if self._owns_slots else max(entry_processes, 1)
-        shares_by_customer = shares.Shares(snapshot.customers_by_id)
+        shares_by_customer = customer_shares.CustomerShares(
+            snapshot.customers_by_id
+        )
         kinds_by_pool: dict[str, _EndpointsByKind] = {}
         # An engine that changes its role rejects all requests. A prompt that
         # is sent there can use up the only attempt of its request.
@@ -80,7 +82,7 @@
             pool = self._pool(name)
             pool.shares_by_customer = shares_by_customer
             self._set_engines(pool, kinds_by_pool.get(name, {}))
-        self._health.forget_except(set(self.pools_by_endpoint))
+        self._health.retain(set(self.pools_by_endpoint))
 
     def use_fallback(self, endpoint_ids: tuple[str, ...]) -> None:
         """Allows some slots without a lease if the coordinator is unreachable.
@@ -97,7 +99,7 @@
             endpoint = pool and pool.endpoints_by_id.get(endpoint_id)
             if pool and endpoint:
                 share = endpoint.slots // (2 * self.entry_count)
-                pool.holding(endpoint_id).fallback = max(share, 1)
+                pool.lease(endpoint_id).fallback_slots = max(share, 1)
 
     def _pool(self, name: str) -> pools.Pool:
         pool = self.pools_by_name.get(name)
@@ -111,7 +113,7 @@
             self._usable(kinds, model.EndpointKind.PREFILL),
             self._usable(kinds, model.EndpointKind.DECODE),
         )
-        for endpoint_id in pool.holdings_by_endpoint:
+        for endpoint_id in pool.leases_by_endpoint:
             self.pools_by_endpoint[endpoint_id] = pool
         if self._owns_slots:
             self._assign_slots(pool)
@@ -123,14 +125,14 @@
         if self._owns_slots:
             # No other process would use engines that are left out here.
             return sorted(found, key=lambda endpoint: endpoint.id)
-        return subset.choose(
+        return engine_subset.choose_engines(
             found, _LIMITS_BY_KIND[kind], self._seed, self._availability_zone
         )
 
     def _assign_slots(self, pool: pools.Pool) -> None:
         for endpoint in pool.endpoints_by_id.values():
             slots = int(endpoint.slots * self.slot_fraction)
-            pool.holding(endpoint.id).own(slots)
+            pool.lease(endpoint.id).assign_permanently(slots)
 
     def set_slot_fraction(self, slot_fraction: float) -> None:
         """Sets the fraction of each engine's slots that may be used."""
--- a/src/cowsliprill/decisions/quota_gate.py
+++ b/src/cowsliprill/decisions/quota_gate.py
@@ -51,7 +51,7 @@
         self._customers_by_id: dict[str, _CustomerState] = {}
         self._vm_count = 1
 
-    def set_members(self, vm_count: int) -> None:
+    def set_vm_count(self, vm_count: int) -> None:
         """Sets the number of VMs in the fleet."""
         self._vm_count = max(vm_count, 1)
 
@@ -75,9 +75,9 @@
         customer.asked += cost
         if customer.unanswered_since is None:
             customer.unanswered_since = now
-        return self.decide(customer_id, quota, cost, now)
+        return self.decide_again(customer_id, quota, cost, now)
 
-    def decide(
+    def decide_again(
         self, customer_id: str, quota: model.Quota, cost: float, now: float
     ) -> float | None:
         """Decides again on a request that `admit` has rejected.
@@ -101,18 +101,18 @@
             customer.admitted += cost
         return retry_after_s
 
-    def give_back(self, customer_id: str, cost: float) -> None:
+    def refund(self, customer_id: str, cost: float) -> None:
         """Refunds the cost of an admitted request that was not executed."""
         customer = self._customers_by_id.get(customer_id)
         if customer is not None:
             customer.admitted -= cost
 
-    def is_recent(self, customer_id: str, now: float) -> bool:
+    def has_fresh_verdict(self, customer_id: str, now: float) -> bool:
         """Returns whether the latest verdict may reject a request."""
         customer = self._customers_by_id[customer_id]
         return now - customer.verdict_at <= _VERDICT_TTL_S
 
-    def is_urgent(self, customer_id: str, quota: model.Quota) -> bool:
+    def needs_prompt_report(self, customer_id: str, quota: model.Quota) -> bool:
         """Returns whether a customer's usage should be reported at once."""
         customer = self._customers_by_id[customer_id]
         unreported = customer.admitted - customer.admitted_before
@@ -138,7 +138,7 @@
             admitted_before=customer.admitted_before,
         )
 
-    def answered(
+    def record_verdict(
         self,
         usage: quota_owner.Usage,
         verdict: quota_owner.Verdict,
--- a/src/cowsliprill/decisions/quota_owner.py
+++ b/src/cowsliprill/decisions/quota_owner.py
@@ -71,15 +71,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Tolerance:
+class QuotaTolerance:
     """How far quotas may be exceeded.
 
     Attributes:
-      part: Fraction of the quota.
+      fraction: Fraction of the quota.
       tokens: Additional cost units, once, for quotas that count tokens.
     """
 
-    part: float = 0.0
+    fraction: float = 0.0
     tokens: float = 0.0
 
     def apply_to(self, quota: model.Quota) -> model.Quota:
@@ -87,8 +87,8 @@
         extra = self.tokens if quota.by_tokens else 0.0
         return dataclasses.replace(
             quota,
-            per_s=quota.per_s * (1 + self.part),
-            burst=quota.burst * (1 + self.part) + extra,
+            per_s=quota.per_s * (1 + self.fraction),
+            burst=quota.burst * (1 + self.fraction) + extra,
         )
 
 
@@ -137,8 +137,8 @@
         customer that keeps to its quota must never be rejected for that.
     """
 
-    def __init__(self, tolerance: Tolerance | None = None) -> None:
-        self._tolerance = tolerance or Tolerance()
+    def __init__(self, tolerance: QuotaTolerance | None = None) -> None:
+        self._tolerance = tolerance or QuotaTolerance()
         self._accounts_by_customer: dict[str, _Account] = {}
 
     def report(
@@ -146,7 +146,7 @@
         reporter: str,
         usages: Iterable[Usage],
         quotas_by_customer: Mapping[str, model.Quota],
-        heard_part: float,
+        reachable_fraction: float,
         now: float,
     ) -> list[Verdict]:
         """Applies a VM's usage report.
@@ -155,20 +155,22 @@
           reporter: Id of the reporting process.
           usages: Its usage, one entry per customer.
           quotas_by_customer: The current quotas.
-          heard_part: Fraction of the known VMs that this process
+          reachable_fraction: Fraction of the known VMs that this process
             can reach.
           now: Current time in seconds.
 
         Returns:
           The verdicts for the customers in the report.
         """
-        part = 1.0 if heard_part > _QUORUM_FRACTION else heard_part
+        fraction = (
+            1.0 if reachable_fraction > _QUORUM_FRACTION else reachable_fraction
+        )
         return [
             self._apply_usage(
                 reporter,
                 usage,
                 quotas_by_customer.get(usage.customer),
-                part,
+                fraction,
                 now,
             )
             for usage in usages
@@ -190,13 +192,13 @@
         reporter_id: str,
         usage: Usage,
         quota: model.Quota | None,
-        part: float,
+        fraction: float,
         now: float,
     ) -> Verdict:
         if quota is None:
             return Verdict(customer=usage.customer)
         quota = self._tolerance.apply_to(quota)
-        per_s, burst = quota.per_s * part, quota.burst * part
+        per_s, burst = quota.per_s * fraction, quota.burst * fraction
         account = self._accounts_by_customer.get(usage.customer)
         if account is None:
             account = _Account(token_bucket.TokenBucket(burst, now))
--- a/src/cowsliprill/decisions/registry.py
+++ b/src/cowsliprill/decisions/registry_view.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class News:
+class RegistryUpdate:
     """Changes that one process sends to another.
 
     Attributes:
@@ -90,13 +90,13 @@
         self.position = 0
         self.newest = 0
         self.confirmed_at = -math.inf
-        # All removals after this revision are in `_removals_by_key`.
-        self._unbroken_since = 0
-        self._removals_by_key: collections.OrderedDict[str, int] = (
+        # All removals after this revision are in `_tombstones_by_key`.
+        self._tombstones_since = 0
+        self._tombstones_by_key: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
 
-    def take_listing(
+    def apply_listing(
         self, entries: Iterable[Entry], as_of: int
     ) -> list[Change]:
         """Applies a complete listing.
@@ -121,16 +121,16 @@
         ]
         # A listing as new as the view decides on its own which keys exist. An
         # older one must not restore keys that the view knows to be absent.
-        settled = 0 if as_of >= self.position else self.position
-        changes = self._apply([*listed, *removed], settled)
+        absent_as_of = 0 if as_of >= self.position else self.position
+        changes = self._apply_changes([*listed, *removed], absent_as_of)
         if as_of > self.position:
             # Keys that were written and removed between the view's position
             # and the listing left no tombstone here.
-            self._unbroken_since = as_of
+            self._tombstones_since = as_of
             self.position = as_of
         return changes
 
-    def take_watched(
+    def apply_watch(
         self, changes: Iterable[Change], as_of: int
     ) -> list[Change]:
         """Applies the result of a watch that started at `position`.
@@ -142,35 +142,35 @@
         Returns:
           The changes that were new.
         """
-        new = self._apply(changes, self.position)
+        new = self._apply_changes(changes, self.position)
         self.position = max(self.position, as_of)
         return new
 
-    def take_news(self, news: News) -> list[Change]:
+    def apply_update(self, update: RegistryUpdate) -> list[Change]:
         """Applies an update from a peer.
 
         The update must have been requested since `position` or an earlier
         revision, so that the view is then complete up to the peer's position.
 
         Args:
-          news: The peer's update.
+          update: The peer's update.
 
         Returns:
           The changes that were new.
         """
-        changes = [*news.changes]
-        if news.whole:
+        changes = [*update.changes]
+        if update.whole:
             listed_keys = {change.key for change in changes}
             changes += [
-                Removal(key=key, revision=news.position)
+                Removal(key=key, revision=update.position)
                 for key, entry in self.entries_by_key.items()
-                if key not in listed_keys and entry.revision <= news.position
+                if key not in listed_keys and entry.revision <= update.position
             ]
-        new = self._apply(changes, self.position)
-        if news.position > self.position:
-            self.position = news.position
-            if news.whole:
-                self._unbroken_since = news.position
+        new = self._apply_changes(changes, self.position)
+        if update.position > self.position:
+            self.position = update.position
+            if update.whole:
+                self._tombstones_since = update.position
         return new
 
     def confirm(self, as_of: float) -> None:
@@ -181,15 +181,17 @@
         """
         self.confirmed_at = max(self.confirmed_at, as_of)
 
-    def news_since(self, revision: int) -> News:
+    def update_since(self, revision: int) -> RegistryUpdate:
         """Returns the update for a peer whose view ends at a revision.
 
         Args:
           revision: Revision up to which the peer's view is complete.
         """
-        if revision < self._unbroken_since:
+        if revision < self._tombstones_since:
             entries = tuple(self.entries_by_key.values())
-            return News(changes=entries, position=self.position, whole=True)
+            return RegistryUpdate(
+                changes=entries, position=self.position, whole=True
+            )
         entries = [
             entry
             for entry in self.entries_by_key.values()
@@ -197,44 +199,52 @@
         ]
         removals = [
             Removal(key=key, revision=removed_at)
-            for key, removed_at in self._removals_by_key.items()
+            for key, removed_at in self._tombstones_by_key.items()
             if removed_at > revision
         ]
-        return News(changes=(*entries, *removals), position=self.position)
+        return RegistryUpdate(
+            changes=(*entries, *removals), position=self.position
+        )
 
-    def _apply(self, changes: Iterable[Change], settled: int) -> list[Change]:
-        return [change for change in changes if self._take(change, settled)]
+    def _apply_changes(
+        self, changes: Iterable[Change], absent_as_of: int
+    ) -> list[Change]:
+        return [
+            change
+            for change in changes
+            if self._apply_change(change, absent_as_of)
+        ]
 
-    def _take(self, change: Change, settled: int) -> bool:
+    def _apply_change(self, change: Change, absent_as_of: int) -> bool:
         if not change.key.startswith(self.prefix):
             return False
         # A key removed before this process first read the store has no
         # tombstone. A peer that still has the key would restore it for good,
         # since no watch reports that removal again, and requests would go to
         # an engine that has left. So unknown keys count as absent as of the
-        # revision `settled`.
-        if change.revision <= self._known_revision(change.key, settled):
+        # revision `absent_as_of`.
+        if change.revision <= self._known_revision(change.key, absent_as_of):
             return False
         self.newest = max(self.newest, change.revision)
         match change:
             case Entry():
                 self.entries_by_key[change.key] = change
-                self._removals_by_key.pop(change.key, None)
+                self._tombstones_by_key.pop(change.key, None)
                 return True
             case Removal():
                 known = self.entries_by_key.pop(change.key, None)
                 self._add_tombstone(change)
                 return known is not None
 
-    def _known_revision(self, key: str, settled: int = 0) -> int:
+    def _known_revision(self, key: str, absent_as_of: int = 0) -> int:
         entry = self.entries_by_key.get(key)
         if entry is not None:
             return entry.revision
-        return self._removals_by_key.get(key, settled)
+        return self._tombstones_by_key.get(key, absent_as_of)
 
     def _add_tombstone(self, removal: Removal) -> None:
-        self._removals_by_key[removal.key] = removal.revision
-        self._removals_by_key.move_to_end(removal.key)
-        while len(self._removals_by_key) > _TOMBSTONES_MAX:
-            _, revision = self._removals_by_key.popitem(last=False)
-            self._unbroken_since = max(self._unbroken_since, revision)
+        self._tombstones_by_key[removal.key] = removal.revision
+        self._tombstones_by_key.move_to_end(removal.key)
+        while len(self._tombstones_by_key) > _TOMBSTONES_MAX:
+            _, revision = self._tombstones_by_key.popitem(last=False)
+            self._tombstones_since = max(self._tombstones_since, revision)
--- a/src/cowsliprill/decisions/ownership.py
+++ b/src/cowsliprill/decisions/rendezvous.py
@@ -23,7 +23,7 @@
 )
 
 
-def score(vm_id: str, key: str) -> int:
+def rendezvous_score(vm_id: str, key: str) -> int:
     """Returns the rendezvous score of a VM for a key; the highest score wins.
 
     Args:
@@ -33,7 +33,7 @@
     return xxhash.xxh3_64_intdigest(f"{vm_id}\0{key}".encode())
 
 
-def is_weak(cores: float, strongest: float) -> bool:
+def has_few_cores(cores: float, strongest: float) -> bool:
     """Returns whether a VM is too small to do work on behalf of other VMs.
 
     Args:
@@ -43,7 +43,7 @@
     return cores < strongest * _WEAK_CORES_FRACTION
 
 
-def homes_in_order(key: str, vms: Iterable[model.Vm]) -> list[model.Vm]:
+def rank_vms(key: str, vms: Iterable[model.Vm]) -> list[model.Vm]:
     """Ranks the entry VMs for a key; the first is its coordinator.
 
     Live VMs come first, then leaving VMs, then joining VMs, whose state isn't
@@ -64,19 +64,19 @@
     strongest = max((vm.cores for vm in candidates), default=0.0)
 
     def rank(vm: model.Vm) -> tuple[int, bool, int, str]:
-        weak = is_weak(vm.cores, strongest)
+        weak = has_few_cores(vm.cores, strongest)
         return (
             _STATES_BY_PREFERENCE.index(vm.state),
             weak,
-            -score(vm.id, key),
+            -rendezvous_score(vm.id, key),
             vm.id,
         )
 
     return sorted(candidates, key=rank)
 
 
-class HomeRanking:
-    """Caches the results of `homes_in_order` until the VM list changes.
+class VmRankingCache:
+    """Caches the results of `rank_vms` until the VM list changes.
 
     Without the cache every request would hash the ids of all VMs.
     """
@@ -85,7 +85,9 @@
         self._vms_by_id: dict[str, model.Vm] | None = None
         self._ranked_by_key: dict[str, list[model.Vm]] = {}
 
-    def of(self, key: str, vms_by_id: dict[str, model.Vm]) -> list[model.Vm]:
+    def ranked_vms(
+        self, key: str, vms_by_id: dict[str, model.Vm]
+    ) -> list[model.Vm]:
         """Returns the entry VMs ranked for a key, the coordinator first.
 
         Args:
@@ -98,12 +100,14 @@
             self._ranked_by_key = {}
         ranked = self._ranked_by_key.get(key)
         if ranked is None:
-            ranked = homes_in_order(key, vms_by_id.values())
+            ranked = rank_vms(key, vms_by_id.values())
             self._ranked_by_key[key] = ranked
         return ranked
 
 
-def home_of(endpoint_id: str, vms: Iterable[model.Vm]) -> model.Vm | None:
+def coordinator_of(
+    endpoint_id: str, vms: Iterable[model.Vm]
+) -> model.Vm | None:
     """Returns the VM whose dispatch process is an endpoint's coordinator.
 
     VMs with different VM lists may compute different coordinators. Both
@@ -125,6 +129,6 @@
     ]
     return max(
         candidates,
-        key=lambda vm: (score(vm.id, endpoint_id), vm.id),
+        key=lambda vm: (rendezvous_score(vm.id, endpoint_id), vm.id),
         default=None,
     )
--- a/src/cowsliprill/decisions/queue.py
+++ b/src/cowsliprill/decisions/request_queue.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Waiting:
+class QueuedRequest:
     """A queued request.
 
     Attributes:
@@ -49,33 +49,37 @@
         Late requests come last, as their responses have less value.
         """
         priority = self.submit.priority * PRIORITY_LEVEL_S
-        return (self.late, self.urgency() - priority, self.submit.request_id)
+        return (
+            self.late,
+            self.adjusted_start_deadline() - priority,
+            self.submit.request_id,
+        )
 
-    def urgency(self) -> float:
+    def adjusted_start_deadline(self) -> float:
         """Returns the start deadline plus a penalty for expensive requests."""
         return self.start_deadline + self.cost_s * self.cost_weight
 
 
-class WaitingQueue:
+class RequestQueue:
     """Queued requests of one pool, sorted for each customer."""
 
     def __init__(self) -> None:
-        self._waiting_by_id: dict[int, Waiting] = {}
+        self._waiting_by_id: dict[int, QueuedRequest] = {}
         self._keys_by_customer: dict[str, list[_Key]] = {}
 
     def __len__(self) -> int:
         return len(self._waiting_by_id)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         return iter(self._waiting_by_id.values())
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedRequest) -> None:
         """Adds a request."""
         self._waiting_by_id[waiting.submit.request_id] = waiting
         keys = self._keys_by_customer.setdefault(waiting.submit.customer, [])
         bisect.insort(keys, waiting.key())
 
-    def remove(self, request_id: int) -> Waiting | None:
+    def remove(self, request_id: int) -> QueuedRequest | None:
         """Removes a request and returns it, or None if it isn't queued."""
         waiting = self._waiting_by_id.pop(request_id, None)
         if waiting is None:
@@ -87,7 +91,7 @@
             del self._keys_by_customer[customer]
         return waiting
 
-    def wants(self) -> tuple[tuple[str, int], ...]:
+    def waiting_by_customer(self) -> tuple[tuple[str, int], ...]:
         """Returns pairs of a customer and its number of queued requests."""
         return tuple(
             (customer, len(keys))
@@ -98,7 +102,7 @@
         """Returns the customers with queued requests."""
         return list(self._keys_by_customer)
 
-    def first(self, over_share: Callable[[str], float]) -> Waiting | None:
+    def first(self, over_share: Callable[[str], float]) -> QueuedRequest | None:
         """Returns the request to place next.
 
         Args:
@@ -119,7 +123,7 @@
         )
         return None if customer is None else self._at(customer, 0)
 
-    def last(self, over_share: Callable[[str], float]) -> Waiting | None:
+    def last(self, over_share: Callable[[str], float]) -> QueuedRequest | None:
         """Returns the request to shed first, the last in the order of `first`.
 
         Args:
@@ -145,7 +149,7 @@
             default=float("inf"),
         )
 
-    def past_deadline(self, now: float) -> list[Waiting]:
+    def past_deadline(self, now: float) -> list[QueuedRequest]:
         """Returns the requests whose start deadline has passed."""
         return [
             item
@@ -153,6 +157,6 @@
             if item.start_deadline <= now
         ]
 
-    def _at(self, customer: str, index: int) -> Waiting:
+    def _at(self, customer: str, index: int) -> QueuedRequest:
         _, _, request_id = self._keys_by_customer[customer][index]
         return self._waiting_by_id[request_id]
--- a/src/cowsliprill/decisions/requests.py
+++ b/src/cowsliprill/decisions/requests.py
@@ -5,7 +5,7 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import pool as pools
-from cowsliprill.decisions import retry
+from cowsliprill.decisions import retry_budget
 
 # Attempts that were never sent and don't count as retries. Each waits for a new
 # lease, so more of them have another cause than an expired lease.
@@ -48,7 +48,7 @@
       uncached_tokens: Prompt tokens that were not in the engine's prefix cache.
       solo_prompt_number: Sequence number of its prompt at the prefill engine,
         None if the engine had other prompts when it began.
-      stage_at: When its present stage began.
+      stage_started_at: When its present stage began.
       export_expires_at: Until when `prefill` keeps the exported KV cache of a
         finished prefill, 0 if there is none.
       probed_ids: Ids of ejected endpoints that the newest attempt probes.
@@ -72,7 +72,7 @@
     expected_prefill_s: float = 1.0
     uncached_tokens: int = 0
     solo_prompt_number: int | None = None
-    stage_at: float = 0.0
+    stage_started_at: float = 0.0
     export_expires_at: float = 0.0
     probed_ids: tuple[str, ...] = ()
 
@@ -155,14 +155,14 @@
         prefill=pool.endpoints_by_id.get(start.prefill_id, decode),
         decode=decode,
         started_at=now,
-        stage_at=now,
+        stage_started_at=now,
     )
 
 
 def check_retry(
     request: Request,
     event: messages.AttemptFailed,
-    budgets: retry.RetryBudgets,
+    budgets: retry_budget.RetryBudgets,
     now: float,
 ) -> messages.RefusalCode | None:
     """Decides whether a failed request is retried.
@@ -177,7 +177,7 @@
       The code with which it must be refused, or None if it may be retried.
     """
     service = request.submit.service
-    repeatable = service.idempotency is model.Idempotency.REPEATABLE
+    repeatable = service.idempotency is model.Idempotency.IDEMPOTENT
     if not repeatable and not (event.refused or event.not_run):
         return messages.RefusalCode.ENDPOINT_FAILED
     # An attempt that never reached an engine adds no load. If it counted as a
@@ -192,7 +192,7 @@
         return messages.RefusalCode.ENDPOINT_FAILED
     if request.useful_start_deadline <= now:
         return messages.RefusalCode.ENDPOINT_FAILED
-    if not budgets.of(service).spend(attempts_made):
+    if not budgets.of(service).try_withdraw(attempts_made):
         return messages.RefusalCode.RETRY_BUDGET_SPENT
     return None
 
--- a/src/cowsliprill/decisions/retry.py
+++ b/src/cowsliprill/decisions/retry_budget.py
@@ -18,21 +18,21 @@
       rules: The service's retry rules.
     """
 
-    def __init__(self, rules: model.RetryRules) -> None:
+    def __init__(self, rules: model.RetryPolicy) -> None:
         self._rules = rules
         self._balance = float(rules.burst)
 
-    def set_rules(self, rules: model.RetryRules) -> None:
+    def set_rules(self, rules: model.RetryPolicy) -> None:
         """Sets new rules; keeps the balance, up to the new burst."""
         self._rules = rules
         self._balance = min(self._balance, float(rules.burst))
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Deposits the retry fraction of one new request."""
         earned = self._balance + self._rules.ratio
         self._balance = min(earned, float(self._rules.burst))
 
-    def spend(self, attempts_made: int) -> bool:
+    def try_withdraw(self, attempts_made: int) -> bool:
         """Tries to withdraw one retry from the budget.
 
         Args:
--- a/src/cowsliprill/decisions/roles.py
+++ b/src/cowsliprill/decisions/role_planner.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Order:
+class RoleOrder:
     """An order to an engine to change its role.
 
     Attributes:
@@ -56,7 +56,7 @@
     acknowledged: bool = False
 
 
-class Roles:
+class RolePlanner:
     """Plans the role changes of one pool and tracks those in progress."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         endpoints: Iterable[model.Endpoint],
         now: float,
         prefill_fraction: float | None = None,
-    ) -> Order | None:
+    ) -> RoleOrder | None:
         """Returns the next role change to order, None if none is due.
 
         Args:
@@ -95,7 +95,7 @@
         donors = prefills if kind is _Kind.DECODE else decodes
         return _select(self._without_pending(donors), donors, kind)
 
-    def ordered(self, order: Order, now: float) -> None:
+    def order_sent(self, order: RoleOrder, now: float) -> None:
         """Records that an order is being sent.
 
         It counts as pending even if its delivery is never confirmed.
@@ -107,7 +107,7 @@
         pending = _PendingOrder(sent_at=now, kind=order.kind)
         self._pending_by_incarnation[_incarnation(order.endpoint)] = pending
 
-    def answered(self, order: Order) -> None:
+    def order_acknowledged(self, order: RoleOrder) -> None:
         """Records that the engine acknowledged an order."""
         incarnation = _incarnation(order.endpoint)
         pending = self._pending_by_incarnation[incarnation]
@@ -115,7 +115,7 @@
             pending, acknowledged=True
         )
 
-    def changing(
+    def pending_role_changes(
         self, endpoints: Iterable[model.Endpoint]
     ) -> list[tuple[str, str]]:
         """Returns id and new role of each engine with an acknowledged order.
@@ -270,7 +270,7 @@
     candidates: Sequence[model.Endpoint],
     same_kind: Sequence[model.Endpoint],
     kind: model.EndpointKind,
-) -> Order | None:
+) -> RoleOrder | None:
     # Takes an engine from the availability zone with most engines of the role,
     # so that the remaining ones stay spread over zones.
     count_by_zone: dict[str, int] = {}
@@ -283,7 +283,7 @@
         candidates,
         key=lambda item: (count_by_zone[item.availability_zone], item.id),
     )
-    return Order(endpoint=endpoint, kind=kind)
+    return RoleOrder(endpoint=endpoint, kind=kind)
 
 
 def _incarnation(endpoint: model.Endpoint) -> tuple[str, str]:
--- a/src/cowsliprill/decisions/routing.py
+++ b/src/cowsliprill/decisions/routing.py
@@ -9,8 +9,8 @@
 RoutesByHost = Mapping[str, Mapping[str, model.Route]]
 
 
-def index(routes: Iterable[model.Route]) -> RoutesByHost:
-    """Indexes routes for `find`.
+def index_routes(routes: Iterable[model.Route]) -> RoutesByHost:
+    """Indexes routes for `find_route`.
 
     Args:
       routes: The routes. Of two with the same host and prefix, the later wins.
@@ -25,7 +25,7 @@
     return routes_by_host
 
 
-def find(
+def find_route(
     routes_by_host: RoutesByHost, host: str, path: str
 ) -> model.Route | None:
     """Finds the route with the longest matching path prefix.
@@ -34,7 +34,7 @@
     routes, of which there may be tens of thousands.
 
     Args:
-      routes_by_host: Result of `index`.
+      routes_by_host: Result of `index_routes`.
       host: Host as given by the caller, with or without a port.
       path: Path without the query.
 
--- a/src/cowsliprill/decisions/scheduler.py
+++ b/src/cowsliprill/decisions/scheduler.py
@@ -10,20 +10,20 @@
 import random
 from collections.abc import Iterator
 
-from cowsliprill.decisions import chooser
+from cowsliprill.decisions import engine_selection
 from cowsliprill.decisions import estimates
 from cowsliprill.decisions import health
-from cowsliprill.decisions import learning
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
-from cowsliprill.decisions import placement
+from cowsliprill.decisions import outcome_recorder
+from cowsliprill.decisions import pair_selection
 from cowsliprill.decisions import pool as pools
 from cowsliprill.decisions import pool_set
-from cowsliprill.decisions import prospects
-from cowsliprill.decisions import queue
+from cowsliprill.decisions import request_queue
 from cowsliprill.decisions import requests
-from cowsliprill.decisions import retry
-from cowsliprill.decisions import slot_asks
+from cowsliprill.decisions import retry_budget
+from cowsliprill.decisions import slot_demands
+from cowsliprill.decisions import wait_estimates
 
 _MAX_WAKEUP_INTERVAL_S = 0.5
 
@@ -62,14 +62,16 @@
     ) -> None:
         rng = random.Random(seed)
         self._requests_by_id: dict[int, requests.Request] = {}
-        self._health = health.Health()
+        self._health = health.EngineHealth()
         self._pools = pool_set.PoolSet(
             availability_zone, seed, rng, self._health, owns_slots=owns_slots
         )
         self._owns_slots = owns_slots
-        self._learning = learning.Learning(self._health)
-        self._chooser = chooser.Chooser(availability_zone, self._health)
-        self._retry_budgets = retry.RetryBudgets()
+        self._outcomes = outcome_recorder.OutcomeRecorder(self._health)
+        self._selector = engine_selection.EngineSelector(
+            availability_zone, self._health
+        )
+        self._retry_budgets = retry_budget.RetryBudgets()
         self._sequence = 0
 
     def handle(
@@ -104,9 +106,9 @@
             case messages.SlotGrant():
                 return self._slots_granted(event, now)
             case messages.HomeUnreachable(endpoint_ids):
-                return self._home_unreachable(endpoint_ids, now)
-            case messages.WorldChanged(snapshot, fleet):
-                return self._world_changed(snapshot, fleet, now)
+                return self._coordinator_unreachable(endpoint_ids, now)
+            case messages.ClusterStateChanged(snapshot, fleet):
+                return self._cluster_state_changed(snapshot, fleet, now)
             case messages.Tick():
                 return self._schedule_all(now)
 
@@ -115,10 +117,10 @@
         pool_state = self._pools.pools_by_name.get(pool)
         return len(pool_state.endpoints_by_id) if pool_state else 0
 
-    def standing(self, pool: str) -> pools.Standing | None:
+    def pool_load(self, pool: str) -> pools.PoolLoad | None:
         """Returns the load of a pool, or None if the pool is unknown."""
         pool_state = self._pools.pools_by_name.get(pool)
-        return pool_state.standing() if pool_state else None
+        return pool_state.pool_load() if pool_state else None
 
     def prompt_part(self, pool: str) -> float | None:
         """Returns the fraction of a pool's engine time spent on prefills.
@@ -130,7 +132,7 @@
         pool_state = self._pools.pools_by_name.get(pool)
         return pool_state.prompt_part() if pool_state else None
 
-    def asks(self, now: float) -> list[messages.SlotAsk]:
+    def asks(self, now: float) -> list[messages.SlotDemand]:
         """Returns this process's slot demand at each endpoint it uses.
 
         Args:
@@ -150,9 +152,9 @@
 
     def _asks_of(
         self, pool: pools.Pool, now: float, *, only_urgent: bool
-    ) -> Iterator[messages.SlotAsk]:
-        stated = slot_asks.SlotAsks(pool, self._health)
-        return stated.state(now, self._sequence, only_urgent=only_urgent)
+    ) -> Iterator[messages.SlotDemand]:
+        stated = slot_demands.SlotDemands(pool, self._health)
+        return stated.build(now, self._sequence, only_urgent=only_urgent)
 
     def next_wakeup(self, now: float) -> float:
         """Returns the time at which the I/O layer must send `Tick`."""
@@ -180,7 +182,7 @@
                     retry_after_s=_MAX_WAKEUP_INTERVAL_S,
                 )
             ]
-        self._retry_budgets.of(event.service).earn()
+        self._retry_budgets.of(event.service).deposit()
         request = requests.from_submit(event, pool, now)
         self._requests_by_id[event.request_id] = request
         if (
@@ -189,7 +191,7 @@
         ):
             code = messages.RefusalCode.TARGET_UNREACHABLE
             return [self._refuse(request, code, now)]
-        item = prospects.request_demand(request, now)
+        item = wait_estimates.request_demand(request, now)
         pool.demand.add(item)
         self._enqueue(request, now)
         starts = self._place_all(pool, now)
@@ -199,7 +201,7 @@
         if (
             is_queued
             and can_meet_target
-            and not prospects.should_queue(request, item, now, entry_count)
+            and not wait_estimates.should_queue(request, item, now, entry_count)
         ):
             starts.extend(self._demote(request, now))
         return starts + self._schedule(pool, now)
@@ -242,15 +244,15 @@
         pool, customer = request.pool, request.submit.customer
         assert request.prefill is not None and request.decode is not None
         if request.stage is messages.Stage.PREFILL:
-            pool.holding(request.prefill.id).take(customer)
-        pool.holding(request.decode.id).take(customer, request.slots)
-        pool.take(customer)
+            pool.lease(request.prefill.id).acquire(customer)
+        pool.lease(request.decode.id).acquire(customer, request.slots)
+        pool.acquire(customer)
 
     def _enqueue(self, request: requests.Request, now: float) -> None:
         request.stage = messages.Stage.QUEUED
         late = request.start_deadline <= now < request.useful_start_deadline
         request.pool.queue.add(
-            queue.Waiting(
+            request_queue.QueuedRequest(
                 submit=request.submit,
                 late=late,
                 start_deadline=(
@@ -286,20 +288,20 @@
             return []
         self._release_prefill(request)
         assert request.prefill is not None
-        self._health.answered(request.prefill.id, request.started_at)
+        self._health.record_success(request.prefill.id, request.started_at)
         prefill_duration_s = now - request.started_at
         request.pool.record_prefill_slowdown(
             request.prefill.id, prefill_duration_s / request.expected_prefill_s
         )
         # Concurrent prompts slow each other down, the more so the busier the
         # engine is. Only a prefill that ran alone shows the engine's speed.
-        prompts = request.pool.holding(request.prefill.id).prompts
+        prompts = request.pool.lease(request.prefill.id).prompts
         if request.solo_prompt_number == prompts:
             request.pool.record_prefill_speed(
                 request.uncached_tokens, prefill_duration_s
             )
         request.stage = messages.Stage.TRANSFER
-        request.stage_at = now
+        request.stage_started_at = now
         return self._schedule(request.pool, now)
 
     def _first_token(
@@ -308,9 +310,9 @@
         request = self._requests_by_id.get(request_id)
         if request is None or request.stage is not messages.Stage.TRANSFER:
             return []
-        self._learning.first_token(request, now)
+        self._outcomes.record_first_token(request, now)
         request.stage = messages.Stage.DECODE
-        request.stage_at = now
+        request.stage_started_at = now
         request.pool.record_first_token_delay(
             now - request.started_at - request.min_ttft_s
         )
@@ -321,7 +323,7 @@
     ) -> list[messages.Action]:
         request = self._requests_by_id.get(event.request_id)
         if request is not None and request.stage is messages.Stage.DECODE:
-            self._learning.pace(request, event.output_tokens, now)
+            self._outcomes.record_pace(request, event.output_tokens, now)
         return []
 
     def _finished(
@@ -334,7 +336,7 @@
             request.pool.queue.remove(event.request_id)
             return []
         if request.stage is messages.Stage.DECODE:
-            self._learning.pace(request, event.output_tokens, now)
+            self._outcomes.record_pace(request, event.output_tokens, now)
             request.pool.output_lengths.record(
                 request.submit, event.output_tokens
             )
@@ -348,7 +350,7 @@
         request = self._requests_by_id.get(event.request_id)
         if request is None or request.stage is messages.Stage.QUEUED:
             return []
-        self._learning.failed(request, event, now)
+        self._outcomes.record_failure(request, event, now)
         cancel = self._cancel_attempt(request)
         streaming = request.stage is messages.Stage.DECODE
         self._release(request)
@@ -356,7 +358,7 @@
             # This comes after the release of the request's own slots. If they
             # counted as free, the retry would go to the same full engine.
             until = now + _FULL_ENGINE_BACKOFF_S if self._owns_slots else 0.0
-            request.pool.holding(event.endpoint_id).drop_free(until)
+            request.pool.lease(event.endpoint_id).mark_full(until)
         if streaming and not event.resumable:
             # Tokens have reached the client, so the request can't be retried
             # from the start. The I/O layer decides how the stream ends.
@@ -392,17 +394,17 @@
             self._release_prefill(request)
         assert request.decode is not None
         for endpoint_id in request.probed_ids:
-            self._health.probe_ended(endpoint_id)
+            self._health.end_probe(endpoint_id)
         request.probed_ids = ()
         customer = request.submit.customer
-        holding = request.pool.holding(request.decode.id)
-        holding.release(customer, request.slots)
+        lease = request.pool.lease(request.decode.id)
+        lease.release(customer, request.slots)
         request.pool.release(customer)
 
     def _release_prefill(self, request: requests.Request) -> None:
         assert request.prefill is not None
-        holding = request.pool.holding(request.prefill.id)
-        holding.release(request.submit.customer)
+        lease = request.pool.lease(request.prefill.id)
+        lease.release(request.submit.customer)
 
     def _refuse(
         self, request: requests.Request, code: messages.RefusalCode, now: float
@@ -415,7 +417,7 @@
         # A retried request is late and gets only the capacity that requests in
         # time leave. A retry-after from the drain time of the whole pool would
         # bring clients back during the same burst, to be refused for good.
-        spare_capacity = prospects.spare_capacity(pool, now, entry_count)
+        spare_capacity = wait_estimates.spare_capacity(pool, now, entry_count)
         slots = max(pool.slots(), 1) / pool.mean_slots_per_request
         capacity_fraction = spare_capacity.for_retries
         interval_s = pool.mean_hold_s / slots * entry_count / capacity_fraction
@@ -441,16 +443,16 @@
         pool = self._pools.pools_by_endpoint.get(event.endpoint_id)
         if pool is None:
             return []
-        pool.holding(event.endpoint_id).grant(event)
+        pool.lease(event.endpoint_id).grant(event)
         return self._schedule(pool, now)
 
-    def _home_unreachable(
+    def _coordinator_unreachable(
         self, endpoint_ids: tuple[str, ...], now: float
     ) -> list[messages.Action]:
         self._pools.use_fallback(endpoint_ids)
         return self._schedule_all(now)
 
-    def _world_changed(
+    def _cluster_state_changed(
         self, snapshot: model.Snapshot, fleet: model.Fleet, now: float
     ) -> list[messages.Action]:
         self._pools.update(snapshot, fleet)
@@ -518,7 +520,9 @@
             last = pool.queue.last(pool.over_share)
             assert last is not None
             time_left = last.start_deadline - now
-            wait_s = prospects.wait_s(pool, last, now, self._pools.entry_count)
+            wait_s = wait_estimates.wait_s(
+                pool, last, now, self._pools.entry_count
+            )
             if wait_s <= time_left * _ADMISSION_WAIT_FACTOR:
                 break
             request = self._requests_by_id[last.submit.request_id]
@@ -536,11 +540,11 @@
             request.export_expires_at > now and request.prefill is not None
         )
         if reuse_prefill:
-            pair = self._chooser.choose_decode(
+            pair = self._selector.select_decode(
                 pool, submit, request.slots, request.prefill, now
             )
         else:
-            pair = self._chooser.choose(pool, submit, request.slots, now)
+            pair = self._selector.select_pair(pool, submit, request.slots, now)
         if pair is None:
             return None
         pool.queue.remove(submit.request_id)
@@ -550,7 +554,7 @@
         self,
         pool: pools.Pool,
         submit: messages.Submit,
-        pair: placement.Pair,
+        pair: pair_selection.EnginePair,
         now: float,
         *,
         reuse_prefill: bool,
@@ -565,14 +569,14 @@
         )
         request.attempt += 1
         request.started_at = now
-        request.stage_at = now
+        request.stage_started_at = now
         if prefills:
             self._expect_prefill(request)
         self._acquire_slots(request)
         request.probed_ids = tuple(
             endpoint_id
             for endpoint_id in (pair.prefill_id, pair.decode_id)
-            if self._health.placed(endpoint_id, now)
+            if self._health.record_placement(endpoint_id, now)
         )
         return messages.Start(
             request_id=submit.request_id,
@@ -580,7 +584,7 @@
             prefill_id=pair.prefill_id,
             decode_id=pair.decode_id,
             slots=request.slots,
-            used=pool.holding(pair.decode_id).used - request.slots,
+            used=pool.lease(pair.decode_id).used - request.slots,
             waiting=len(pool.queue),
             reuses_prefill=reuse_prefill,
         )
@@ -591,13 +595,11 @@
         request.expected_prefill_s = pool.prefill_wait_s(
             request.prefill, submit, ignore_slowdown=True
         )
-        holding = pool.holding(request.prefill.id)
-        cached = holding.cached
+        lease = pool.lease(request.prefill.id)
+        cached = lease.cached
         pool_state = cached.cached_tokens(submit.prefix_hashes)
-        holding.prompts += 1
-        request.solo_prompt_number = (
-            None if holding.running else holding.prompts
-        )
+        lease.prompts += 1
+        request.solo_prompt_number = None if lease.running else lease.prompts
         request.uncached_tokens = submit.prompt_tokens - pool_state
         pool.record_prefill_estimate(
             estimates.prefill_s(request.prefill, submit, pool_state)
--- a/src/cowsliprill/decisions/revision.py
+++ b/src/cowsliprill/decisions/settings_version.py
@@ -41,7 +41,7 @@
     REFUSED_BEFORE = "refused_before"
 
 
-class Keeper:
+class VersionTracker:
     """Tracks the version in force and recently refused versions."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         """The version in force."""
         return self._in_force
 
-    def judge(self, offered: Version) -> Verdict:
+    def classify(self, offered: Version) -> Verdict:
         """Compares an offered version with the one in force.
 
         Args:
@@ -84,7 +84,7 @@
     def accept(self, version: Version) -> bool:
         """Puts a version in force whose content was found valid.
 
-        The order is checked again here. The content was read after `judge`
+        The order is checked again here. The content was read after `classify`
         was called, and a process that was paused or slow meanwhile would
         otherwise replace a newer version by an older one.
 
--- a/src/cowsliprill/decisions/slot_asks.py
+++ b/src/cowsliprill/decisions/slot_demands.py
@@ -2,19 +2,19 @@
 
 from collections.abc import Iterator
 
+from cowsliprill.decisions import endpoint_lease
 from cowsliprill.decisions import health
-from cowsliprill.decisions import leases
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import pool as pools
-from cowsliprill.decisions import queue
+from cowsliprill.decisions import request_queue
 
 # Idle slots kept leased at each endpoint while no requests wait, so that a
 # request to a pool with free capacity is placed without a slot demand.
 _RESERVE_SLOTS = 1
 
 
-class SlotAsks:
+class SlotDemands:
     """Builds slot demands for the slots of one pool's endpoints.
 
     Args:
@@ -22,13 +22,15 @@
       engine_health: Health of the engines.
     """
 
-    def __init__(self, pool: pools.Pool, engine_health: health.Health) -> None:
+    def __init__(
+        self, pool: pools.Pool, engine_health: health.EngineHealth
+    ) -> None:
         self._pool = pool
         self._health = engine_health
 
-    def state(
+    def build(
         self, now: float, sequence: int, *, only_urgent: bool
-    ) -> Iterator[messages.SlotAsk]:
+    ) -> Iterator[messages.SlotDemand]:
         """Builds the slot demands for the pool's endpoints.
 
         Decode slots are requested first, and prefill slots beyond the reserve
@@ -61,8 +63,8 @@
         slot demand stated a need that no longer exists.
         """
         return any(
-            holding.others_waiting or holding.demanded_slots
-            for holding in self._pool.holdings_by_endpoint.values()
+            lease.others_waiting or lease.demanded_slots
+            for lease in self._pool.leases_by_endpoint.values()
         )
 
     def _build_for(
@@ -72,21 +74,21 @@
         now: float,
         sequence: int,
         only_urgent: bool,
-    ) -> Iterator[messages.SlotAsk]:
+    ) -> Iterator[messages.SlotDemand]:
         """Yields slot demands and returns how many idle slots are held."""
-        holdings = [self._pool.holding(item.id) for item in endpoints]
+        endpoint_leases = [self._pool.lease(item.id) for item in endpoints]
         # Idle slots of an engine that isn't usable can't serve requests.
         idle = sum(
-            holding.idle_slots(now)
-            for endpoint, holding in zip(endpoints, holdings, strict=True)
+            lease.idle_slots(now)
+            for endpoint, lease in zip(endpoints, endpoint_leases, strict=True)
             if self._health.usable(endpoint.id, now)
         )
         missing = max(needed - idle, 0)
         surplus = max(idle - needed, 0)
-        first_waiting: queue.Waiting | None = None
-        for endpoint, holding in zip(endpoints, holdings, strict=True):
-            endpoint_idle = holding.idle_slots(now)
-            contended = holding.others_waiting > 0
+        first_waiting: request_queue.QueuedRequest | None = None
+        for endpoint, lease in zip(endpoints, endpoint_leases, strict=True):
+            endpoint_idle = lease.idle_slots(now)
+            contended = lease.others_waiting > 0
             if self._health.usable(endpoint.id, now):
                 released = min(endpoint_idle, surplus) if contended else 0
                 surplus -= released
@@ -94,8 +96,8 @@
             else:
                 released = endpoint_idle if contended else 0
                 need = 0
-            outdated = need > holding.demanded_slots or (
-                need == 0 and holding.demanded_slots > 0
+            outdated = need > lease.demanded_slots or (
+                need == 0 and lease.demanded_slots > 0
             )
             if only_urgent and not released and not outdated:
                 continue
@@ -103,7 +105,7 @@
                 first_waiting = self._pool.queue.first(self._pool.over_share)
             yield self._build_one(
                 endpoint.id,
-                holding,
+                lease,
                 need,
                 released,
                 first_waiting,
@@ -115,39 +117,39 @@
     def _build_one(
         self,
         endpoint_id: str,
-        holding: leases.Holding,
+        lease: endpoint_lease.EndpointLease,
         need: int,
         released: int,
-        first_waiting: queue.Waiting | None,
+        first_waiting: request_queue.QueuedRequest | None,
         now: float,
         sequence: int,
-    ) -> messages.SlotAsk:
-        held = holding.held_slots(now) - released
+    ) -> messages.SlotDemand:
+        held = lease.held_slots(now) - released
         usable = self._health.usable(endpoint_id, now)
-        reserve = _RESERVE_SLOTS if usable and not holding.others_waiting else 0
-        holding.demanded_slots = need
-        holding.record_demand(sequence, held)
+        reserve = _RESERVE_SLOTS if usable and not lease.others_waiting else 0
+        lease.demanded_slots = need
+        lease.record_demand(sequence, held)
         first_waiting = first_waiting if need else None
-        return messages.SlotAsk(
+        return messages.SlotDemand(
             endpoint_id=endpoint_id,
-            in_use=holding.in_use,
-            want=max(holding.in_use + max(need, reserve), held),
+            in_use=lease.in_use,
+            want=max(lease.in_use + max(need, reserve), held),
             priority=first_waiting.submit.priority if first_waiting else 0,
-            deadline_in_s=first_waiting.urgency() - now
+            deadline_in_s=first_waiting.adjusted_start_deadline() - now
             if first_waiting
             else 0.0,
             customer_wants=self._customer_wants(need),
-            customer_in_use=tuple(holding.in_use_by_customer.items()),
+            customer_in_use=tuple(lease.in_use_by_customer.items()),
             held=held,
             sequence=sequence,
         )
 
     def _customer_wants(self, need: int) -> tuple[tuple[str, int], ...]:
-        wants = []
+        waiting_by_customer = []
         remaining = need
-        for customer, count in self._pool.queue.wants():
+        for customer, count in self._pool.queue.waiting_by_customer():
             allotted = min(count, remaining)
             if allotted:
-                wants.append((customer, allotted))
+                waiting_by_customer.append((customer, allotted))
             remaining -= allotted
-        return tuple(wants)
+        return tuple(waiting_by_customer)
--- a/src/cowsliprill/decisions/slots.py
+++ b/src/cowsliprill/decisions/slot_ledger.py
@@ -10,14 +10,14 @@
 
 from cowsliprill.decisions import messages
 
-LEASE_S = 2.0
+LEASE_DURATION_S = 2.0
 
 # The ledger keeps a lease this much longer than it promises to the entry
 # process, so that clock drift can't lead to a slot being leased twice.
 _CLOCK_DRIFT_MARGIN_S = 0.1
 
 # Slots of an expired lease stay reserved for this long, or until a call of
-# `observe` reports what the endpoint really runs. An unresponsive entry
+# `reconcile_usage` reports what the endpoint really runs. An unresponsive entry
 # process may have filled all of its leased slots; if they were reassigned at
 # once, the prefill of the next request would complete only to find the decode
 # engine full.
@@ -42,7 +42,7 @@
         entry processes waiting.
     """
 
-    demand: messages.SlotAsk
+    demand: messages.SlotDemand
     slots: int = 0
     expires_at: float = 0.0
     deadline: float = 0.0
@@ -63,22 +63,22 @@
     Args:
       endpoint_id: The endpoint.
       slots: Number of slots of the endpoint.
-      silent_until: End of the reclaim period. Until then a new coordinator
+      reclaim_until: End of the reclaim period. Until then a new coordinator
         only confirms slots that entry processes report as held, because it
         doesn't know which leases of the previous coordinator are still valid.
     """
 
     def __init__(
-        self, endpoint_id: str, slots: int, silent_until: float = 0.0
+        self, endpoint_id: str, slots: int, reclaim_until: float = 0.0
     ) -> None:
         self.endpoint_id = endpoint_id
         self.slots = slots
         self.shares_by_customer: dict[str, float] = {}
-        self._reclaim_until = silent_until
+        self._reclaim_until = reclaim_until
         self._leases_by_entry: dict[str, _Lease] = {}
 
     def ask(
-        self, entry: str, demand: messages.SlotAsk, now: float
+        self, entry: str, demand: messages.SlotDemand, now: float
     ) -> messages.SlotGrant:
         """Handles the slot demand of an entry process.
 
@@ -156,7 +156,9 @@
             default=None,
         )
 
-    def observe(self, running_by_entry: dict[str, int], now: float) -> None:
+    def reconcile_usage(
+        self, running_by_entry: dict[str, int], now: float
+    ) -> None:
         """Reduces expired leases to the slots the endpoint really uses.
 
         Args:
@@ -175,7 +177,7 @@
         self,
         entry: str,
         lease: _Lease | None,
-        demand: messages.SlotAsk,
+        demand: messages.SlotDemand,
         now: float,
     ) -> None:
         if lease is None:
@@ -188,10 +190,10 @@
             lease.slots = max(min(lease.slots, demand.held), demand.in_use)
         lease.demand = demand
         lease.slots = max(min(lease.slots, demand.want), demand.in_use)
-        lease.expires_at = now + LEASE_S + _CLOCK_DRIFT_MARGIN_S
+        lease.expires_at = now + LEASE_DURATION_S + _CLOCK_DRIFT_MARGIN_S
         lease.deadline = now + demand.deadline_in_s
 
-    def _confirmed_idle_slots(self, demand: messages.SlotAsk) -> int:
+    def _confirmed_idle_slots(self, demand: messages.SlotDemand) -> int:
         idle = max(demand.held - demand.in_use, 0)
         return min(idle, max(self._free_slots() - demand.in_use, 0))
 
--- a/src/cowsliprill/decisions/speeds.py
+++ b/src/cowsliprill/decisions/speeds.py
@@ -35,13 +35,16 @@
     """Time per token in seconds, published only if it changes noticeably."""
 
     def __init__(self) -> None:
-        self.told_s = 0.0
+        self.published_s = 0.0
 
     def update(self, seconds: float) -> bool:
         """Updates the estimate; returns whether the published value changed."""
-        if abs(seconds - self.told_s) <= self.told_s * _MIN_RELATIVE_CHANGE:
+        if (
+            abs(seconds - self.published_s)
+            <= self.published_s * _MIN_RELATIVE_CHANGE
+        ):
             return False
-        self.told_s = seconds
+        self.published_s = seconds
         return True
 
 
@@ -102,14 +105,14 @@
         return median > 0 and self.update(median)
 
 
-class Speeds:
+class SpeedEstimator:
     """Estimates the prefill and decode speeds of one pool's engines."""
 
     def __init__(self) -> None:
-        self._prompt = _PrefillTime()
-        self._answer = _DecodeTime()
+        self._prefill = _PrefillTime()
+        self._decode = _DecodeTime()
 
-    def read(self, tokens: int, seconds: float) -> bool:
+    def add_prefill(self, tokens: int, seconds: float) -> bool:
         """Adds the prefill of a prompt that ran alone on a prefill engine.
 
         Args:
@@ -117,12 +120,12 @@
           seconds: Time of the prefill in seconds.
 
         Returns:
-          Whether a published speed changed, so that `describe` must be applied
+          Whether a published speed changed, so that `apply_to` must be applied
           to the engines again.
         """
-        return self._prompt.add(tokens, seconds)
+        return self._prefill.add(tokens, seconds)
 
-    def wrote(self, tokens: int, seconds: float) -> bool:
+    def add_decode(self, tokens: int, seconds: float) -> bool:
         """Adds the decode of an output or a part of one.
 
         Args:
@@ -130,18 +133,18 @@
           seconds: Time since the first token, in seconds.
 
         Returns:
-          Whether a published speed changed, so that `describe` must be applied
+          Whether a published speed changed, so that `apply_to` must be applied
           to the engines again.
         """
         if tokens < _MIN_DECODE_TOKENS or seconds <= 0:
             return False
-        return self._answer.add(seconds / tokens)
+        return self._decode.add(seconds / tokens)
 
-    def are_known(self) -> bool:
+    def has_estimates(self) -> bool:
         """Returns whether both speeds have been estimated."""
-        return self._prompt.told_s > 0 and self._answer.told_s > 0
+        return self._prefill.published_s > 0 and self._decode.published_s > 0
 
-    def describe(self, endpoint: model.Endpoint) -> model.Endpoint:
+    def apply_to(self, endpoint: model.Endpoint) -> model.Endpoint:
         """Returns an engine with its default speeds replaced by measured ones.
 
         Args:
@@ -151,10 +154,10 @@
         if not endpoint.speeds_guessed:
             return endpoint
         measured: dict[str, float] = {}
-        if self._answer.told_s:
-            measured["seconds_per_token"] = self._answer.told_s
-        if self._prompt.told_s:
-            speed = 1 / self._prompt.told_s
+        if self._decode.published_s:
+            measured["seconds_per_token"] = self._decode.published_s
+        if self._prefill.published_s:
+            speed = 1 / self._prefill.published_s
             default_speed = endpoint.prefill_tokens_per_s
             measured["prefill_tokens_per_s"] = speed
             measured["own_prefill_tokens_per_s"] = (
--- a/src/cowsliprill/decisions/stream.py
+++ b/src/cowsliprill/decisions/stream.py
@@ -21,10 +21,10 @@
 _MAX_EVENT_BYTES = 1_048_576
 
 
-class Reason(enum.StrEnum):
+class StreamFault(enum.StrEnum):
     """Why a stream is incomplete or invalid."""
 
-    CUT = "cut"
+    TRUNCATED = "cut"
     STALLED = "stalled"
     FOREIGN = "foreign"
     OUT_OF_ORDER = "out_of_order"
@@ -38,7 +38,7 @@
         After a wrong token count it may not: the engine contradicts itself, so
         its further events can't be validated either.
         """
-        return self is not Reason.WRONG_COUNT
+        return self is not StreamFault.WRONG_COUNT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,19 +80,19 @@
 
     data: bytes
     last_token: int
-    reason: Reason
+    reason: StreamFault
 
 
 Result = Events | Complete | Broken
 
 
 class _InvalidEventError(Exception):
-    def __init__(self, reason: Reason) -> None:
+    def __init__(self, reason: StreamFault) -> None:
         super().__init__(reason)
         self.reason = reason
 
 
-class Checker:
+class StreamValidator:
     """Validates the stream of one request, across reconnections.
 
     Args:
@@ -110,7 +110,7 @@
         self._buffer = b""
         self._final_event = b""
         self._resumed = False
-        self._fault: Reason | None = None
+        self._fault: StreamFault | None = None
 
     def feed(self, chunk: bytes) -> Result:
         """Processes the next bytes received on the connection.
@@ -136,7 +136,7 @@
                     self._buffer = b""
                     break
             if len(self._buffer) > _MAX_EVENT_BYTES:
-                raise _InvalidEventError(Reason.MALFORMED)
+                raise _InvalidEventError(StreamFault.MALFORMED)
         except _InvalidEventError as error:
             self._fault = error.reason
         data = b"".join(delivered)
@@ -146,7 +146,9 @@
             return Complete(data, self.last_token)
         return Events(data, self.last_token)
 
-    def end(self, reason: Reason = Reason.CUT) -> Complete | Broken:
+    def end(
+        self, reason: StreamFault = StreamFault.TRUNCATED
+    ) -> Complete | Broken:
         """Processes the end of the connection.
 
         Args:
@@ -177,7 +179,7 @@
             self._process_other_event(event, delivered)
             return
         if self._final_event:
-            raise _InvalidEventError(Reason.OUT_OF_ORDER)
+            raise _InvalidEventError(StreamFault.OUT_OF_ORDER)
         number = self._token_number(event)
         if _USAGE_KEY in event:
             self._hold_final_event(event, number)
@@ -185,7 +187,7 @@
             delivered.append(event + _EVENT_SEPARATOR)
             self.last_token = number
         elif not self._resumed or number > self.last_token:
-            raise _InvalidEventError(Reason.OUT_OF_ORDER)
+            raise _InvalidEventError(StreamFault.OUT_OF_ORDER)
         # Otherwise a resumed stream starts before the requested token; the
         # tokens that were delivered already are skipped.
 
@@ -195,15 +197,15 @@
         if event == _DONE_EVENT:
             self._release_final_event(delivered)
         elif event.startswith(b"id: "):
-            raise _InvalidEventError(Reason.FOREIGN)
+            raise _InvalidEventError(StreamFault.FOREIGN)
         elif not event.startswith(_COMMENT_PREFIX):
-            raise _InvalidEventError(Reason.MALFORMED)
+            raise _InvalidEventError(StreamFault.MALFORMED)
 
     def _token_number(self, event: bytes) -> int:
         start = len(self._id_prefix)
         digits = event[start : event.find(b"\n", start)]
         if not digits.isdigit():
-            raise _InvalidEventError(Reason.MALFORMED)
+            raise _InvalidEventError(StreamFault.MALFORMED)
         return int(digits)
 
     def _hold_final_event(self, event: bytes, number: int) -> None:
@@ -211,15 +213,15 @@
         # its only event is then numbered 0.
         empty = number == self.last_token == 0
         if number != self.last_token + 1 and not empty:
-            raise _InvalidEventError(Reason.OUT_OF_ORDER)
+            raise _InvalidEventError(StreamFault.OUT_OF_ORDER)
         self._final_event = event
 
     def _release_final_event(self, delivered: list[bytes]) -> None:
         if not self._final_event:
-            raise _InvalidEventError(Reason.WRONG_COUNT)
+            raise _InvalidEventError(StreamFault.WRONG_COUNT)
         number = self._token_number(self._final_event)
         if _completion_tokens(self._final_event) != number:
-            raise _InvalidEventError(Reason.WRONG_COUNT)
+            raise _InvalidEventError(StreamFault.WRONG_COUNT)
         delivered.append(
             self._final_event
             + _EVENT_SEPARATOR
@@ -236,7 +238,7 @@
             event[event.index(_DATA_PREFIX) + len(_DATA_PREFIX) :]
         )
     except ValueError as error:
-        raise _InvalidEventError(Reason.MALFORMED) from error
+        raise _InvalidEventError(StreamFault.MALFORMED) from error
 
 
 def _completion_tokens(event: bytes) -> Any:
@@ -245,7 +247,7 @@
     return usage.get("completion_tokens") if isinstance(usage, dict) else None
 
 
-class Collector:
+class ResponseBuilder:
     """Joins a complete stream into the response of a non-streaming call.
 
     Each event's JSON is parsed once, in `answer`.
@@ -258,7 +260,7 @@
         """Adds validated events.
 
         Args:
-          data: Bytes as delivered by `Checker`.
+          data: Bytes as delivered by `StreamValidator`.
         """
         self._chunks.append(data)
 
