--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -6,7 +6,7 @@
 import pytest
 from tests import raw_endpoint
 
-from cowsliprill.decisions import call as call_lib
+from cowsliprill.decisions import call_state as call_lib
 from cowsliprill.decisions import messages
 from cowsliprill.engines import errors
 from cowsliprill.engines import http_client
@@ -55,7 +55,7 @@
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 port = listener.getsockname()[1]
             error = await _error(http_client.HttpClient(), port)
-            assert error.run is messages.Run.NO
+            assert error.run is messages.Executed.NO
 
         asyncio.run(scenario())
 
@@ -79,7 +79,7 @@
 
                 async with raw_endpoint.RawEndpoint(script) as endpoint:
                     error = await _error(client, endpoint.port)
-                    assert error.run is messages.Run.UNKNOWN, end
+                    assert error.run is messages.Executed.UNKNOWN, end
                     assert len(endpoint.ran) == int(end == length)
 
         asyncio.run(scenario())
@@ -106,7 +106,7 @@
 
                 async with raw_endpoint.RawEndpoint(script) as endpoint:
                     error = await _error(client, endpoint.port)
-                    assert error.run is messages.Run.UNKNOWN, end
+                    assert error.run is messages.Executed.UNKNOWN, end
                     assert len(endpoint.ran) == 1
 
         asyncio.run(scenario())
@@ -124,7 +124,7 @@
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 error = await _error(http_client.HttpClient(), endpoint.port)
-                assert error.run is messages.Run.UNKNOWN
+                assert error.run is messages.Executed.UNKNOWN
 
         asyncio.run(scenario())
 
@@ -140,7 +140,7 @@
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 error = await _error(http_client.HttpClient(), endpoint.port)
-                assert error.run is messages.Run.UNKNOWN
+                assert error.run is messages.Executed.UNKNOWN
 
         asyncio.run(scenario())
 
@@ -169,7 +169,7 @@
                     await client.call(
                         "127.0.0.1", endpoint.port, method, path, headers
                     )
-                assert caught.value.run is messages.Run.NO
+                assert caught.value.run is messages.Executed.NO
                 assert endpoint.ran == []
 
         asyncio.run(scenario())
@@ -212,7 +212,7 @@
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(address)
-            progress = call_lib.Progress()
+            progress = call_lib.CallProgress()
             call = asyncio.create_task(
                 _post(http_client.HttpClient(), address[1], progress=progress)
             )
@@ -221,7 +221,7 @@
             call.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await call
-            assert progress.run is messages.Run.NO
+            assert progress.run is messages.Executed.NO
             for filler in (*fillers, listener):
                 filler.close()
 
@@ -241,7 +241,7 @@
                 ran.set()
                 await connection.wait_for_hang_up()
 
-            progress = call_lib.Progress()
+            progress = call_lib.CallProgress()
             client = http_client.HttpClient()
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 call = asyncio.create_task(
@@ -252,7 +252,7 @@
                 with pytest.raises(asyncio.CancelledError):
                     await call
                 await endpoint.wait_for_hang_up()
-                assert progress.run is messages.Run.UNKNOWN
+                assert progress.run is messages.Executed.UNKNOWN
             client.close()
 
         asyncio.run(scenario())
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -15,8 +15,8 @@
 _OBSERVATIONS_PER_SECOND = 4
 
 
-def _electorate(own, known_ids, alive_count, undiscovered_seeds=0):
-    return leadership.Electorate(
+def _membership_view(own, known_ids, alive_count, undiscovered_seeds=0):
+    return leadership.MembershipView(
         own=own,
         known_ids=frozenset(known_ids),
         alive_count=alive_count,
@@ -26,7 +26,7 @@
 
 
 def _leader_of(known_ids):
-    return _electorate("a", known_ids, 1).first(_POOL)
+    return _membership_view("a", known_ids, 1).leader_of(_POOL)
 
 
 class TestLeadership:
@@ -38,10 +38,10 @@
         led_at = []
         for step in range(60):
             now = step / _OBSERVATIONS_PER_SECOND
-            process_leadership.look(_electorate(leader, "abc", 3), now)
-            if process_leadership.leads(_POOL, now):
+            process_leadership.observe(_membership_view(leader, "abc", 3), now)
+            if process_leadership.is_leader(_POOL, now):
                 led_at.append(now)
-        assert led_at[0] == _electorate("a", "abc", 3).calm_s()
+        assert led_at[0] == _membership_view("a", "abc", 3).stabilization_s()
         assert led_at[-1] == 59 / _OBSERVATIONS_PER_SECOND
 
     def test_the_others_never_lead(self):
@@ -49,8 +49,8 @@
             process_leadership = leadership.Leadership()
             for step in range(60):
                 now = step / _OBSERVATIONS_PER_SECOND
-                process_leadership.look(_electorate(own, "abc", 3), now)
-                assert not process_leadership.leads(_POOL, now)
+                process_leadership.observe(_membership_view(own, "abc", 3), now)
+                assert not process_leadership.is_leader(_POOL, now)
 
     def test_nobody_takes_over_from_a_silent_leader(self):
         """Guards against engines that get orders from two VMs.
@@ -62,16 +62,16 @@
         process_leadership = leadership.Leadership()
         for step in range(400):
             now = step / _OBSERVATIONS_PER_SECOND
-            process_leadership.look(_electorate(second, "abc", 2), now)
-            assert not process_leadership.leads(_POOL, now)
+            process_leadership.observe(_membership_view(second, "abc", 2), now)
+            assert not process_leadership.is_leader(_POOL, now)
 
     def test_a_leader_without_a_majority_sends_no_orders(self):
         leader = _leader_of("abcd")
         process_leadership = leadership.Leadership()
         for step in range(100):
             now = step / _OBSERVATIONS_PER_SECOND
-            process_leadership.look(_electorate(leader, "abcd", 2), now)
-            assert not process_leadership.leads(_POOL, now)
+            process_leadership.observe(_membership_view(leader, "abcd", 2), now)
+            assert not process_leadership.is_leader(_POOL, now)
 
     def test_undiscovered_seeds_count_as_unreachable_vms(self):
         """Guards against a second leader that starts while it is cut off.
@@ -82,10 +82,10 @@
         process_leadership = leadership.Leadership()
         for step in range(100):
             now = step / _OBSERVATIONS_PER_SECOND
-            process_leadership.look(
-                _electorate("a", "a", 1, undiscovered_seeds=2), now
+            process_leadership.observe(
+                _membership_view("a", "a", 1, undiscovered_seeds=2), now
             )
-            assert not process_leadership.leads(_POOL, now)
+            assert not process_leadership.is_leader(_POOL, now)
 
     def test_a_pause_restarts_the_stabilization_period(self):
         """Guards against a paused leader that goes on with outdated knowledge.
@@ -96,14 +96,17 @@
         leader = _leader_of("abc")
         process_leadership = leadership.Leadership()
         for step in range(60):
-            process_leadership.look(
-                _electorate(leader, "abc", 3), step / _OBSERVATIONS_PER_SECOND
+            process_leadership.observe(
+                _membership_view(leader, "abc", 3),
+                step / _OBSERVATIONS_PER_SECOND,
             )
         resumed_at = 15.0 + leadership.OBSERVATION_GAP_MAX_S
-        assert not process_leadership.leads(_POOL, resumed_at)
-        process_leadership.look(_electorate(leader, "abc", 3), resumed_at)
-        assert not process_leadership.leads(_POOL, resumed_at)
-        assert not process_leadership.leads(
+        assert not process_leadership.is_leader(_POOL, resumed_at)
+        process_leadership.observe(
+            _membership_view(leader, "abc", 3), resumed_at
+        )
+        assert not process_leadership.is_leader(_POOL, resumed_at)
+        assert not process_leadership.is_leader(
             _POOL, resumed_at + leadership.OBSERVATION_GAP_MAX_S
         )
 
@@ -168,10 +171,10 @@
             if (now - vm.started) % membership.TICK_S == 0:
                 _send(vm, vm.members.tick(now), running, cuts, now)
         for vm in running.values():
-            if vm.members.is_urgent():
+            if vm.members.has_unsent_updates():
                 _send(vm, vm.members.flush(), running, cuts, now)
-            vm.leadership.look(vm.members.electorate(), now)
-            if vm.leadership.leads(_POOL, now):
+            vm.leadership.observe(vm.members.membership_view(), now)
+            if vm.leadership.is_leader(_POOL, now):
                 led.append((now, vm.members.own.id))
     return led
 
@@ -222,7 +225,9 @@
         assert had_leader
 
     def test_without_the_stabilization_period_two_vms_would(self, monkeypatch):
-        monkeypatch.setattr(leadership.Electorate, "calm_s", lambda self: 0.0)
+        monkeypatch.setattr(
+            leadership.MembershipView, "stabilization_s", lambda self: 0.0
+        )
         assert any(
             _conflicts(_simulate(starts, cuts, "abc"))
             for starts, cuts in _scenarios()
@@ -230,7 +235,7 @@
 
     def test_without_a_majority_two_vms_would(self, monkeypatch):
         monkeypatch.setattr(
-            leadership.Electorate, "has_majority", lambda self: True
+            leadership.MembershipView, "has_majority", lambda self: True
         )
         assert any(
             _conflicts(_simulate(starts, cuts, "abc"))
--- a/tests/test_news.py
+++ b/tests/test_leaving_notices.py
@@ -5,8 +5,8 @@
 import hypothesis
 from hypothesis import strategies
 
+from cowsliprill.decisions import leaving_notices
 from cowsliprill.decisions import model
-from cowsliprill.decisions import news
 
 _VMS = ("vm0", "vm1", "vm2")
 _TTL_S = 20.0
@@ -35,14 +35,16 @@
         delayed. If that prolonged the notice, an endpoint that is back after a
         restart would never get work again.
         """
-        notices_by_vm = [news.LeavingNews(name, 0) for name in _VMS]
+        notices_by_vm = [
+            leaving_notices.LeavingNotices(name, 0) for name in _VMS
+        ]
         notices_by_vm[0].report("d1", _TTL_S, 0.0)
         now = 0.0
         for sender, receiver, delay_s in hops:
             items = notices_by_vm[sender].items(now)
             now += delay_s
             for item in items:
-                notices_by_vm[receiver].hear(item, now)
+                notices_by_vm[receiver].receive(item, now)
         # Each VM stores a notice once, so at most two hops add their delay.
         longest = max((delay for *_, delay in hops), default=0.0)
         end = max(now, _TTL_S + 2 * longest) + 0.001
@@ -54,11 +56,11 @@
         A VM is paused while it sends a message, and finishes it after the
         notice has expired everywhere. The endpoint must not be excluded again.
         """
-        sender_notices = news.LeavingNews("vm0", 0)
-        receiver = news.LeavingNews("vm1", 0)
+        sender_notices = leaving_notices.LeavingNotices("vm0", 0)
+        receiver = leaving_notices.LeavingNotices("vm1", 0)
         item = sender_notices.report("d1", _TTL_S, 0.0)
-        assert receiver.hear(item, 0.0)
-        assert not receiver.hear(item, 100.0)
+        assert receiver.receive(item, 0.0)
+        assert not receiver.receive(item, 100.0)
         assert not receiver.leaving(100.0)
 
     def test_repeated_reports_create_one_notice(self) -> None:
@@ -67,21 +69,21 @@
         Each call to a draining endpoint causes a report. If each report became
         a notice, the shutdown of a busy endpoint would flood the network.
         """
-        sender_notices = news.LeavingNews("vm0", 0)
+        sender_notices = leaving_notices.LeavingNotices("vm0", 0)
         assert sender_notices.report("d1", _TTL_S, 0.0)
         assert sender_notices.report("d1", _TTL_S, 1.0) is None
         assert sender_notices.report("d1", _TTL_S, 11.0)
 
     def test_the_ttl_of_a_peer_is_limited(self) -> None:
         """A faulty peer sends a notice with a TTL of a year."""
-        receiver = news.LeavingNews("vm1", 0)
-        receiver.hear(
-            news.LeavingItem(
+        receiver = leaving_notices.LeavingNotices("vm1", 0)
+        receiver.receive(
+            leaving_notices.LeavingNotice(
                 endpoint_id="d1", origin="vm0", number=1, ttl_s=3e7
             ),
             0.0,
         )
-        assert receiver.next_expiry(0.0) == news.MAX_TTL_S
+        assert receiver.next_expiry(0.0) == leaving_notices.MAX_TTL_S
 
 
 class TestFanOut:
@@ -101,17 +103,22 @@
             receivers = set()
             for name in sorted(newly_informed):
                 others = [each for each in names if each != name]
-                count = news.fan_out(len(others))
+                count = leaving_notices.gossip_fanout(len(others))
                 receivers |= set(
-                    news.choose_peers(others, count, random_source)
+                    leaving_notices.sample_peers(others, count, random_source)
                 )
             newly_informed = receivers - informed
             informed |= newly_informed
         assert len(informed) >= 0.99 * len(names)
 
     def test_a_single_vm_sends_to_nobody(self) -> None:
-        assert news.fan_out(0) == 0
-        assert news.choose_peers([], news.fan_out(0), random.Random(1)) == []
+        assert leaving_notices.gossip_fanout(0) == 0
+        assert (
+            leaving_notices.sample_peers(
+                [], leaving_notices.gossip_fanout(0), random.Random(1)
+            )
+            == []
+        )
 
 
 class TestLeavingByList:
@@ -149,4 +156,6 @@
                 ("here-vm", model.VmState.LIVE),
             )
         }
-        assert news.leaving_by_list(endpoints, vms_by_id) == {"old"}
+        assert leaving_notices.leaving_by_vm_list(endpoints, vms_by_id) == {
+            "old"
+        }
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -7,7 +7,7 @@
 from cowsliprill import environment
 from cowsliprill.decisions import mechanisms
 from cowsliprill.decisions import model
-from cowsliprill.decisions import server_health
+from cowsliprill.decisions import outlier_detection
 from cowsliprill.router import node
 
 _Mechanism = mechanisms.Mechanism
@@ -48,9 +48,9 @@
         ("mechanism", "field"),
         [
             (_Mechanism.CONNECTION_SHARES, "connections_max"),
-            (_Mechanism.DECODE_PLACES, "places"),
-            (_Mechanism.LEARNT_SPEEDS, "speeds_guessed"),
-            (_Mechanism.OWN_READING, "own_prefill_tokens_per_s"),
+            (_Mechanism.DECODE_CONCURRENCY_LIMIT, "places"),
+            (_Mechanism.ESTIMATED_SPEEDS, "speeds_guessed"),
+            (_Mechanism.LOCAL_PREFILL, "own_prefill_tokens_per_s"),
         ],
     )
     def test_clears_endpoint_field(self, mechanism, field):
@@ -60,8 +60,8 @@
     @pytest.mark.parametrize(
         ("mechanism", "field"),
         [
-            (_Mechanism.LATE_QUEUE, "patience_s"),
-            (_Mechanism.SIZE_WORTH, "worth_by_size"),
+            (_Mechanism.QUEUE_PAST_TARGET, "patience_s"),
+            (_Mechanism.SIZE_VALUE, "worth_by_size"),
         ],
     )
     def test_clears_service_field(self, mechanism, field):
@@ -69,10 +69,10 @@
         assert not getattr(found["s"], field)
 
     def test_servers_without_comparison(self):
-        health = server_health.Uncompared()
-        health.answered_with_failure("a", ["b"], 0.0)
-        assert health.is_alone("a", 0.9)
-        assert not health.is_alone("a", 1.1)
+        health = outlier_detection.FixedEjectionDetector()
+        health.record_error_response("a", ["b"], 0.0)
+        assert health.is_ejected("a", 0.9)
+        assert not health.is_ejected("a", 1.1)
 
 
 class TestSetting:
@@ -95,9 +95,9 @@
 
     def test_known_names(self, tmp_path):
         loaded = self._load(tmp_path, ["role_orders", "peer_news"])
-        off = {_Mechanism.ROLE_ORDERS, _Mechanism.PEER_NEWS}
-        assert loaded.mechanisms_off == off
-        assert loaded.environment().mechanisms_off == off
+        disabled = {_Mechanism.ROLE_ORDERS, _Mechanism.PEER_UPDATES}
+        assert loaded.mechanisms_off == disabled
+        assert loaded.environment().mechanisms_off == disabled
 
     def test_unknown_name(self, tmp_path):
         """A misspelled name would silently disable nothing."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,7 +4,7 @@
 from tests import member_net
 
 from cowsliprill.decisions import gossip
-from cowsliprill.decisions import watchers
+from cowsliprill.decisions import monitors
 from cowsliprill.membership import wire
 
 # Maximum time until all views agree, by the number of members.
@@ -42,7 +42,7 @@
         assert "vm-3" in net.view(0)
         net.run(2.5)
         assert "vm-3" not in net.view(0)
-        assert net.members(0).known() == 6
+        assert net.members(0).member_count() == 6
 
     def test_both_sides_rejoin_after_a_partition(self):
         """Guards against a fleet that stays split after a network partition.
@@ -75,7 +75,7 @@
 
     def test_a_leaving_member_is_known_to_leave(self):
         net = _converged_net(3)
-        net.members(1).tell(leaving=True)
+        net.members(1).publish(leaving=True)
         net.run(1.0)
         leaving_by_id = {
             record.id: record.leaving for record in net.members(0).alive()
@@ -90,9 +90,9 @@
         """
         net = _converged_net(40)
         net.split([7])
-        assert net.members(7).hears_somebody(net.now)
+        assert net.members(7).has_recent_contact(net.now)
         net.run(2.0)
-        assert not net.members(7).hears_somebody(net.now)
+        assert not net.members(7).has_recent_contact(net.now)
         net.run(4.0)
         assert net.view(7) == {"vm-7"}
         net.heal()
@@ -203,7 +203,7 @@
         net.run(10.0)
         after = sum(item.sent for item in net.by_address.values())
         messages_per_second = (after - before) / count / 10.0
-        assert messages_per_second <= watchers.MONITORS_PER_MEMBER + 2
+        assert messages_per_second <= monitors.MONITORS_PER_MEMBER + 2
         message = net.members(0).flush()[0].message
         assert (
             messages_per_second * _encoded_bytes(message)
--- a/tests/test_channel.py
+++ b/tests/test_message_channel.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from cowsliprill.decisions import channel
+from cowsliprill.decisions import message_channel
 
 
 class TestChannel:
@@ -19,8 +19,8 @@
         )
     )
     def test_all_arrive_in_order_and_once(self, steps):
-        outbox: channel.Outbox[int] = channel.Outbox()
-        inbox = channel.Inbox()
+        outbox: message_channel.Outbox[int] = message_channel.Outbox()
+        inbox = message_channel.Inbox()
         calls: list[tuple[int, tuple[int, ...]]] = []
         received: list[int] = []
         for step, call_index in steps:
@@ -31,14 +31,14 @@
                     calls.append((outbox.first, outbox.pending()))
                 case 2 if calls:
                     first, pending = calls[call_index % len(calls)]
-                    received.extend(inbox.take(first, pending))
+                    received.extend(inbox.receive(first, pending))
                 case 3:
                     outbox.acknowledge(inbox.last)
-        received.extend(inbox.take(outbox.first, outbox.pending()))
+        received.extend(inbox.receive(outbox.first, outbox.pending()))
         assert received == list(range(1, outbox.last + 1))
 
     def test_messages_after_a_gap_are_not_accepted(self):
         """A call arrives before the one sent before it, which is lost."""
-        inbox = channel.Inbox()
-        assert inbox.take(3, ["c"]) == []
-        assert inbox.take(1, ["a", "b", "c"]) == ["a", "b", "c"]
+        inbox = message_channel.Inbox()
+        assert inbox.receive(3, ["c"]) == []
+        assert inbox.receive(1, ["a", "b", "c"]) == ["a", "b", "c"]
--- a/tests/test_model_relay.py
+++ b/tests/test_model_relay.py
@@ -175,7 +175,7 @@
             attempt.run()
         assert lost.value.unsent
         assert lost.value.kept_s > 0
-        assert attempt.ctx.progress.run is messages.Run.NO
+        assert attempt.ctx.progress.run is messages.Executed.NO
         assert attempt.calls.decoded_from == []
 
     @pytest.mark.parametrize("name", ["p", "d"])
@@ -226,7 +226,7 @@
         attempt = _Attempt()
         attempt.ctx.service.resume = False
         attempt.calls.broken = engine_errors.StreamBroken(
-            "cut after '2'", reason=stream.Reason.CUT, last_token=2
+            "cut after '2'", reason=stream.StreamFault.TRUNCATED, last_token=2
         )
         with pytest.raises(errors.EntryError):
             attempt.run()
--- a/tests/test_orphans.py
+++ b/tests/test_orphans.py
@@ -39,11 +39,11 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.sweep = orphans.OrphanSweep(0.0)
+        self.sweep = orphans.OrphanDetector(0.0)
         self.nonces = 0
         self.processes = [self._start("e0"), self._start("e1")]
         self.owner = self.processes[0]
-        self.running = orphans.Running(
+        self.running = orphans.ObservedRequest(
             endpoint_id="d0",
             request_id=str(identity.AttemptId(self.owner.incarnation, 7)),
             age_s=0.0,
@@ -100,7 +100,7 @@
             self.unlisted_and_cut_off_since = self.now
         if self.home_paused or self.cancelled is not None:
             return
-        self.sweep.see_list([_vm("vm-a")] if self.listed else [], self.now)
+        self.sweep.update_vms([_vm("vm-a")] if self.listed else [], self.now)
         reachable = self.host_up and not self.cut_off
         unprobeable = self.wrong_port or self.draining
         sends_heartbeats = asks or unprobeable
@@ -112,23 +112,23 @@
                 and sends_heartbeats
                 and heartbeat_due
             ):
-                self.sweep.hear(process.incarnation, self.now)
-        for vm in self.sweep.suspects([self.running], self.now):
+                self.sweep.record_heartbeat(process.incarnation, self.now)
+        for vm in self.sweep.vms_to_probe([self.running], self.now):
             replies = [self._reply(process) for process in self.processes]
-            self.sweep.see_ports(vm.id, replies, self.now)
+            self.sweep.record_probe(vm.id, replies, self.now)
         found = self.sweep.orphans(
             [self.running],
             longest_request_s=_LONGEST_REQUEST_S,
-            reaches_zone=True,
+            has_zone_majority=True,
             now=self.now,
         )
         if found:
             self.cancelled = found[0]
             self._check()
 
-    def _reply(self, process: _Process) -> orphans.PortReply:
+    def _reply(self, process: _Process) -> orphans.ProbeResult:
         if self.cut_off or not self.host_up:
-            return orphans.Silent()
+            return orphans.NoAnswer()
         if process.alive and not self.wrong_port:
             return orphans.Answered(process.incarnation)
         return orphans.Refused()
@@ -245,75 +245,77 @@
         self,
     ) -> None:
         """The coordinator itself is partitioned and has an old VM list."""
-        partitioned = orphans.OrphanSweep(0.0)
-        partitioned.see_list([_vm("vm-a")], 0.0)
-        running = orphans.Running(
+        partitioned = orphans.OrphanDetector(0.0)
+        partitioned.update_vms([_vm("vm-a")], 0.0)
+        running = orphans.ObservedRequest(
             endpoint_id="d0", request_id="vm-a.e0.n1.7.0", age_s=1.0
         )
         found = []
         for second in range(1, 100):
-            partitioned.see_list([], float(second))
-            partitioned.see_ports("vm-a", [orphans.Silent()], float(second))
+            partitioned.update_vms([], float(second))
+            partitioned.record_probe(
+                "vm-a", [orphans.NoAnswer()], float(second)
+            )
             found += partitioned.orphans(
                 [running],
                 longest_request_s=_LONGEST_REQUEST_S,
-                reaches_zone=False,
+                has_zone_majority=False,
                 now=float(second),
             )
         assert found == []
 
     def test_requests_of_a_vm_that_was_never_listed_are_ignored(self) -> None:
         """A new VM serves requests before it appears in the VM list."""
-        sweep = orphans.OrphanSweep(0.0)
-        running = orphans.Running(
+        sweep = orphans.OrphanDetector(0.0)
+        running = orphans.ObservedRequest(
             endpoint_id="d0", request_id="vm-new.e0.n1.7.0", age_s=1.0
         )
         for second in range(200):
-            sweep.see_list([], float(second))
+            sweep.update_vms([], float(second))
             assert not sweep.orphans(
                 [running],
                 longest_request_s=_LONGEST_REQUEST_S,
-                reaches_zone=True,
+                has_zone_majority=True,
                 now=float(second),
             )
 
     def test_request_with_a_foreign_id_is_ignored(self) -> None:
         """An operator sends a prompt to the engine directly."""
-        sweep = orphans.OrphanSweep(0.0)
-        foreign = orphans.Running(
+        sweep = orphans.OrphanDetector(0.0)
+        foreign = orphans.ObservedRequest(
             endpoint_id="d0", request_id="cmpl-42", age_s=9_999.0
         )
         assert not sweep.orphans(
             [foreign],
             longest_request_s=_LONGEST_REQUEST_S,
-            reaches_zone=True,
+            has_zone_majority=True,
             now=500.0,
         )
 
 
-_RUNNING = orphans.Running(
+_RUNNING = orphans.ObservedRequest(
     endpoint_id="d0", request_id="vm-a.e0.n1.7.0", age_s=1.0
 )
 
 
 class _Detector:
-    """Feeds an `OrphanSweep` with individual observations."""
+    """Feeds an `OrphanDetector` with individual observations."""
 
     def __init__(self) -> None:
-        self.sweep = orphans.OrphanSweep(0.0)
-        self.see_list(0.0)
+        self.sweep = orphans.OrphanDetector(0.0)
+        self.update_vms(0.0)
 
-    def see_list(self, now: float, *vms: model.Vm) -> None:
-        self.sweep.see_list(vms or [_vm("vm-a")], now)
+    def update_vms(self, now: float, *vms: model.Vm) -> None:
+        self.sweep.update_vms(vms or [_vm("vm-a")], now)
 
-    def ports(self, now: float, *replies: orphans.PortReply) -> None:
-        self.sweep.see_ports("vm-a", replies, now)
+    def ports(self, now: float, *replies: orphans.ProbeResult) -> None:
+        self.sweep.record_probe("vm-a", replies, now)
 
     def finds(self, now: float) -> bool:
         found = self.sweep.orphans(
             [_RUNNING],
             longest_request_s=_LONGEST_REQUEST_S,
-            reaches_zone=True,
+            has_zone_majority=True,
             now=now,
         )
         return bool(found)
@@ -326,7 +328,7 @@
         """A port refuses while its process starts; a partition follows."""
         steps = _Detector()
         steps.ports(10.0, orphans.Refused())
-        steps.ports(11.0, orphans.Silent())
+        steps.ports(11.0, orphans.NoAnswer())
         steps.ports(14.0, orphans.Refused())
         assert not steps.finds(14.0)
 
@@ -343,7 +345,7 @@
         for second in range(10, 20):
             steps.ports(float(second), orphans.Refused())
             if second == 14:
-                steps.sweep.hear(owner, 14.0)
+                steps.sweep.record_heartbeat(owner, 14.0)
             assert steps.finds(float(second)) == (second >= 18)
 
     def test_port_change_resets_the_refusal_time(self) -> None:
@@ -351,29 +353,31 @@
         steps = _Detector()
         for second in range(10, 13):
             steps.ports(float(second), orphans.Refused())
-        steps.see_list(13.0, dataclasses.replace(_vm("vm-a"), entry_ports=(9,)))
+        steps.update_vms(
+            13.0, dataclasses.replace(_vm("vm-a"), entry_ports=(9,))
+        )
         steps.ports(14.0, orphans.Refused())
         assert not steps.finds(14.0)
 
     def test_pause_of_the_coordinator_resets_the_absence(self) -> None:
         """While the coordinator is paused, the VM is listed and delisted."""
         steps = _Detector()
-        steps.see_list(10.0, _vm("vm-b"))
-        steps.ports(11.0, orphans.Silent())
-        steps.see_list(100.0, _vm("vm-b"))
-        steps.ports(100.0, orphans.Silent())
+        steps.update_vms(10.0, _vm("vm-b"))
+        steps.ports(11.0, orphans.NoAnswer())
+        steps.update_vms(100.0, _vm("vm-b"))
+        steps.ports(100.0, orphans.NoAnswer())
         assert not steps.finds(100.0)
 
     def test_absence_starts_at_the_latest_delisting(self) -> None:
         steps = _Detector()
         for second in range(10, 76):
             delisted = second != 40
-            steps.see_list(float(second), _vm("vm-b" if delisted else "vm-a"))
-            steps.ports(float(second), orphans.Silent())
+            steps.update_vms(float(second), _vm("vm-b" if delisted else "vm-a"))
+            steps.ports(float(second), orphans.NoAnswer())
             assert not steps.finds(float(second))
 
     def test_absent_vm_without_a_probe_is_not_considered_gone(self) -> None:
         steps = _Detector()
         for second in range(200):
-            steps.see_list(float(second), _vm("vm-b"))
+            steps.update_vms(float(second), _vm("vm-b"))
             assert not steps.finds(float(second))
--- a/tests/test_server_health.py
+++ b/tests/test_outlier_detection.py
@@ -2,7 +2,7 @@
 
 import random
 
-from cowsliprill.decisions import server_health
+from cowsliprill.decisions import outlier_detection
 
 _PEERS = ("b", "c", "d")
 
@@ -18,14 +18,14 @@
     for number in range(calls):
         now = number * 0.1
         for server, failure_rate in failure_rates.items():
-            if detector.is_alone(server, now):
+            if detector.is_ejected(server, now):
                 ejected[server] += 1
                 continue
             peers = [name for name in failure_rates if name != server]
             if rng.random() < failure_rate:
-                detector.answered_with_failure(server, peers, now)
+                detector.record_error_response(server, peers, now)
             else:
-                detector.answered(server)
+                detector.record_success(server)
     return {server: count / calls for server, count in ejected.items()}
 
 
@@ -41,7 +41,7 @@
         failure_rates = dict.fromkeys("abcd", 0.14)
         for seed in range(5):
             ejected = _simulate(
-                server_health.ServerHealth(), failure_rates, 400, seed
+                outlier_detection.OutlierDetector(), failure_rates, 400, seed
             )
             assert max(ejected.values()) < 0.15
 
@@ -54,40 +54,40 @@
         failure_rates = {"a": 0.55, "b": 0.14, "c": 0.14, "d": 0.14}
         for seed in range(5):
             ejected = _simulate(
-                server_health.ServerHealth(), failure_rates, 400, seed
+                outlier_detection.OutlierDetector(), failure_rates, 400, seed
             )
             assert ejected["a"] > 0.4
             assert max(ejected[name] for name in "bcd") < 0.15
 
     def test_call_without_a_response_ejects_at_once(self):
-        detector = server_health.ServerHealth()
-        assert not detector.is_alone("a", 0.0)
-        detector.lost("a", _PEERS, 0.0)
-        assert detector.is_alone("a", 0.9)
-        assert not detector.is_alone("a", 3.0)
+        detector = outlier_detection.OutlierDetector()
+        assert not detector.is_ejected("a", 0.0)
+        detector.record_no_response("a", _PEERS, 0.0)
+        assert detector.is_ejected("a", 0.9)
+        assert not detector.is_ejected("a", 3.0)
 
     def test_repeated_failures_extend_the_ejection(self):
-        detector = server_health.ServerHealth()
+        detector = outlier_detection.OutlierDetector()
         now = 0.0
         for _ in range(15):
-            detector.lost("a", _PEERS, now)
-            while detector.is_alone("a", now):
+            detector.record_no_response("a", _PEERS, now)
+            while detector.is_ejected("a", now):
                 now += 0.1
-        detector.lost("a", _PEERS, now)
-        assert detector.is_alone("a", now + 4.0)
-        assert not detector.is_alone("a", now + 8.1)
+        detector.record_no_response("a", _PEERS, now)
+        assert detector.is_ejected("a", now + 4.0)
+        assert not detector.is_ejected("a", now + 8.1)
 
     def test_recovered_server_is_not_ejected_for_one_error(self):
-        detector = server_health.ServerHealth()
+        detector = outlier_detection.OutlierDetector()
         for _ in range(10):
-            detector.lost("a", _PEERS, 0.0)
+            detector.record_no_response("a", _PEERS, 0.0)
         for _ in range(40):
-            detector.answered("a")
-        detector.answered_with_failure("a", _PEERS, 100.0)
-        assert not detector.is_alone("a", 100.0)
+            detector.record_success("a")
+        detector.record_error_response("a", _PEERS, 100.0)
+        assert not detector.is_ejected("a", 100.0)
 
     def test_state_of_removed_servers_is_dropped(self):
-        detector = server_health.ServerHealth()
-        detector.lost("a", _PEERS, 0.0)
-        detector.forget_except(["b"])
-        assert not detector.is_alone("a", 0.1)
+        detector = outlier_detection.OutlierDetector()
+        detector.record_no_response("a", _PEERS, 0.0)
+        detector.retain(["b"])
+        assert not detector.is_ejected("a", 0.1)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -14,18 +14,18 @@
         Above the platform's rate, it would reject the calls of all clients,
         including those outside this fleet.
         """
-        readers = 690
-        budget = pacing.CallBudget(readers=readers)
+        vm_count = 690
+        budget = pacing.CallRateLimiter(vm_count=vm_count)
         now = 0.0
         calls = 0
         while now < 60.0:
-            now += budget.take(now)
+            now += budget.reserve(now)
             calls += 1
-        assert calls * readers / 60.0 < pacing.PLATFORM_CALLS_PER_S
+        assert calls * vm_count / 60.0 < pacing.PLATFORM_CALLS_PER_S
 
     def test_idle_vm_does_not_wait(self) -> None:
-        budget = pacing.CallBudget(readers=690)
-        assert budget.take(100.0) == 0
+        budget = pacing.CallRateLimiter(vm_count=690)
+        assert budget.reserve(100.0) == 0
 
 
 class TestBackoff:
@@ -38,9 +38,9 @@
         with a delay of minutes would miss changes.
         """
         backoff = pacing.Backoff(random.Random(3))
-        delays = [backoff.failed() for _ in range(50)]
+        delays = [backoff.next_delay_s() for _ in range(50)]
         assert delays[0] <= backoff.base_s
         assert max(delays) <= backoff.max_s
         assert len({round(delay, 6) for delay in delays[10:]}) > 30
-        backoff.succeeded()
-        assert backoff.failed() <= backoff.base_s
+        backoff.reset()
+        assert backoff.next_delay_s() <= backoff.base_s
--- a/tests/test_placement.py
+++ b/tests/test_pair_selection.py
@@ -3,7 +3,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from cowsliprill.decisions import placement
+from cowsliprill.decisions import pair_selection
 
 _COSTS = strategies.integers(0, 5).map(float)
 _SETTINGS = hypothesis.settings(
@@ -11,9 +11,11 @@
 )
 
 
-def _candidates(costs: list[float], name: str) -> list[placement.Candidate]:
+def _candidates(
+    costs: list[float], name: str
+) -> list[pair_selection.Candidate]:
     return [
-        placement.Candidate(f"{name}{number}", cost)
+        pair_selection.Candidate(f"{name}{number}", cost)
         for number, cost in enumerate(costs)
     ]
 
@@ -47,7 +49,7 @@
             for prefill in prefills
             for decode in decodes
         ]
-        found = placement.choose(prefills, decodes, transfer_s)
+        found = pair_selection.select_pair(prefills, decodes, transfer_s)
         if not pairs:
             assert found is None
         else:
@@ -59,7 +61,7 @@
         prefills = _candidates([0.1, 0.2], "p")
         decodes = _candidates([0.0], "d")
         links = {"p0": 0.5, "p1": 0.1}
-        found = placement.choose(
+        found = pair_selection.select_pair(
             prefills, decodes, lambda prefill_id, _: links[prefill_id]
         )
         assert found is not None
--- a/tests/test_plain_walk.py
+++ b/tests/test_plain_walk.py
@@ -15,7 +15,7 @@
 from cowsliprill import clock
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
-from cowsliprill.decisions import retry
+from cowsliprill.decisions import retry_budget
 from cowsliprill.engines import errors as engine_errors
 from cowsliprill.engines import service_client
 from cowsliprill.entry import context
@@ -54,9 +54,9 @@
         self.seen.append(ending)
         if ending == _UNREACHED:
             raise engine_errors.ConnectFailed("no connection")
-        progress.writing()
+        progress.mark_writing()
         if ending == _REFUSED:
-            progress.refused()
+            progress.mark_refused()
             raise engine_errors.EngineRefused("full", code="full")
         if ending in (_LOST, _UNDELIVERED):
             raise engine_errors.CallError("connection lost", run=progress.run)
@@ -94,7 +94,7 @@
         kind=model.ServiceKind.PLAIN,
         pool="desk",
         idempotency=idempotency,
-        retries=model.RetryRules(
+        retries=model.RetryPolicy(
             ratio=1.0, burst=9, attempts=_ATTEMPTS, failed_answers=True
         ),
     )
@@ -105,7 +105,7 @@
     placement = plain_placement.PlainPlacement(
         availability_zone="a",
         world=world,
-        budgets=retry.RetryBudgets(),
+        budgets=retry_budget.RetryBudgets(),
         log=types.SimpleNamespace(warning=lambda *_, **__: None),
         random_source=random.Random(1),
         authorization=types.SimpleNamespace(check=lambda ctx: None),
@@ -155,7 +155,7 @@
         said = 0
         for way in _WAYS:
             seen, _, error = _play(way, idempotency)
-            if error is not None and error.run is messages.Run.NO:
+            if error is not None and error.run is messages.Executed.NO:
                 said += 1
                 assert not _RUNS & {*seen}, way
                 assert _UNDELIVERED not in seen, way
@@ -163,7 +163,7 @@
 
     def test_an_unrepeatable_request_runs_once_at_most(self):
         for way in _WAYS:
-            seen, _, _ = _play(way, model.Idempotency.UNREPEATABLE)
+            seen, _, _ = _play(way, model.Idempotency.NON_IDEMPOTENT)
             runs = [ending for ending in seen if ending in _RUNS]
             assert len(runs) <= 1, way
             for ending in seen[:-1]:
@@ -182,7 +182,7 @@
 
     def test_a_failed_answer_is_told_where_no_better_one_came(self):
         way = (_FAILED,) * _ATTEMPTS
-        _, told, error = _play(way, model.Idempotency.REPEATABLE)
+        _, told, error = _play(way, model.Idempotency.IDEMPOTENT)
         assert told == [500]
         assert error is None
 
@@ -193,7 +193,7 @@
         another may be asked; its caller would else be turned away.
         """
         way = (_UNREACHED, _SERVED, _SERVED, _SERVED)
-        seen, told, error = _play(way, model.Idempotency.UNREPEATABLE)
+        seen, told, error = _play(way, model.Idempotency.NON_IDEMPOTENT)
         assert seen == [_UNREACHED, _SERVED]
         assert told == [200]
         assert error is None
@@ -201,7 +201,7 @@
     def test_a_repeat_goes_to_another_server(self):
         """Guards against a repeat that the same server fails again."""
         servers = _Servers((_FAILED,) * _ATTEMPTS)
-        _place(servers, model.Idempotency.REPEATABLE)
+        _place(servers, model.Idempotency.IDEMPOTENT)
         assert len({*servers.asked}) == _ATTEMPTS
 
     def test_without_the_guard_it_would_run_twice(self, monkeypatch):
@@ -209,21 +209,21 @@
         runs = [
             len([ending for ending in seen if ending in _RUNS])
             for seen, _, _ in (
-                _play(way, model.Idempotency.UNREPEATABLE) for way in _WAYS
+                _play(way, model.Idempotency.NON_IDEMPOTENT) for way in _WAYS
             )
         ]
         assert max(runs) > 1
 
     def test_without_noting_each_write_it_would_lie(self, monkeypatch):
         monkeypatch.setattr(
-            plain_relay.call_lib.Progress, "writing", lambda self: None
+            plain_relay.call_lib.CallProgress, "mark_writing", lambda self: None
         )
         lies = [
             way
             for way in _WAYS
-            for seen, _, error in [_play(way, model.Idempotency.UNREPEATABLE)]
+            for seen, _, error in [_play(way, model.Idempotency.NON_IDEMPOTENT)]
             if error is not None
-            and error.run is messages.Run.NO
+            and error.run is messages.Executed.NO
             and _RUNS & {*seen}
         ]
         assert lies
--- a/tests/test_cell.py
+++ b/tests/test_pool_scheduler.py
@@ -2,9 +2,9 @@
 
 import random
 
-from cowsliprill.decisions import cell as cell_lib
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
+from cowsliprill.decisions import pool_scheduler as pool_scheduler_lib
 
 _BLOCKS = 1_000
 _BLOCK_TOKENS = 16
@@ -45,7 +45,7 @@
     pool="brief",
     ttft_target_s=0.9,
     may_wait_s=0.9,
-    retries=model.RetryRules(ratio=0.2, burst=10, attempts=2),
+    retries=model.RetryPolicy(ratio=0.2, burst=10, attempts=2),
 )
 
 
@@ -71,7 +71,7 @@
 
     def __init__(self, entries: int = 2, decodes: int = 2) -> None:
         self.now = 10.0
-        self.cell = cell_lib.Cell("gasabo", 1)
+        self.pool_scheduler = pool_scheduler_lib.PoolScheduler("gasabo", 1)
         engines = [_engine("p", model.EndpointKind.PREFILL, 50)]
         engines += [
             _engine(f"d{number}", model.EndpointKind.DECODE, _BLOCKS)
@@ -84,21 +84,21 @@
         self.fleet = model.Fleet(
             version=1, vms_by_id={name: _vm(name) for name in self.names}
         )
-        self.cell.update(self.snapshot, self.fleet, self.now)
+        self.pool_scheduler.update(self.snapshot, self.fleet, self.now)
         self.sent = dict.fromkeys(self.names, 0)
 
     def send(self, name: str, *events: messages.Event, epoch: int = 1) -> None:
         first = self.sent[name] + 1
         self.sent[name] += len(events)
-        self.cell.receive(name, epoch, first, events, self.now)
+        self.pool_scheduler.receive(name, epoch, first, events, self.now)
 
     def send_heartbeats(self) -> None:
         for name in self.names:
             self.send(name)
 
     def decisions(self, name: str) -> list[messages.Decision]:
-        first, decisions, _ = self.cell.decisions(name)
-        self.cell.acknowledge(name, first + len(decisions) - 1)
+        first, decisions, _ = self.pool_scheduler.decisions(name)
+        self.pool_scheduler.acknowledge(name, first + len(decisions) - 1)
         return list(decisions)
 
 
@@ -162,7 +162,7 @@
         site.send_heartbeats()
         submit = _submit(0, site.now)
         for _ in range(5):
-            site.cell.receive("vm-0", 1, 1, (submit,), site.now)
+            site.pool_scheduler.receive("vm-0", 1, 1, (submit,), site.now)
         assert len(site.decisions("vm-0")) == 1
 
     def test_late_requests_wait_behind_those_in_time(self):
@@ -180,7 +180,7 @@
             site.send("vm-0", submit)
         assert len(site.decisions("vm-0")) == 4
         site.now += 1.0
-        site.cell.tick(site.now)
+        site.pool_scheduler.tick(site.now)
         site.send("vm-0", _submit(5, site.now))
         site.send("vm-0", messages.Finished(0, 10))
         assert [item.request_id for item in site.decisions("vm-0")] == [5]
@@ -198,7 +198,7 @@
         for _ in range(31):
             site.now += 1.0
             site.send_heartbeats()
-            site.cell.tick(site.now)
+            site.pool_scheduler.tick(site.now)
         (refusal,) = site.decisions("vm-0")
         assert isinstance(refusal, messages.Refuse)
         assert refusal.request_id == 4
@@ -217,7 +217,7 @@
             site.now += 0.1
             site.send("vm-0", _submit(number, site.now))
             site.send_heartbeats()
-            site.cell.tick(site.now)
+            site.pool_scheduler.tick(site.now)
             refused += [
                 item.request_id
                 for item in site.decisions("vm-0")
@@ -310,11 +310,11 @@
         for _ in range(4):
             site.now += 0.1
             site.send_heartbeats()
-            site.cell.tick(site.now)
+            site.pool_scheduler.tick(site.now)
             assert site.decisions("vm-0") == []
         site.now += 0.2
         site.send_heartbeats()
-        site.cell.tick(site.now)
+        site.pool_scheduler.tick(site.now)
         assert len(_starts(site.decisions("vm-0"))) == 1
 
 
@@ -345,17 +345,17 @@
         fraction of the engines.
         """
         site = _Site(entries=200, decodes=1)
-        site.cell.set_home(True, site.now)
+        site.pool_scheduler.set_is_coordinator(True, site.now)
         distant_deadline = site.now + 30.0
         for number in range(6):
             submit = _submit(number, site.now, useful_until=distant_deadline)
             site.send("vm-0", submit)
         started = len(_starts(site.decisions("vm-0")))
         assert started < 4
-        while site.cell.next_wakeup(site.now) <= site.now + 0.1:
+        while site.pool_scheduler.next_wakeup(site.now) <= site.now + 0.1:
             site.now += 0.1
-            site.cell.tick(site.now)
-            if site.now >= 10.0 + cell_lib.TAKEOVER_S:
+            site.pool_scheduler.tick(site.now)
+            if site.now >= 10.0 + pool_scheduler_lib.TAKEOVER_S:
                 break
         started += len(_starts(site.decisions("vm-0")))
         assert started == 4
@@ -367,12 +367,12 @@
         One request per engine is placed all the same, or it could run none.
         """
         site = _Site(entries=200, decodes=1)
-        site.cell.set_home(False, site.now)
+        site.pool_scheduler.set_is_coordinator(False, site.now)
         for number in range(6):
             site.send("vm-0", _submit(number, site.now))
-        site.now += 2 * cell_lib.TAKEOVER_S
+        site.now += 2 * pool_scheduler_lib.TAKEOVER_S
         site.send("vm-0")
-        site.cell.tick(site.now)
+        site.pool_scheduler.tick(site.now)
         assert len(_starts(site.decisions("vm-0"))) == 1
 
     def test_idle_entry_keeps_its_session(self):
@@ -382,9 +382,9 @@
         """
         site = _Site()
         site.send_heartbeats()
-        site.now += 10 * cell_lib.ENTRY_TIMEOUT_S
-        site.cell.tick(site.now)
-        assert site.cell.knows("vm-0", 1)
+        site.now += 10 * pool_scheduler_lib.ENTRY_TIMEOUT_S
+        site.pool_scheduler.tick(site.now)
+        assert site.pool_scheduler.has_session("vm-0", 1)
 
     def test_slots_of_a_timed_out_entry_are_freed(self):
         """Guards against slots that a crashed VM holds for ever.
@@ -395,13 +395,13 @@
         site.send_heartbeats()
         for number in range(4):
             site.send("vm-1", _submit(number, site.now))
-        site.now += cell_lib.ENTRY_TIMEOUT_S - 0.5
+        site.now += pool_scheduler_lib.ENTRY_TIMEOUT_S - 0.5
         site.send("vm-0", _submit(0, site.now))
         assert site.decisions("vm-0") == []
         site.now += 0.6
         site.fleet = model.Fleet(version=2, vms_by_id={"vm-0": _vm("vm-0")})
-        site.cell.update(site.snapshot, site.fleet, site.now)
-        site.cell.tick(site.now)
+        site.pool_scheduler.update(site.snapshot, site.fleet, site.now)
+        site.pool_scheduler.tick(site.now)
         assert len(site.decisions("vm-0")) == 1
 
     def test_new_coordinator_accounts_for_running_requests(self):
@@ -472,7 +472,7 @@
             tokens = rng.randint(200, 6_000)
             site.send(name, _submit(number, site.now, tokens))
         site.send_heartbeats()
-        site.cell.tick(site.now)
+        site.pool_scheduler.tick(site.now)
         for entry in site.names:
             for decision in site.decisions(entry):
                 if isinstance(decision, messages.Start):
--- a/tests/test_cell_loads.py
+++ b/tests/test_pool_scheduler_loads.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 import pytest
-from tests import test_cell
+from tests import test_pool_scheduler
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
@@ -17,14 +17,14 @@
 
 
 def _engine(name, kind, **changes):
-    engine = test_cell._engine(name, kind, _BLOCKS)
+    engine = test_pool_scheduler._engine(name, kind, _BLOCKS)
     facts = {"places": 12} if kind is model.EndpointKind.DECODE else {}
     return dataclasses.replace(
         engine, seconds_per_token=_TOKEN_S, **facts, **changes
     )
 
 
-class _Site(test_cell._Site):
+class _Site(test_pool_scheduler._Site):
     """One prefill engine, and decode engines limited in requests and memory."""
 
     def __init__(self, decodes: int = 1) -> None:
@@ -41,18 +41,18 @@
         self.snapshot = dataclasses.replace(
             self.snapshot, endpoints_by_id=dict(self.engines)
         )
-        self.cell.update(self.snapshot, self.fleet, self.now)
+        self.pool_scheduler.update(self.snapshot, self.fleet, self.now)
 
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
         self.send_heartbeats()
-        self.cell.tick(self.now)
+        self.pool_scheduler.tick(self.now)
 
     def submit_requests(
         self, *numbers: int, tokens: int = 5_000, answer: int = 6_000
     ):
         for number in numbers:
-            submit = test_cell._submit(
+            submit = test_pool_scheduler._submit(
                 number,
                 self.now,
                 tokens,
@@ -63,7 +63,7 @@
             self.send("vm-0", submit)
 
     def starts(self):
-        return test_cell._starts(self.decisions("vm-0"))
+        return test_pool_scheduler._starts(self.decisions("vm-0"))
 
 
 class TestMaxConcurrentRequests:
@@ -265,8 +265,8 @@
             for shared in (number + 1, number + 2):
                 site.send("vm-0", messages.PrefillFinished(shared))
             self._finish(site, number, number + 1, number + 2)
-        standing = site.cell.standing("brief")
-        assert 45_000 < standing.prompt_tokens_per_s < 55_000
+        pool_load = site.pool_scheduler.pool_load("brief")
+        assert 45_000 < pool_load.prompt_tokens_per_s < 55_000
 
 
 class TestWorkload:
@@ -280,14 +280,14 @@
             for name, engine in site.engines.items()
         }
         site.update_settings(**guessed)
-        pool = site.cell._scheduler._pools.pools_by_name["brief"]
+        pool = site.pool_scheduler._scheduler._pools.pools_by_name["brief"]
         fractions = []
         for min_ttft_s in (0.0, 0.5):
             pool._workload = workload.Workload()
-            pool._speeds._prompt.told_s = 1 / 50_000
-            pool._speeds._answer.told_s = 0.001
+            pool._speeds._prefill.published_s = 1 / 50_000
+            pool._speeds._decode.published_s = 0.001
             for number in range(40):
-                submit = test_cell._submit(number, site.now, 5_000)
+                submit = test_pool_scheduler._submit(number, site.now, 5_000)
                 pool.record_work(submit, 500, min_ttft_s, site.now)
             fractions.append(pool.prompt_part())
         assert fractions[1] < fractions[0]
--- a/tests/test_port_probe.py
+++ b/tests/test_port_probe.py
@@ -7,7 +7,7 @@
 from cowsliprill.dispatch import port_probe
 
 
-def _reply_of(port: int) -> orphans.PortReply:
+def _reply_of(port: int) -> orphans.ProbeResult:
     return asyncio.run(port_probe.reply_of("127.0.0.1", port))
 
 
@@ -22,4 +22,4 @@
     def test_a_listener_that_says_nothing_is_silent(self) -> None:
         """A paused owner's kernel still takes connections for it."""
         with socket.create_server(("127.0.0.1", 0)) as paused:
-            assert _reply_of(paused.getsockname()[1]) == orphans.Silent()
+            assert _reply_of(paused.getsockname()[1]) == orphans.NoAnswer()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -46,7 +46,7 @@
 
     Attributes:
       cut_off_vms: VMs whose reports are lost.
-      heard_part: Fraction of the fleet that the owner can reach.
+      reachable_fraction: Fraction of the fleet that the owner can reach.
     """
 
     def __init__(self, vms: int, seed: int = 1) -> None:
@@ -56,9 +56,9 @@
             quota_gate.QuotaGate(random.Random(number)) for number in range(vms)
         ]
         for gate in self.gates:
-            gate.set_members(vms)
+            gate.set_vm_count(vms)
         self.cut_off_vms: set[int] = set()
-        self.heard_part = 1.0
+        self.reachable_fraction = 1.0
         self.now = 0.0
 
     def run(self, load: float, length_s: float, cost: float) -> _Outcome:
@@ -86,9 +86,11 @@
         gate = self.gates[number]
         outcome.asked += cost
         retry_after_s = gate.admit("firm", _QUOTA, cost, self.now)
-        if retry_after_s is not None and not gate.is_recent("firm", self.now):
+        if retry_after_s is not None and not gate.has_fresh_verdict(
+            "firm", self.now
+        ):
             self._report(number)
-            retry_after_s = gate.decide("firm", _QUOTA, cost, self.now)
+            retry_after_s = gate.decide_again("firm", _QUOTA, cost, self.now)
         if retry_after_s is None:
             outcome.admitted.append((self.now, cost))
         else:
@@ -100,10 +102,10 @@
         if not usages or number in self.cut_off_vms:
             return
         verdicts = self.owner.report(
-            f"vm-{number}", usages, _QUOTAS, self.heard_part, self.now
+            f"vm-{number}", usages, _QUOTAS, self.reachable_fraction, self.now
         )
         for usage, verdict in zip(usages, verdicts, strict=True):
-            gate.answered(usage, verdict, self.now)
+            gate.record_verdict(usage, verdict, self.now)
 
 
 @pytest.mark.parametrize("vms", [10, 71, 690])
@@ -159,7 +161,7 @@
         """Guards against two partitions that each admit the whole quota."""
         partitions = [_SimulatedFleet(36, seed=1), _SimulatedFleet(35, seed=2)]
         for partition in partitions:
-            partition.heard_part = 0.5
+            partition.reachable_fraction = 0.5
             partition.run(1.0, 4.0, 5.0)
         outcomes = [partition.run(2.0, 10.0, 5.0) for partition in partitions]
         allowed = _QUOTA.per_s * _WINDOW_S + _QUOTA.burst
@@ -190,7 +192,7 @@
         owner = quota_owner.QuotaOwner()
         for _ in range(20):
             gate.admit("firm", _QUOTA, 500.0, 0.0)
-            gate.give_back("firm", 500.0)
+            gate.refund("firm", 500.0)
         (verdict,) = owner.report("vm", gate.usages(), _QUOTAS, 1.0, 0.0)
         assert verdict.admit_part == 1.0
 
@@ -222,7 +224,7 @@
         steps=strategies.lists(
             strategies.tuples(
                 strategies.integers(0, 3),
-                strategies.sampled_from(["ask", "give_back", "lost", "whole"]),
+                strategies.sampled_from(["ask", "refund", "lost", "whole"]),
             ),
             max_size=60,
         )
@@ -238,8 +240,8 @@
                 case "ask":
                     if gate.admit("firm", quota, 10.0, 0.0) is None:
                         admitted += 10.0
-                case "give_back":
-                    gate.give_back("firm", 0.0)
+                case "refund":
+                    gate.refund("firm", 0.0)
                 case kind:
                     usages = gate.usages()
                     verdicts = owner.report(
@@ -249,7 +251,7 @@
                         for usage, verdict in zip(
                             usages, verdicts, strict=True
                         ):
-                            gate.answered(usage, verdict, 0.0)
+                            gate.record_verdict(usage, verdict, 0.0)
         for number, gate in enumerate(gates):
             owner.report(
                 f"vm-{number}", gate.usages(), {"firm": quota}, 1.0, 0.0
--- a/tests/test_registry_peers.py
+++ b/tests/test_registry_peers.py
@@ -11,7 +11,7 @@
 from tests import platform_site
 
 from cowsliprill import codec
-from cowsliprill.decisions import registry
+from cowsliprill.decisions import registry_view
 from cowsliprill.registry import peers
 
 _KEY = "op/config"
@@ -28,9 +28,9 @@
     return json.dumps(config).encode()
 
 
-def _round_trip(value: bytes) -> tuple[int, registry.News]:
-    entry = registry.Entry(key=_KEY, value=value, revision=7)
-    news = registry.News(changes=(entry,), position=7)
+def _round_trip(value: bytes) -> tuple[int, registry_view.RegistryUpdate]:
+    entry = registry_view.Entry(key=_KEY, value=value, revision=7)
+    news = registry_view.RegistryUpdate(changes=(entry,), position=7)
     body = codec.encode_short(peers._on_wire(news))
     return len(body), peers._from_wire(codec.decode(peers.WireNews, body))
 
@@ -70,9 +70,11 @@
             source = lone_source.make()
             notified = []
             source.subscribe_newest(lambda: notified.append(source.newest()))
-            entry = registry.Entry(key=_KEY, value=_large_config(), revision=7)
+            entry = registry_view.Entry(
+                key=_KEY, value=_large_config(), revision=7
+            )
             view = source.views_by_prefix[_KEY]
-            source._take_settings(view.take_watched([entry], 7))
+            source._take_settings(view.apply_watch([entry], 7))
             return notified, source.snapshot.revision
 
         assert asyncio.run(scenario()) == ([(7, 0)], 0)
--- a/tests/test_registry_walk.py
+++ b/tests/test_registry_walk.py
@@ -7,7 +7,7 @@
 import copy
 import dataclasses
 
-from cowsliprill.decisions import registry
+from cowsliprill.decisions import registry_view
 
 _DEPTH = 8
 _KEYS = ("k/a", "k/b")
@@ -25,19 +25,19 @@
       news: What the second process told the first.
     """
 
-    views: list[registry.View]
-    history: tuple[registry.Change, ...] = ()
-    listing: tuple[tuple[registry.Entry, ...], int] | None = None
-    news: registry.News | None = None
+    views: list[registry_view.View]
+    history: tuple[registry_view.Change, ...] = ()
+    listing: tuple[tuple[registry_view.Entry, ...], int] | None = None
+    news: registry_view.RegistryUpdate | None = None
 
     def key(self):
         """Tells states apart by what later actions can depend on."""
         views = tuple(
             (
                 tuple(sorted(view.entries_by_key.items())),
-                tuple(view._removals_by_key.items()),
+                tuple(view._tombstones_by_key.items()),
                 view.position,
-                view._unbroken_since,
+                view._tombstones_since,
             )
             for view in self.views
         )
@@ -51,7 +51,7 @@
         entries = [
             change
             for change in newest.values()
-            if isinstance(change, registry.Entry)
+            if isinstance(change, registry_view.Entry)
         ]
         return tuple(entries), len(self.history)
 
@@ -60,7 +60,7 @@
     if len(world.history) == _MOST_CHANGES:
         return False
     revision = len(world.history) + 1
-    entry = registry.Entry(key=key, value=b"", revision=revision)
+    entry = registry_view.Entry(key=key, value=b"", revision=revision)
     world.history += (entry,)
     return True
 
@@ -70,12 +70,12 @@
     if key not in present or len(world.history) == _MOST_CHANGES:
         return False
     revision = len(world.history) + 1
-    world.history += (registry.Removal(key=key, revision=revision),)
+    world.history += (registry_view.Removal(key=key, revision=revision),)
     return True
 
 
 def _list_now(world, number):
-    world.views[number].take_listing(*world.listed())
+    world.views[number].apply_listing(*world.listed())
     return True
 
 
@@ -87,7 +87,7 @@
 def _deliver_listing(world):
     if world.listing is None:
         return False
-    world.views[0].take_listing(*world.listing)
+    world.views[0].apply_listing(*world.listing)
     return True
 
 
@@ -97,19 +97,19 @@
     if not view.position or view.position == len(world.history):
         return False
     changes = world.history[view.position : view.position + 1]
-    view.take_watched(changes, changes[-1].revision)
+    view.apply_watch(changes, changes[-1].revision)
     return True
 
 
 def _tell(world):
-    world.news = world.views[1].news_since(world.views[0].position)
+    world.news = world.views[1].update_since(world.views[0].position)
     return True
 
 
 def _deliver_news(world):
     if world.news is None:
         return False
-    world.views[0].take_news(world.news)
+    world.views[0].apply_update(world.news)
     return True
 
 
@@ -169,44 +169,44 @@
     return len(seen), None
 
 
-class _TakesWhatever(registry.View):
+class _TakesWhatever(registry_view.View):
     """Takes news without looking at its revision."""
 
-    def _take(self, change, settled):
-        del settled
-        if isinstance(change, registry.Entry):
+    def _apply_change(self, change, absent_as_of):
+        del absent_as_of
+        if isinstance(change, registry_view.Entry):
             self.entries_by_key[change.key] = change
         else:
             self.entries_by_key.pop(change.key, None)
         return True
 
 
-class _ForgetsWhatItRead(registry.View):
+class _ForgetsWhatItRead(registry_view.View):
     """Takes news of a key that it doesn't know, however old."""
 
-    def _take(self, change, settled):
-        del settled
-        return super()._take(change, 0)
+    def _apply_change(self, change, absent_as_of):
+        del absent_as_of
+        return super()._apply_change(change, 0)
 
 
-class _TrustsListings(registry.View):
+class _TrustsListings(registry_view.View):
     """Takes whatever a listing lacks for gone, also what is newer."""
 
-    def take_listing(self, entries, as_of):
+    def apply_listing(self, entries, as_of):
         listed = [*entries]
         present = {entry.key for entry in listed}
         for key in [key for key in self.entries_by_key if key not in present]:
             del self.entries_by_key[key]
-        return super().take_listing(listed, as_of)
+        return super().apply_listing(listed, as_of)
 
 
-class _KeepsItsPast(registry.View):
+class _KeepsItsPast(registry_view.View):
     """Tells of removals since its first listing, though it missed some."""
 
-    def take_listing(self, entries, as_of):
-        before = self._unbroken_since
-        changes = super().take_listing(entries, as_of)
-        self._unbroken_since = before or self._unbroken_since
+    def apply_listing(self, entries, as_of):
+        before = self._tombstones_since
+        changes = super().apply_listing(entries, as_of)
+        self._tombstones_since = before or self._tombstones_since
         return changes
 
 
@@ -218,7 +218,7 @@
     """
 
     def test_nothing_turns_back(self):
-        states, fault = _walk(registry.View)
+        states, fault = _walk(registry_view.View)
         assert fault is None
         assert states > 5_000
 
--- a/tests/test_queue.py
+++ b/tests/test_request_queue.py
@@ -5,7 +5,7 @@
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
-from cowsliprill.decisions import queue
+from cowsliprill.decisions import request_queue
 
 _SERVICE = model.Service(
     id="u/s", customer="u", name="s", kind=model.ServiceKind.MODEL, pool="g"
@@ -18,7 +18,7 @@
     customer: str = "u",
     priority: int = 0,
     start_deadline: float = 1.0,
-) -> queue.Waiting:
+) -> request_queue.QueuedRequest:
     submit = messages.Submit(
         request_id=request_id,
         service=_SERVICE,
@@ -27,7 +27,7 @@
         output_tokens=10,
         priority=priority,
     )
-    return queue.Waiting(
+    return request_queue.QueuedRequest(
         submit=submit, start_deadline=start_deadline, cost_s=1.0
     )
 
@@ -54,8 +54,8 @@
         )
     )
     def test_order_equals_a_sorted_list(self, steps) -> None:
-        waiting_queue = queue.WaitingQueue()
-        expected: list[queue.Waiting] = []
+        waiting_queue = request_queue.RequestQueue()
+        expected: list[request_queue.QueuedRequest] = []
         for number, (customer, priority, start_deadline, removes) in enumerate(
             steps
         ):
@@ -72,7 +72,7 @@
             )
             expected.append(item)
             waiting_queue.add(item)
-            expected.sort(key=queue.Waiting.key)
+            expected.sort(key=request_queue.QueuedRequest.key)
             assert waiting_queue.last(_no_excess) == expected[-1]
         while expected:
             first = waiting_queue.first(_no_excess)
@@ -88,15 +88,15 @@
         of low priority would be refused for as long as they do.
         """
         low = _waiting(1, priority=0, start_deadline=1.0)
-        late = 2.0 + queue.PRIORITY_LEVEL_S
+        late = 2.0 + request_queue.PRIORITY_LEVEL_S
         high = _waiting(2, priority=1, start_deadline=late)
-        waiting_queue = queue.WaitingQueue()
+        waiting_queue = request_queue.RequestQueue()
         waiting_queue.add(high)
         waiting_queue.add(low)
         assert waiting_queue.first(_no_excess) == low
 
     def test_customer_above_its_share_goes_last(self) -> None:
-        waiting_queue = queue.WaitingQueue()
+        waiting_queue = request_queue.RequestQueue()
         waiting_queue.add(_waiting(1, customer="greedy", start_deadline=1.0))
         waiting_queue.add(_waiting(2, customer="modest", start_deadline=2.0))
         over = {"greedy": 3.0, "modest": 0.0}
--- a/tests/test_retry.py
+++ b/tests/test_retry_budget.py
@@ -3,9 +3,9 @@
 import dataclasses
 
 from cowsliprill.decisions import model
-from cowsliprill.decisions import retry
+from cowsliprill.decisions import retry_budget
 
-_RULES = model.RetryRules(ratio=0.1, burst=5, attempts=3)
+_RULES = model.RetryPolicy(ratio=0.1, burst=5, attempts=3)
 
 
 class TestRetryBudget:
@@ -16,24 +16,24 @@
 
         Over 1,000 requests, the retries are at most a tenth plus the burst.
         """
-        budget = retry.RetryBudget(_RULES)
+        budget = retry_budget.RetryBudget(_RULES)
         attempts = 0
         for _ in range(1_000):
-            budget.earn()
+            budget.deposit()
             attempts_made = 1
-            while budget.spend(attempts_made):
+            while budget.try_withdraw(attempts_made):
                 attempts_made += 1
             attempts += attempts_made
         assert attempts <= 1_000 * 1.1 + 5
 
     def test_attempts_per_request_are_limited(self):
-        budget = retry.RetryBudget(_RULES)
-        assert budget.spend(1)
-        assert budget.spend(2)
-        assert not budget.spend(3)
+        budget = retry_budget.RetryBudget(_RULES)
+        assert budget.try_withdraw(1)
+        assert budget.try_withdraw(2)
+        assert not budget.try_withdraw(3)
 
     def test_lower_burst_reduces_the_balance(self):
-        budget = retry.RetryBudget(_RULES)
+        budget = retry_budget.RetryBudget(_RULES)
         budget.set_rules(dataclasses.replace(_RULES, burst=1))
-        assert budget.spend(1)
-        assert not budget.spend(1)
+        assert budget.try_withdraw(1)
+        assert not budget.try_withdraw(1)
--- a/tests/test_role_orders.py
+++ b/tests/test_role_orders.py
@@ -11,7 +11,9 @@
 
 @pytest.fixture(name="_calm_at_once")
 def _calm_at_once_fixture(monkeypatch):
-    monkeypatch.setattr(leadership.Electorate, "calm_s", lambda self: 0.3)
+    monkeypatch.setattr(
+        leadership.MembershipView, "stabilization_s", lambda self: 0.3
+    )
 
 
 def _ordered(site):
--- a/tests/test_roles.py
+++ b/tests/test_role_planner.py
@@ -4,7 +4,7 @@
 import random
 
 from cowsliprill.decisions import model
-from cowsliprill.decisions import roles
+from cowsliprill.decisions import role_planner
 
 # Exceeds the time that an imbalance must last before a role change.
 _SUSTAINED_S = 6.5
@@ -33,22 +33,22 @@
     engines,
     planner=None,
     now=0.0,
-    prefill_fraction=roles.DEFAULT_PREFILL_FRACTION,
+    prefill_fraction=role_planner.DEFAULT_PREFILL_FRACTION,
 ):
     """Returns the orders issued once an imbalance is sustained."""
-    planner = planner or roles.Roles()
+    planner = planner or role_planner.RolePlanner()
     planner.next_order(engines, now, prefill_fraction)
     now += _SUSTAINED_S
     orders = []
     while (
         order := planner.next_order(engines, now, prefill_fraction)
     ) is not None:
-        planner.ordered(order, now)
+        planner.order_sent(order, now)
         orders.append(order)
     return orders
 
 
-class TestRoles:
+class TestRolePlanner:
     """Role changes planned for one pool."""
 
     def test_surplus_prefill_engines_become_decode_engines(self):
@@ -74,7 +74,10 @@
     def test_large_pool_keeps_proportional_prefill_engines(self):
         assert len(_orders(_pool(11, 19))) == 4
         assert (
-            roles.optimal_prefill_count(30, roles.DEFAULT_PREFILL_FRACTION) == 7
+            role_planner.optimal_prefill_count(
+                30, role_planner.DEFAULT_PREFILL_FRACTION
+            )
+            == 7
         )
 
     def test_split_follows_the_load(self):
@@ -84,9 +87,9 @@
         """
         orders = _orders(_pool(1, 3), prefill_fraction=0.6)
         assert [order.kind for order in orders] == ["prefill"]
-        assert roles.optimal_prefill_count(9, 0.5) in (4, 5)
-        assert roles.optimal_prefill_count(9, 0.0) == 1
-        assert roles.optimal_prefill_count(9, 1.0) == 8
+        assert role_planner.optimal_prefill_count(9, 0.5) in (4, 5)
+        assert role_planner.optimal_prefill_count(9, 0.0) == 1
+        assert role_planner.optimal_prefill_count(9, 1.0) == 8
 
     def test_small_gain_triggers_no_change(self):
         """The prefill fraction fluctuates slightly from burst to burst.
@@ -114,7 +117,7 @@
         A decode engine that replaces it at once is unavailable for 6 s, and so
         is the one that has to change back: callers wait for 13 s.
         """
-        planner = roles.Roles()
+        planner = role_planner.RolePlanner()
         assert planner.next_order(_pool(0, 3), 0.0) is None
         assert planner.next_order(_pool(0, 3), 2.0) is None
         with_restarted = [
@@ -130,19 +133,19 @@
         If the new one were changed to decode, the pool would be left without a
         prefill engine as soon as the old one stops.
         """
-        planner = roles.Roles()
+        planner = role_planner.RolePlanner()
         old_and_new = [*_pool(1, 3), _engine(9, model.EndpointKind.PREFILL)]
         assert planner.next_order(_pool(1, 3), 0.0) is None
         assert planner.next_order(old_and_new, 1.0) is None
         assert (
             planner.next_order(
-                old_and_new, 1.0 + roles.MIN_SURPLUS_DURATION_S - 0.1
+                old_and_new, 1.0 + role_planner.MIN_SURPLUS_DURATION_S - 0.1
             )
             is None
         )
         assert (
             planner.next_order(
-                old_and_new[1:], 1.0 + roles.MIN_SURPLUS_DURATION_S
+                old_and_new[1:], 1.0 + role_planner.MIN_SURPLUS_DURATION_S
             )
             is None
         )
@@ -176,15 +179,15 @@
         The registry lists its old role until then. A second order would be
         useless and might come from a process that is no longer the leader.
         """
-        planner = roles.Roles()
+        planner = role_planner.RolePlanner()
         engines = _pool(2, 2)
         (first,) = _orders(engines, planner, 0.0)
-        ends = _SUSTAINED_S + roles.ROLE_CHANGE_COOLDOWN_S
+        ends = _SUSTAINED_S + role_planner.ROLE_CHANGE_COOLDOWN_S
         assert planner.next_order(engines, ends - 0.1) is None
         assert _orders(engines, planner, ends) == [first]
 
     def test_restarted_engine_is_ordered_again(self):
-        planner = roles.Roles()
+        planner = role_planner.RolePlanner()
         decodes = [_engine(4, model.EndpointKind.DECODE)]
         prefills = [
             _engine(number, model.EndpointKind.PREFILL) for number in (1, 2)
@@ -204,7 +207,7 @@
         exchange, the pool would have no prefill engine until the first has
         changed.
         """
-        planner = roles.Roles()
+        planner = role_planner.RolePlanner()
         engines = _pool(1, 3)
         (order,) = _orders(engines, planner, 0.0, prefill_fraction=0.6)
         assert order.kind is model.EndpointKind.PREFILL
@@ -219,8 +222,8 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.planner = roles.Roles()
-        self.prefill_fraction = roles.DEFAULT_PREFILL_FRACTION
+        self.planner = role_planner.RolePlanner()
+        self.prefill_fraction = role_planner.DEFAULT_PREFILL_FRACTION
         self.next_number = 4
         self.engines = {item.id: item for item in _pool(2, 2)}
         self.pending_starts: list[tuple[float, model.Endpoint]] = []
@@ -246,12 +249,12 @@
         )
         if order is not None:
             self.check(order)
-            self.planner.ordered(order, now)
+            self.planner.order_sent(order, now)
             changed = dataclasses.replace(order.endpoint, kind=order.kind)
             del self.engines[order.endpoint.id]
             self.pending_starts.append((now + 7.0, changed))
 
-    def check(self, order: roles.Order) -> None:
+    def check(self, order: role_planner.RoleOrder) -> None:
         """Fails if a role change removes the last prefill engine."""
         stay = [
             item
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -22,22 +22,27 @@
     """The route with the longest prefix among those of the host."""
 
     def test_longest_prefix_wins(self):
-        routes = routing.index([_route("/"), _route("/x/"), _route("/x/y/")])
-        assert routing.find(routes, "a.example", "/x/y/z").path_prefix == (
-            "/x/y/"
+        routes = routing.index_routes(
+            [_route("/"), _route("/x/"), _route("/x/y/")]
         )
-        assert routing.find(routes, "a.example", "/x/yz").path_prefix == "/x/"
-        assert routing.find(routes, "a.example", "/z").path_prefix == "/"
+        assert routing.find_route(
+            routes, "a.example", "/x/y/z"
+        ).path_prefix == ("/x/y/")
+        assert (
+            routing.find_route(routes, "a.example", "/x/yz").path_prefix
+            == "/x/"
+        )
+        assert routing.find_route(routes, "a.example", "/z").path_prefix == "/"
 
     def test_prefix_itself_and_port_and_case(self):
-        routes = routing.index([_route("/x/")])
-        assert routing.find(routes, "A.example:8080", "/x/") is not None
+        routes = routing.index_routes([_route("/x/")])
+        assert routing.find_route(routes, "A.example:8080", "/x/") is not None
 
     def test_no_match(self):
-        routes = routing.index([_route("/x/")])
-        assert routing.find(routes, "a.example", "/x") is None
-        assert routing.find(routes, "b.example", "/x/") is None
-        assert routing.find(routes, "a.example", "") is None
+        routes = routing.index_routes([_route("/x/")])
+        assert routing.find_route(routes, "a.example", "/x") is None
+        assert routing.find_route(routes, "b.example", "/x/") is None
+        assert routing.find_route(routes, "a.example", "") is None
 
 
 class TestPickService:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -64,7 +64,7 @@
 
 def _scheduler() -> scheduler.Scheduler:
     subject = scheduler.Scheduler("gasabo", 1)
-    subject.handle(messages.WorldChanged(_SNAPSHOT, model.Fleet()), 0.0)
+    subject.handle(messages.ClusterStateChanged(_SNAPSHOT, model.Fleet()), 0.0)
     return subject
 
 
@@ -200,7 +200,7 @@
         subject.handle(_grant("prefill-0", 4), 0.0)
         actions = subject.handle(_submit(1), 0.0)
         assert not _actions_of(actions, messages.Start)
-        assert _actions_of(actions, messages.SlotAsk)
+        assert _actions_of(actions, messages.SlotDemand)
         actions = subject.handle(_grant("decode-1", 1), 0.1)
         assert [
             start.decode_id for start in _actions_of(actions, messages.Start)
@@ -209,7 +209,7 @@
     def test_idle_slots_are_released_at_once_when_others_wait(self) -> None:
         subject = _scheduler_with_slots(2)
         actions = subject.handle(_grant("decode-0", 2, waiting=1), 0.1)
-        (ask,) = _actions_of(actions, messages.SlotAsk)
+        (ask,) = _actions_of(actions, messages.SlotDemand)
         assert (ask.endpoint_id, ask.held) == ("decode-0", 0)
 
     def test_some_slots_are_usable_without_a_coordinator(self) -> None:
@@ -270,7 +270,7 @@
         The request fails and may have run.
         """
         subject = _scheduler_with_slots()
-        service = _service(idempotency=model.Idempotency.UNREPEATABLE)
+        service = _service(idempotency=model.Idempotency.NON_IDEMPOTENT)
         start = _actions_of(
             subject.handle(_submit(1, service=service), 0.0), messages.Start
         )[0]
@@ -334,7 +334,7 @@
         subject = _scheduler()
         subject.handle(_submit(1), 0.0)
         actions = subject.handle(messages.Cancel(1), 0.1)
-        asks = _actions_of(actions, messages.SlotAsk)
+        asks = _actions_of(actions, messages.SlotDemand)
         assert asks
         assert all(not ask.customer_wants for ask in asks)
         assert not _actions_of(
@@ -365,7 +365,9 @@
         asked = []
         for seed in range(2):
             subject = scheduler.Scheduler("gasabo", seed)
-            subject.handle(messages.WorldChanged(snapshot, model.Fleet()), 0.0)
+            subject.handle(
+                messages.ClusterStateChanged(snapshot, model.Fleet()), 0.0
+            )
             asked.append({ask.endpoint_id for ask in subject.asks(0.0)})
         assert len(asked[0]) == len(asked[1]) == 32
         assert asked[0] != asked[1]
@@ -382,7 +384,7 @@
         """
         subject = _scheduler_with_slots()
         submit = _submit(1)
-        retries = model.RetryRules(ratio=0.0, burst=0, attempts=1)
+        retries = model.RetryPolicy(ratio=0.0, burst=0, attempts=1)
         service = dataclasses.replace(submit.service, retries=retries)
         submit = dataclasses.replace(submit, service=service)
         actions = subject.handle(submit, 0.0)
@@ -424,7 +426,7 @@
     """Fails a request on each prefill engine; returns the requests it took."""
     failed: set[str] = set()
     number = 0
-    non_idempotent = _service(idempotency=model.Idempotency.UNREPEATABLE)
+    non_idempotent = _service(idempotency=model.Idempotency.NON_IDEMPOTENT)
     while len(failed) < len(_PREFILLS):
         submit = _submit(number, service=non_idempotent)
         (start,) = _actions_of(subject.handle(submit, 0.0), messages.Start)
@@ -446,7 +448,9 @@
 
     def _pool(self) -> scheduler.Scheduler:
         subject = scheduler.Scheduler("gasabo", 1, owns_slots=True)
-        subject.handle(messages.WorldChanged(_SNAPSHOT, model.Fleet()), 0.0)
+        subject.handle(
+            messages.ClusterStateChanged(_SNAPSHOT, model.Fleet()), 0.0
+        )
         return subject
 
     def test_request_starts_before_its_deadline(self) -> None:
@@ -499,7 +503,9 @@
     ) -> None:
         by_id = {item.id: _with_local_prefill(item) for item in engines}
         snapshot = model.Snapshot(revision=1, endpoints_by_id=by_id)
-        subject.handle(messages.WorldChanged(snapshot, model.Fleet()), now)
+        subject.handle(
+            messages.ClusterStateChanged(snapshot, model.Fleet()), now
+        )
 
     def test_not_while_prefill_engines_have_free_slots(self) -> None:
         subject = self._pool(_PREFILLS + _DECODES)
--- a/tests/test_service_client.py
+++ b/tests/test_service_client.py
@@ -8,7 +8,7 @@
 from tests import raw_endpoint
 from tests import standin_fleet
 
-from cowsliprill.decisions import call as call_lib
+from cowsliprill.decisions import call_state as call_lib
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.engines import errors
@@ -22,7 +22,7 @@
     name="pickup",
     kind=model.ServiceKind.PLAIN,
     pool="desk",
-    idempotency=model.Idempotency.UNREPEATABLE,
+    idempotency=model.Idempotency.NON_IDEMPOTENT,
 )
 _REQUEST = service_client.ServiceRequest(
     request_id="vm1.e0.a1.1.0",
@@ -40,11 +40,11 @@
 )
 
 
-def _call(conduct: dict) -> tuple[object, call_lib.Progress, list]:
+def _call(conduct: dict) -> tuple[object, call_lib.CallProgress, list]:
     async def scenario():
         async with standin_fleet.start() as fleet:
             fleet.service.conduct.set(conduct)
-            progress = call_lib.Progress()
+            progress = call_lib.CallProgress()
             try:
                 outcome = await fleet.service_client.call(
                     fleet.service_endpoint, _SERVICE, _REQUEST, progress
@@ -95,8 +95,8 @@
     @pytest.mark.parametrize(
         ("idempotency", "expected"),
         [
-            (model.Idempotency.UNREPEATABLE, 2),
-            (model.Idempotency.REPEATABLE, 1),
+            (model.Idempotency.NON_IDEMPOTENT, 2),
+            (model.Idempotency.IDEMPOTENT, 1),
         ],
     )
     def test_unrepeatable_call_opens_its_own(
@@ -159,7 +159,7 @@
                             fleet.service_endpoint, _SERVICE, _REQUEST
                         )
                     whole = isinstance(caught.value, errors.ServiceRefused)
-                    assert (caught.value.run is messages.Run.NO) is whole
+                    assert (caught.value.run is messages.Executed.NO) is whole
                     assert whole is (end == length)
                 assert fleet.service.journal == []
 
@@ -178,13 +178,13 @@
         """The service breaks off before or after it has run the call."""
         outcome, progress, journal = _call(conduct)
         assert isinstance(outcome, errors.CallError)
-        assert outcome.run is messages.Run.UNKNOWN
-        assert progress.run is messages.Run.UNKNOWN
+        assert outcome.run is messages.Executed.UNKNOWN
+        assert progress.run is messages.Executed.UNKNOWN
         assert len(journal) == ran
 
     def test_refusal_is_kept_for_use_after_a_cancel(self) -> None:
         _, progress, _ = _call({"refuse": "engine_draining"})
-        assert progress.run is messages.Run.NO
+        assert progress.run is messages.Executed.NO
 
 
 class TestIsRefusal:
--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_reader.py
@@ -5,7 +5,7 @@
 import io
 import random
 
-from cowsliprill.decisions import revision
+from cowsliprill.decisions import settings_version
 from cowsliprill.observability import log
 from cowsliprill.observability import metrics
 from cowsliprill.settings import controller
@@ -33,7 +33,7 @@
 class _Settings:
     """Has had the platform's version in force for long."""
 
-    version = revision.Version(_HEAD.revision, _HEAD.index)
+    version = settings_version.Version(_HEAD.revision, _HEAD.index)
 
     async def offer(self, head: parts.Head, heard_at: str) -> object:
         return controller.Outcome.UNCHANGED
--- a/tests/test_revision.py
+++ b/tests/test_settings_version.py
@@ -5,15 +5,18 @@
 import hypothesis
 from hypothesis import strategies
 
-from cowsliprill.decisions import revision
+from cowsliprill.decisions import settings_version
 
 _READERS = 4
 _VERSIONS = [
-    revision.Version(number, index)
+    settings_version.Version(number, index)
     for number in range(1, 6)
     for index in ("aa", "bb")
 ]
-_INVALID = {revision.Version(3, "bb"), revision.Version(5, "aa")}
+_INVALID = {
+    settings_version.Version(3, "bb"),
+    settings_version.Version(5, "aa"),
+}
 _reader = strategies.integers(0, _READERS - 1)
 
 
@@ -21,16 +24,18 @@
 class _Reader:
     """A process that may be paused between comparing and accepting."""
 
-    tracker: revision.Keeper = dataclasses.field(
-        default_factory=revision.Keeper
+    tracker: settings_version.VersionTracker = dataclasses.field(
+        default_factory=settings_version.VersionTracker
     )
-    pending_versions: list[revision.Version] = dataclasses.field(
+    pending_versions: list[settings_version.Version] = dataclasses.field(
+        default_factory=list
+    )
+    log: list[settings_version.Version] = dataclasses.field(
         default_factory=list
     )
-    log: list[revision.Version] = dataclasses.field(default_factory=list)
 
-    def receive(self, version: revision.Version) -> None:
-        if self.tracker.judge(version) is revision.Verdict.NEWER:
+    def receive(self, version: settings_version.Version) -> None:
+        if self.tracker.classify(version) is settings_version.Verdict.NEWER:
             self.pending_versions.append(version)
 
     def finish(self, position: int) -> None:
@@ -97,8 +102,8 @@
     )
     @hypothesis.example(
         [
-            ("read", 0, revision.Version(2, "aa")),
-            ("read", 0, revision.Version(1, "aa")),
+            ("read", 0, settings_version.Version(2, "aa")),
+            ("read", 0, settings_version.Version(1, "aa")),
             ("finish", 0, 0),
             ("finish", 0, 0),
         ]
@@ -140,17 +145,17 @@
         The platform keeps serving the revision. Reading it each time would use
         up the limited calls to the platform.
         """
-        tracker = revision.Keeper()
-        version = revision.Version(2, "aa")
+        tracker = settings_version.VersionTracker()
+        version = settings_version.Version(2, "aa")
         tracker.refuse(version, "settings_invalid: users")
-        verdict = tracker.judge(version)
-        assert verdict is revision.Verdict.REFUSED_BEFORE
-        repaired = revision.Version(2, "cc")
-        assert tracker.judge(repaired) is revision.Verdict.NEWER
+        verdict = tracker.classify(version)
+        assert verdict is settings_version.Verdict.REFUSED_BEFORE
+        repaired = settings_version.Version(2, "cc")
+        assert tracker.classify(repaired) is settings_version.Verdict.NEWER
 
     def test_only_other_content_of_the_same_number_conflicts(self) -> None:
-        tracker = revision.Keeper()
-        tracker.accept(revision.Version(2, "bb"))
-        assert tracker.conflicts(revision.Version(2, "aa"))
-        assert not tracker.conflicts(revision.Version(2, "bb"))
-        assert not tracker.conflicts(revision.Version(3, "aa"))
+        tracker = settings_version.VersionTracker()
+        tracker.accept(settings_version.Version(2, "bb"))
+        assert tracker.conflicts(settings_version.Version(2, "aa"))
+        assert not tracker.conflicts(settings_version.Version(2, "bb"))
+        assert not tracker.conflicts(settings_version.Version(3, "aa"))
--- a/tests/test_slot_asker.py
+++ b/tests/test_slot_asker.py
@@ -52,7 +52,7 @@
 
     fleet = model.Fleet(vms_by_id={_VM.id: _VM})
 
-    def home_of(self, endpoint_id) -> model.Vm:
+    def coordinator_of(self, endpoint_id) -> model.Vm:
         return _VM
 
 
@@ -77,8 +77,8 @@
     asyncio.run(run())
 
 
-def _ask(endpoint_id: str, sequence: int, held: int = 0) -> messages.SlotAsk:
-    return messages.SlotAsk(
+def _ask(endpoint_id: str, sequence: int, held: int = 0) -> messages.SlotDemand:
+    return messages.SlotDemand(
         endpoint_id=endpoint_id,
         in_use=0,
         want=1,
--- a/tests/test_slots.py
+++ b/tests/test_slot_ledger.py
@@ -5,9 +5,9 @@
 import hypothesis
 from hypothesis import strategies
 
-from cowsliprill.decisions import leases
+from cowsliprill.decisions import endpoint_lease
 from cowsliprill.decisions import messages
-from cowsliprill.decisions import slots
+from cowsliprill.decisions import slot_ledger
 
 _SLOTS = 4
 
@@ -19,8 +19,8 @@
 
 def _demand(
     sequence: int, in_use: int, want: int, held: int = 0, customer: str = "u"
-) -> messages.SlotAsk:
-    return messages.SlotAsk(
+) -> messages.SlotDemand:
+    return messages.SlotDemand(
         endpoint_id="d",
         in_use=in_use,
         want=want,
@@ -38,33 +38,35 @@
     Messages may be delayed, duplicated, lost or reordered.
     """
 
-    ledger: slots.SlotLedger
+    ledger: slot_ledger.SlotLedger
     now: float = 0.0
     sequence: int = 0
 
     def __post_init__(self) -> None:
-        self.holdings = {name: leases.Holding() for name in _ENTRIES}
-        self.demands: list[tuple[str, messages.SlotAsk, float]] = []
+        self.leases_by_entry = {
+            name: endpoint_lease.EndpointLease() for name in _ENTRIES
+        }
+        self.demands: list[tuple[str, messages.SlotDemand, float]] = []
         self.grants: list[tuple[str, messages.SlotGrant]] = []
         self.sent_at = dict.fromkeys(_ENTRIES, 0.0)
         self.received_at = dict.fromkeys(_ENTRIES, 0.0)
 
     def step(self, name: str, action: int, pick: int) -> None:
-        holding = self.holdings[name]
+        lease = self.leases_by_entry[name]
         match action:
             case 0 | 1:
-                self._send_demand(name, holding, pick)
+                self._send_demand(name, lease, pick)
             case 2 | 3 if self.demands:
                 self._deliver_demand(pick, twice=False)
             case 4 if self.demands:
                 self._deliver_demand(pick, twice=True)
             case 5 | 6 if self.grants:
                 entry, grant = self.grants.pop(pick % len(self.grants))
-                self.holdings[entry].grant(grant)
-            case 7 if holding.free_slots(self.now) > 0:
-                holding.take("u")
-            case 8 if holding.in_use:
-                holding.release("u")
+                self.leases_by_entry[entry].grant(grant)
+            case 7 if lease.free_slots(self.now) > 0:
+                lease.acquire("u")
+            case 8 if lease.in_use:
+                lease.release("u")
             case 9:
                 # Shorter than the time for which expired leases are reserved.
                 self.now += pick / 20
@@ -72,13 +74,13 @@
                 (self.demands or self.grants).pop()
 
     def _send_demand(
-        self, name: str, holding: leases.Holding, pick: int
+        self, name: str, lease: endpoint_lease.EndpointLease, pick: int
     ) -> None:
         self.sequence += 1
-        held = max(holding.held_slots(self.now) - pick % 2, holding.in_use)
-        want = max(held, holding.in_use + pick % 5)
-        holding.record_demand(self.sequence, held)
-        demand = _demand(self.sequence, holding.in_use, want, held)
+        held = max(lease.held_slots(self.now) - pick % 2, lease.in_use)
+        want = max(held, lease.in_use + pick % 5)
+        lease.record_demand(self.sequence, held)
+        demand = _demand(self.sequence, lease.in_use, want, held)
         self.demands.append((name, demand, self.now))
 
     def _deliver_demand(self, pick: int, *, twice: bool) -> None:
@@ -100,7 +102,8 @@
     def held_slots(self) -> int:
         """Returns the slots that are in use or leased at this time."""
         return sum(
-            holding.held_slots(self.now) for holding in self.holdings.values()
+            lease.held_slots(self.now)
+            for lease in self.leases_by_entry.values()
         )
 
 
@@ -127,7 +130,7 @@
         If the coordinator applied an outdated demand, it would lease slots
         twice, and callers would wait for a prefill whose decode engine is full.
         """
-        network = _UnreliableNetwork(slots.SlotLedger("d", _SLOTS))
+        network = _UnreliableNetwork(slot_ledger.SlotLedger("d", _SLOTS))
         for name, action, pick in steps:
             if network.now > _MAX_TIME_S:
                 break
@@ -137,7 +140,7 @@
 
     def test_outdated_demand_releases_nothing(self) -> None:
         """An old demand arrives after a newer one that was granted more."""
-        ledger = slots.SlotLedger("d", _SLOTS)
+        ledger = slot_ledger.SlotLedger("d", _SLOTS)
         assert ledger.ask("a", _demand(2, 0, 4), 0.0).slots == _SLOTS
         ledger.ask("a", _demand(1, 0, 1), 0.1)
         assert ledger.ask("b", _demand(1, 0, 1), 0.2).slots == 0
@@ -148,16 +151,16 @@
         If its slots were reassigned at once, the next prefill would be
         discarded because the decode engine turns out to be full.
         """
-        ledger = slots.SlotLedger("d", _SLOTS)
+        ledger = slot_ledger.SlotLedger("d", _SLOTS)
         ledger.ask("a", _demand(1, 0, 4), 0.0)
-        after = slots.LEASE_S + 0.5
+        after = slot_ledger.LEASE_DURATION_S + 0.5
         assert ledger.ask("b", _demand(1, 0, 4), after).slots == 0
-        ledger.observe({"a": 1}, after)
+        ledger.reconcile_usage({"a": 1}, after)
         assert [grant.slots for _, grant in ledger.regrant(after)] == [3]
 
     def test_new_coordinator_only_confirms_held_slots_at_first(self) -> None:
         """A coordinator starts while leases of the previous one are valid."""
-        ledger = slots.SlotLedger("d", _SLOTS, silent_until=2.0)
+        ledger = slot_ledger.SlotLedger("d", _SLOTS, reclaim_until=2.0)
         assert ledger.ask("a", _demand(1, 1, 2, held=2), 0.0).slots == 2
         assert ledger.ask("b", _demand(1, 0, 4), 0.1).slots == 0
         assert ledger.ask("b", _demand(2, 0, 4), 2.0).slots == 2
@@ -167,7 +170,7 @@
     """Allocation of slots that become free."""
 
     def test_increased_grant_is_pushed_once(self) -> None:
-        ledger = slots.SlotLedger("d", 1)
+        ledger = slot_ledger.SlotLedger("d", 1)
         ledger.ask("a", _demand(1, 1, 1), 0.0)
         assert ledger.ask("b", _demand(1, 0, 1), 0.1).slots == 0
         ledger.ask("a", _demand(2, 0, 0), 0.2)
@@ -175,7 +178,7 @@
         assert ledger.regrant(0.2) == []
 
     def test_idle_slots_are_recalled_if_other_requests_wait(self) -> None:
-        ledger = slots.SlotLedger("d", 3)
+        ledger = slot_ledger.SlotLedger("d", 3)
         reserve = dataclasses.replace(
             _demand(1, 0, 1), customer_wants=(), want=1, held=1
         )
@@ -185,7 +188,7 @@
         assert recalled["a"].waiting > 0
 
     def test_higher_priority_entry_process_is_served_first(self) -> None:
-        ledger = slots.SlotLedger("d", 1)
+        ledger = slot_ledger.SlotLedger("d", 1)
         ledger.ask("a", _demand(1, 1, 1), 0.0)
         ledger.ask("b", _demand(1, 0, 1), 0.1)
         urgent = dataclasses.replace(_demand(1, 0, 1), priority=1)
@@ -199,7 +202,7 @@
         Without fair sharing all requests of the other customer would be
         refused.
         """
-        ledger = slots.SlotLedger("d", 4)
+        ledger = slot_ledger.SlotLedger("d", 4)
         ledger.ask("a", _demand(1, 4, 4, customer="greedy"), 0.0)
         greedy = dataclasses.replace(
             _demand(1, 0, 4, customer="greedy"), priority=9
@@ -223,27 +226,27 @@
         grant, it would place work on slots that the coordinator has leased to
         another entry process.
         """
-        holding = leases.Holding()
-        holding.record_demand(1, 0)
+        lease = endpoint_lease.EndpointLease()
+        lease.record_demand(1, 0)
         old = messages.SlotGrant(
             endpoint_id="d", slots=3, expires_at=2.0, sequence=1
         )
-        holding.grant(old)
-        holding.record_demand(2, 0)
-        holding.grant(dataclasses.replace(old, slots=0, sequence=2))
-        holding.grant(old)
-        assert holding.free_slots(1.0) == 0
+        lease.grant(old)
+        lease.record_demand(2, 0)
+        lease.grant(dataclasses.replace(old, slots=0, sequence=2))
+        lease.grant(old)
+        assert lease.free_slots(1.0) == 0
 
     def test_no_work_on_an_expired_lease(self) -> None:
         """The process is paused until after its lease has expired."""
-        holding = leases.Holding()
-        holding.grant(
+        lease = endpoint_lease.EndpointLease()
+        lease.grant(
             messages.SlotGrant(endpoint_id="d", slots=3, expires_at=2.0)
         )
-        holding.take("u")
-        assert holding.free_slots(1.9) == 2
-        assert holding.free_slots(2.0) < 1
-        assert holding.held_slots(2.0) == 1
+        lease.acquire("u")
+        assert lease.free_slots(1.9) == 2
+        assert lease.free_slots(2.0) < 1
+        assert lease.held_slots(2.0) == 1
 
     def test_new_prefix_epoch_replaces_cached_blocks(self) -> None:
         """Cache events were lost, among them evictions.
@@ -251,7 +254,7 @@
         Without the reset, requests would still be routed to an engine for
         blocks that it no longer caches.
         """
-        holding = leases.Holding()
+        lease = endpoint_lease.EndpointLease()
         grant = messages.SlotGrant(
             endpoint_id="d",
             slots=0,
@@ -259,12 +262,12 @@
             prefix_hashes=(1, 2),
             prefix_epoch=1,
         )
-        holding.grant(grant)
-        assert holding.cached.cached_tokens((1, 2)) > 0
+        lease.grant(grant)
+        assert lease.cached.cached_tokens((1, 2)) > 0
         news = dataclasses.replace(grant, prefix_hashes=(3,))
-        holding.grant(dataclasses.replace(news, prefix_hashes_gone=(2,)))
-        both = holding.cached.cached_tokens((1, 3))
-        assert holding.cached.cached_tokens((1, 2)) < both
-        holding.grant(dataclasses.replace(news, prefix_epoch=2))
-        assert holding.cached.cached_tokens((1, 3)) == 0
-        assert holding.cached.cached_tokens((3,)) > 0
+        lease.grant(dataclasses.replace(news, prefix_hashes_gone=(2,)))
+        both = lease.cached.cached_tokens((1, 3))
+        assert lease.cached.cached_tokens((1, 2)) < both
+        lease.grant(dataclasses.replace(news, prefix_epoch=2))
+        assert lease.cached.cached_tokens((1, 3)) == 0
+        assert lease.cached.cached_tokens((3,)) > 0
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -54,5 +54,5 @@
         assert found is asks
 
     def test_never_where_that_is_switched_off(self):
-        source = lone_source.make(off={mechanisms.Mechanism.PEER_NEWS})
+        source = lone_source.make(disabled={mechanisms.Mechanism.PEER_UPDATES})
         assert not source._peer_news.is_needed(_follower(0, 60.0))
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -27,16 +27,16 @@
     for number in range(31):
         tokens = 1_000 + 137 * number
         seconds = fixed_s + tokens / 50_000
-        estimator.read(
+        estimator.add_prefill(
             tokens, seconds + (0.5 if number < slow_prompts else 0.0)
         )
 
 
-class TestSpeeds:
+class TestSpeedEstimator:
     """Measured speeds replace configured defaults."""
 
     def test_default_is_used_without_samples(self):
-        assert speeds.Speeds().describe(_engine()) == _engine()
+        assert speeds.SpeedEstimator().apply_to(_engine()) == _engine()
 
     def test_measured_speeds_replace_defaults(self):
         """Engines are twelve times as fast as the configured defaults.
@@ -44,10 +44,10 @@
         With the defaults, a third of the requests at moderate load seems to
         exceed the capacity and is rejected while half of the memory is free.
         """
-        estimator = speeds.Speeds()
-        assert estimator.wrote(6_000, 4.2)
+        estimator = speeds.SpeedEstimator()
+        assert estimator.add_decode(6_000, 4.2)
         _add_prefills(estimator, fixed_s=0.0)
-        found = estimator.describe(_engine())
+        found = estimator.apply_to(_engine())
         assert round(found.seconds_per_token, 6) == 0.0007
         assert round(found.prefill_tokens_per_s) == 50_000
         assert round(found.own_prefill_tokens_per_s) == 25_000
@@ -60,43 +60,43 @@
         of the real one, half of a pool would be assigned to prefill, and
         requests would be rejected for lack of decode engines.
         """
-        estimator = speeds.Speeds()
+        estimator = speeds.SpeedEstimator()
         _add_prefills(estimator, fixed_s)
-        found = estimator.describe(_engine()).prefill_tokens_per_s
+        found = estimator.apply_to(_engine()).prefill_tokens_per_s
         assert found == pytest.approx(50_000, rel=0.1)
 
     def test_robust_to_a_few_slow_prompts(self):
-        estimator = speeds.Speeds()
+        estimator = speeds.SpeedEstimator()
         _add_prefills(estimator, 0.05, slow_prompts=4)
-        found = estimator.describe(_engine()).prefill_tokens_per_s
+        found = estimator.apply_to(_engine()).prefill_tokens_per_s
         assert found == pytest.approx(50_000, rel=0.35)
 
     def test_prompts_of_equal_length_are_ignored(self):
-        estimator = speeds.Speeds()
+        estimator = speeds.SpeedEstimator()
         for _ in range(40):
-            assert not estimator.read(3_000, 0.2)
+            assert not estimator.add_prefill(3_000, 0.2)
 
     def test_explicit_speeds_are_kept(self):
-        estimator = speeds.Speeds()
-        estimator.wrote(6_000, 4.2)
+        estimator = speeds.SpeedEstimator()
+        estimator.add_decode(6_000, 4.2)
         stated = _engine(speeds_guessed=False)
-        assert estimator.describe(stated) == stated
+        assert estimator.apply_to(stated) == stated
 
     def test_robust_to_one_slow_engine_of_four(self):
-        estimator = speeds.Speeds()
+        estimator = speeds.SpeedEstimator()
         for number in range(40):
-            estimator.wrote(1_000, 8.0 if number % 4 == 0 else 1.0)
-        assert estimator.describe(_engine()).seconds_per_token == 0.001
+            estimator.add_decode(1_000, 8.0 if number % 4 == 0 else 1.0)
+        assert estimator.apply_to(_engine()).seconds_per_token == 0.001
 
     def test_follows_a_change_of_all_engines(self):
-        estimator = speeds.Speeds()
+        estimator = speeds.SpeedEstimator()
         for _ in range(40):
-            estimator.wrote(1_000, 1.0)
-        published = [estimator.wrote(1_000, 3.0) for _ in range(31)]
+            estimator.add_decode(1_000, 1.0)
+        published = [estimator.add_decode(1_000, 3.0) for _ in range(31)]
         assert published.count(True) == 1
-        assert estimator.describe(_engine()).seconds_per_token == 0.003
+        assert estimator.apply_to(_engine()).seconds_per_token == 0.003
 
     def test_short_outputs_are_ignored(self):
-        estimator = speeds.Speeds()
-        assert not estimator.wrote(3, 1.0)
-        assert estimator.describe(_engine()) == _engine()
+        estimator = speeds.SpeedEstimator()
+        assert not estimator.add_decode(3, 1.0)
+        assert estimator.apply_to(_engine()) == _engine()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -34,11 +34,13 @@
     return [*events, _event(tokens, request_id, tokens), _DONE]
 
 
-def _feed(checker: stream.Checker, chunks) -> tuple[bytes, stream.Result]:
+def _feed(
+    validator: stream.StreamValidator, chunks
+) -> tuple[bytes, stream.Result]:
     result = stream.Events(b"", 0)
     delivered = b""
     for chunk in chunks:
-        result = checker.feed(chunk)
+        result = validator.feed(chunk)
         delivered += result.data
     return delivered, result
 
@@ -88,25 +90,25 @@
         self, tokens, cuts
     ) -> None:
         data = b"".join(_output_events(tokens))
-        checker = stream.Checker(_ID)
-        delivered, result = _feed(checker, _split(data, cuts))
+        validator = stream.StreamValidator(_ID)
+        delivered, result = _feed(validator, _split(data, cuts))
         assert delivered == data
-        assert checker.complete and result.last_token == tokens
+        assert validator.complete and result.last_token == tokens
 
     def test_first_token_is_delivered_at_once(self) -> None:
-        checker = stream.Checker(_ID)
-        assert checker.feed(_event(1)) == stream.Events(_event(1), 1)
+        validator = stream.StreamValidator(_ID)
+        assert validator.feed(_event(1)) == stream.Events(_event(1), 1)
 
     def test_output_without_tokens_is_complete(self) -> None:
-        checker = stream.Checker(_ID)
-        _, result = _feed(checker, [_event(0, count=0), _DONE])
+        validator = stream.StreamValidator(_ID)
+        _, result = _feed(validator, [_event(0, count=0), _DONE])
         assert isinstance(result, stream.Complete)
         assert result.last_token == 0
 
     def test_comments_are_skipped(self) -> None:
         first, *rest = _output_events(3)
         chunks = [first, b": still here\n\n", *rest]
-        delivered, result = _feed(stream.Checker(_ID), chunks)
+        delivered, result = _feed(stream.StreamValidator(_ID), chunks)
         assert delivered == b"".join(_output_events(3))
         assert isinstance(result, stream.Complete)
 
@@ -117,7 +119,7 @@
         """
         data = b"".join(_output_events(2))
         delivered, _ = _feed(
-            stream.Checker(_ID), [data + _event(3), _event(4), data]
+            stream.StreamValidator(_ID), [data + _event(3), _event(4), data]
         )
         assert delivered == data
 
@@ -134,13 +136,13 @@
         events = _output_events(4)
         data = b"".join(events)
         for cut in range(len(data)):
-            checker = stream.Checker(_ID)
-            delivered, _ = _feed(checker, [data[:cut]])
+            validator = stream.StreamValidator(_ID)
+            delivered, _ = _feed(validator, [data[:cut]])
             assert data.startswith(delivered)
             assert _DONE not in delivered.split(b"\n\n")
-            assert isinstance(checker.end(), stream.Broken), cut
-            checker.resume()
-            rest, result = _feed(checker, events[checker.last_token :])
+            assert isinstance(validator.end(), stream.Broken), cut
+            validator.resume()
+            rest, result = _feed(validator, events[validator.last_token :])
             assert delivered + rest == data, cut
             assert isinstance(result, stream.Complete)
 
@@ -151,11 +153,11 @@
         The caller would receive some tokens twice.
         """
         events = _output_events(5)
-        checker = stream.Checker(_ID)
-        delivered, _ = _feed(checker, events[:3])
-        checker.end()
-        checker.resume()
-        rest, result = _feed(checker, events[3 - overlap :])
+        validator = stream.StreamValidator(_ID)
+        delivered, _ = _feed(validator, events[:3])
+        validator.end()
+        validator.resume()
+        rest, result = _feed(validator, events[3 - overlap :])
         assert delivered + rest == b"".join(events)
         assert isinstance(result, stream.Complete)
 
@@ -165,16 +167,16 @@
         The caller would miss a token without noticing.
         """
         events = _output_events(5)
-        checker = stream.Checker(_ID)
-        _feed(checker, events[:2])
-        checker.end()
-        checker.resume()
-        result = checker.feed(events[3])
-        assert result == stream.Broken(b"", 2, stream.Reason.OUT_OF_ORDER)
+        validator = stream.StreamValidator(_ID)
+        _feed(validator, events[:2])
+        validator.end()
+        validator.resume()
+        result = validator.feed(events[3])
+        assert result == stream.Broken(b"", 2, stream.StreamFault.OUT_OF_ORDER)
 
     def test_stalled_stream_is_reported_as_such(self) -> None:
-        broken = stream.Checker(_ID).end(stream.Reason.STALLED)
-        assert broken.reason is stream.Reason.STALLED
+        broken = stream.StreamValidator(_ID).end(stream.StreamFault.STALLED)
+        assert broken.reason is stream.StreamFault.STALLED
 
 
 class TestInvalidStream:
@@ -183,15 +185,24 @@
     @pytest.mark.parametrize(
         ("events", "reason"),
         [
-            ([_event(1), _event(2, _OTHER)], stream.Reason.FOREIGN),
-            ([_event(1), _event(3)], stream.Reason.OUT_OF_ORDER),
-            ([_event(1), _event(1)], stream.Reason.OUT_OF_ORDER),
-            ([_event(1), _event(2, count=3), _DONE], stream.Reason.WRONG_COUNT),
-            ([_event(1), _DONE], stream.Reason.WRONG_COUNT),
-            ([_event(1), b"id: x\n\n"], stream.Reason.FOREIGN),
-            ([_event(1), b'data: {"error": 1}\n\n'], stream.Reason.MALFORMED),
-            ([_event(1), f"id: {_ID}/x\n\n".encode()], stream.Reason.MALFORMED),
-            ([_event(1), b"x" * 1_100_000], stream.Reason.MALFORMED),
+            ([_event(1), _event(2, _OTHER)], stream.StreamFault.FOREIGN),
+            ([_event(1), _event(3)], stream.StreamFault.OUT_OF_ORDER),
+            ([_event(1), _event(1)], stream.StreamFault.OUT_OF_ORDER),
+            (
+                [_event(1), _event(2, count=3), _DONE],
+                stream.StreamFault.WRONG_COUNT,
+            ),
+            ([_event(1), _DONE], stream.StreamFault.WRONG_COUNT),
+            ([_event(1), b"id: x\n\n"], stream.StreamFault.FOREIGN),
+            (
+                [_event(1), b'data: {"error": 1}\n\n'],
+                stream.StreamFault.MALFORMED,
+            ),
+            (
+                [_event(1), f"id: {_ID}/x\n\n".encode()],
+                stream.StreamFault.MALFORMED,
+            ),
+            ([_event(1), b"x" * 1_100_000], stream.StreamFault.MALFORMED),
         ],
     )
     def test_delivers_only_events_before_the_fault(
@@ -202,14 +213,14 @@
         The caller would receive output of another request, or take a truncated
         output for a complete one.
         """
-        delivered, result = _feed(stream.Checker(_ID), events)
+        delivered, result = _feed(stream.StreamValidator(_ID), events)
         assert delivered == _event(1)
         assert isinstance(result, stream.Broken)
         assert result.reason is reason
 
     def test_stream_with_wrong_count_is_not_resumable(self) -> None:
-        assert not stream.Reason.WRONG_COUNT.resumable
-        assert stream.Reason.CUT.resumable
+        assert not stream.StreamFault.WRONG_COUNT.resumable
+        assert stream.StreamFault.TRUNCATED.resumable
 
     @_settings
     @hypothesis.given(
@@ -244,10 +255,10 @@
                     events[index:index] = events[index : index + 1]
                 case "foreign":
                     events.insert(index, foreign[index % 6])
-        checker = stream.Checker(_ID)
-        delivered, _ = _feed(checker, events)
+        validator = stream.StreamValidator(_ID)
+        delivered, _ = _feed(validator, events)
         assert b"".join(correct).startswith(delivered)
-        assert checker.complete == (delivered == b"".join(correct))
+        assert validator.complete == (delivered == b"".join(correct))
 
     @_settings
     @hypothesis.given(
@@ -271,36 +282,36 @@
     @hypothesis.example([_event(1), _event(1, count=1), _DONE], [])
     def test_agrees_with_reference_implementation(self, events, cuts) -> None:
         data = b"".join(events)
-        checker = stream.Checker(_ID)
-        delivered, result = _feed(checker, _split(data, cuts))
+        validator = stream.StreamValidator(_ID)
+        delivered, result = _feed(validator, _split(data, cuts))
         expected, verdict = _ReferenceValidator().validate(data)
         assert delivered == expected
         match verdict:
             case "complete":
-                assert checker.complete
+                assert validator.complete
             case "broken":
                 assert isinstance(result, stream.Broken)
             case _:
-                assert isinstance(checker.end(), stream.Broken)
+                assert isinstance(validator.end(), stream.Broken)
 
 
-class TestCollector:
+class TestResponseBuilder:
     """Responses of non-streaming calls."""
 
     def test_joins_text_of_a_completion(self) -> None:
-        collector = stream.Collector()
+        builder = stream.ResponseBuilder()
         for event in _output_events(3):
-            collector.add(event)
-        answer = collector.answer()
+            builder.add(event)
+        answer = builder.answer()
         assert answer["choices"][0]["text"] == "".join(_TEXTS[1:4])
         assert answer["usage"]["completion_tokens"] == 3
         assert answer["object"] == "text_completion"
 
     def test_joins_text_of_a_chat_completion(self) -> None:
         pieces = [{"delta": {"role": "assistant"}}, {"delta": {"content": "y"}}]
-        collector = stream.Collector()
+        builder = stream.ResponseBuilder()
         for piece in pieces:
             data = json.dumps({"choices": [piece]})
-            collector.add(f"id: {_ID}/1\ndata: {data}\n\n".encode())
-        message = collector.answer()["choices"][0]["message"]
+            builder.add(f"id: {_ID}/1\ndata: {data}\n\n".encode())
+        message = builder.answer()["choices"][0]["message"]
         assert message == {"role": "assistant", "content": "y"}
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -4,7 +4,7 @@
 import types
 from typing import Any
 
-from cowsliprill.decisions import cancels
+from cowsliprill.decisions import cancel_queue
 from cowsliprill.decisions import model
 from cowsliprill.decisions import orphans
 from cowsliprill.dispatch import homes as homes_lib
@@ -49,14 +49,14 @@
 
 
 class _Zone:
-    def hears_most(self) -> bool:
+    def has_majority(self) -> bool:
         return True
 
     async def ask_if_older(self) -> None:
         return None
 
 
-def _sweep(age_s: float) -> list[cancels.CancelOrder]:
+def _sweep(age_s: float) -> list[cancel_queue.Cancellation]:
     """Sweeps a few turns and returns what was cancelled."""
     own = model.Vm(
         id="vm-a",
@@ -92,13 +92,15 @@
         log=log_lib.open_log("test"),
         metrics=metrics_lib.Metrics(),
     )
-    cancelled: list[cancels.CancelOrder] = []
+    cancelled: list[cancel_queue.Cancellation] = []
 
     async def scenario() -> None:
         sweeper = sweeper_lib.Sweeper(world, _Zone(), cancelled.extend)
         sweeper.update()
         for _ in range(_TURNS):
-            await asyncio.wait_for(sweeper.turn(), orphans.MAX_GAP_S)
+            await asyncio.wait_for(
+                sweeper.turn(), orphans.MAX_OBSERVATION_GAP_S
+            )
             await asyncio.sleep(0)
 
     asyncio.run(scenario())
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -9,7 +9,7 @@
 
 _OWNER = identity.Incarnation("vm-0", "e0", "aa")
 _OTHER = identity.Incarnation("vm-0", "e0", "bb")
-_RESPONSE = tickets.Answer(status=200, headers=(), body=b"booked")
+_RESPONSE = tickets.StoredResponse(status=200, headers=(), body=b"booked")
 _FINGERPRINT = b"fingerprint"
 _SETTINGS = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=200
@@ -18,8 +18,8 @@
 
 def _make_store(
     incarnation=_OWNER, secret=b"s", **limits
-) -> tickets.TicketBook:
-    return tickets.TicketBook(incarnation, 8000, secret, **limits)
+) -> tickets.TicketStore:
+    return tickets.TicketStore(incarnation, 8000, secret, **limits)
 
 
 def _claim(
@@ -95,7 +95,7 @@
         """The owner crashed, and a new process took its name and port."""
         ticket = _make_store().issue("u", "s", 0.0)
         claim = _claim(_make_store(_OTHER), ticket)
-        assert claim == tickets.Foreign(ticket)
+        assert claim == tickets.OwnedElsewhere(ticket)
 
     def test_expired_ticket_is_never_executed(self):
         """Guards against a second execution after the record is dropped.
@@ -106,9 +106,9 @@
         store = _make_store()
         ticket = store.issue("u", "s", 0.0)
         store.finish(_claim(store, ticket).record, _RESPONSE)
-        fresh = store.issue("u", "s", tickets.KEEP_S)
-        _claim(store, fresh, now=tickets.KEEP_S)
-        late_claim = _claim(store, ticket, now=tickets.KEEP_S)
+        fresh = store.issue("u", "s", tickets.RECORD_TTL_S)
+        _claim(store, fresh, now=tickets.RECORD_TTL_S)
+        late_claim = _claim(store, ticket, now=tickets.RECORD_TTL_S)
         assert late_claim == tickets.Expired()
 
     def test_full_store_rejects_new_tickets_and_keeps_records(self):
@@ -116,7 +116,7 @@
         issued = [store.issue("u", "s", 0.0) for _ in range(3)]
         for ticket in issued[:2]:
             store.finish(_claim(store, ticket).record, _RESPONSE)
-        assert _claim(store, issued[2]) == tickets.Full()
+        assert _claim(store, issued[2]) == tickets.StoreFull()
         assert _claim(store, issued[0]) == tickets.Replay(_RESPONSE)
 
 
@@ -135,7 +135,8 @@
         running = store.claim_key("0", "u", "s", _FINGERPRINT, 0.0)
         done = store.claim_key("1", "u", "s", _FINGERPRINT, 0.0)
         assert (
-            store.claim_key("2", "u", "s", _FINGERPRINT, 0.0) == tickets.Full()
+            store.claim_key("2", "u", "s", _FINGERPRINT, 0.0)
+            == tickets.StoreFull()
         )
         store.finish(done.record, _RESPONSE)
         third = store.claim_key("2", "u", "s", _FINGERPRINT, 0.0)
@@ -150,7 +151,9 @@
 
     def test_stored_bytes_are_limited(self):
         records = tickets.RecordStore(100, 1_000, evict=False)
-        response = tickets.Answer(status=200, headers=(), body=b"x" * 300)
+        response = tickets.StoredResponse(
+            status=200, headers=(), body=b"x" * 300
+        )
         for number in range(10):
             records.claim(str(number), _FINGERPRINT, 10.0, 0.0)
             records.finish(str(number), response)
@@ -207,7 +210,7 @@
                 case "not run" if ticket_index in granted:
                     store.release(granted.pop(ticket_index))
                 case "sleep":
-                    now += tickets.KEEP_S / 3
+                    now += tickets.RECORD_TTL_S / 3
                 case "restart":
                     # Granted requests may have been executed before the crash.
                     executed.extend(granted)
--- a/tests/test_prospects.py
+++ b/tests/test_wait_estimates.py
@@ -2,14 +2,14 @@
 
 import random
 
-from tests import test_cell
+from tests import test_pool_scheduler
 
 from cowsliprill.decisions import demand
 from cowsliprill.decisions import health
 from cowsliprill.decisions import model
 from cowsliprill.decisions import pool as pools
-from cowsliprill.decisions import prospects
-from cowsliprill.decisions import queue
+from cowsliprill.decisions import request_queue
+from cowsliprill.decisions import wait_estimates
 
 _NOW = 100.0
 _SLOTS = 5_000
@@ -25,19 +25,21 @@
       requests_per_s: Rate at which requests have arrived.
       late: Number of late requests in the queue.
     """
-    pool = pools.Pool(random.Random(1), health.Health())
+    pool = pools.Pool(random.Random(1), health.EngineHealth())
     engines = [
-        test_cell._engine(f"d{number}", model.EndpointKind.DECODE, _SLOTS)
+        test_pool_scheduler._engine(
+            f"d{number}", model.EndpointKind.DECODE, _SLOTS
+        )
         for number in range(20)
     ]
     prefills = [
-        test_cell._engine(f"p{number}", model.EndpointKind.PREFILL, 3)
+        test_pool_scheduler._engine(f"p{number}", model.EndpointKind.PREFILL, 3)
         for number in range(20)
     ]
     pool.set_engines(prefills, engines)
     for engine in engines:
-        pool.holding(engine.id).own(_SLOTS)
-        pool.holding(engine.id).take("", _SLOTS)
+        pool.lease(engine.id).assign_permanently(_SLOTS)
+        pool.lease(engine.id).acquire("", _SLOTS)
     pool.record_slots(_SLOTS_PER_REQUEST)
     count = int(requests_per_s * 10)
     for number in range(count):
@@ -54,9 +56,9 @@
     return pool
 
 
-def _waiting(number: int, *, late: bool) -> queue.Waiting:
-    return queue.Waiting(
-        submit=test_cell._submit(number, _NOW),
+def _waiting(number: int, *, late: bool) -> request_queue.QueuedRequest:
+    return request_queue.QueuedRequest(
+        submit=test_pool_scheduler._submit(number, _NOW),
         start_deadline=_NOW + _USEFUL_S,
         cost_s=_HOLD_S,
         slots=_SLOTS_PER_REQUEST,
@@ -74,23 +76,23 @@
         """
         pool = _pool(110.0, late=10)
         late = _waiting(0, late=True)
-        assert prospects.wait_s(pool, late, _NOW, 1) > _USEFUL_S
+        assert wait_estimates.wait_s(pool, late, _NOW, 1) > _USEFUL_S
 
     def test_under_low_load_they_are_served(self):
         pool = _pool(20.0, late=10)
         late = _waiting(0, late=True)
-        assert prospects.wait_s(pool, late, _NOW, 1) < _USEFUL_S
+        assert wait_estimates.wait_s(pool, late, _NOW, 1) < _USEFUL_S
 
     def test_overload_backoff_exceeds_the_duration_of_a_burst(self):
         """Guards against clients that are refused twice in one burst."""
         assert (
-            prospects.spare_capacity(
+            wait_estimates.spare_capacity(
                 _pool(110.0, late=0), _NOW, 1
             ).overload_backoff_s
             > 5.0
         )
         assert (
-            prospects.spare_capacity(
+            wait_estimates.spare_capacity(
                 _pool(20.0, late=0), _NOW, 1
             ).overload_backoff_s
             == 0.0
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -3,10 +3,10 @@
 from cowsliprill.decisions import workload
 
 
-def _load_after(requests, prompt_s, answer_s, load=None, start=0.0):
+def _load_after(requests, prefill_s, decode_s, load=None, start=0.0):
     load = load or workload.Workload()
     for number in range(requests):
-        load.add(prompt_s, answer_s, start + number * 0.25)
+        load.add(prefill_s, decode_s, start + number * 0.25)
     return load
 
 
