--- a/src/cowsliprill/dispatch/__init__.py
+++ b/src/cowsliprill/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The process that is home to endpoints."""
+"""Dispatch process: leases slots of the endpoints that its VM coordinates."""
--- a/src/cowsliprill/dispatch/__main__.py
+++ b/src/cowsliprill/dispatch/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of `cowsliprill-dispatch`."""
+"""Command-line entry point of `cowsliprill-dispatch`."""
 
 import sys
 
@@ -7,14 +7,14 @@
 
 
 def main() -> int:
-    """Runs the process.
+    """Runs the dispatch process.
 
     Returns:
       The exit code.
     """
     return launcher.run(
         "cowsliprill-dispatch",
-        "Run a VM's dispatch process, the home of endpoints.",
+        "Run a VM's dispatch process, which coordinates endpoints.",
         process.serve,
     )
 
--- a/src/cowsliprill/dispatch/canceller.py
+++ b/src/cowsliprill/dispatch/canceller.py
@@ -1,4 +1,4 @@
-"""Sends cancel orders until engines acknowledge them."""
+"""Sends cancellations to engines and retries until they are acknowledged."""
 
 import asyncio
 from collections.abc import Iterable
@@ -11,136 +11,142 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import ownership
 from cowsliprill.dispatch import messages
-from cowsliprill.dispatch import world as world_lib
+from cowsliprill.dispatch import world as context_lib
 
-_IDLE_S = 1.0
+_MAX_SLEEP_S = 1.0
 _CALL_TIMEOUT_S = 1.0
-_FLUSH_S = 1.0
+_SHUTDOWN_FLUSH_S = 1.0
 
 
 class Canceller:
-    """Owns the process' cancel orders.
+    """Owns the pending cancellations of this process.
 
     Args:
-      world: What the tasks share.
+      context: Shared state and clients of the process.
     """
 
-    def __init__(self, world: world_lib.World) -> None:
-        self._world = world
-        self._book = cancels.CancelBook()
-        self._added = asyncio.Event()
+    def __init__(self, context: context_lib.DispatchContext) -> None:
+        self._context = context
+        self._queue = cancels.CancelBook()
+        self._wakeup = asyncio.Event()
         self._calls: set[asyncio.Task] = set()
 
     @property
     def pending(self) -> int:
-        """Number of orders not yet acknowledged."""
-        return self._book.pending
+        """Number of cancellations that no engine has acknowledged yet."""
+        return self._queue.pending
 
-    def add(self, orders: Iterable[cancels.CancelOrder]) -> None:
-        """Takes orders.
+    def add(self, cancellations: Iterable[cancels.CancelOrder]) -> None:
+        """Queues cancellations for sending.
 
         Args:
-          orders: The orders; those of unknown endpoints are dropped later.
+          cancellations: The cancellations. Those for unknown endpoints are
+            dropped when the queue is next expired.
         """
         now = clock.now()
-        for order in orders:
-            self._book.add(order, now)
-        self._note_pending()
-        self._added.set()
+        for cancellation in cancellations:
+            self._queue.add(cancellation, now)
+        self._update_pending_gauge()
+        self._wakeup.set()
 
     async def run(self) -> None:
-        """Sends what is due, until cancelled."""
+        """Sends cancellations as they become due, until cancelled."""
         while True:
-            self._added.clear()
+            self._wakeup.clear()
             self._send_due()
             await self._wait()
 
     async def hand_over(self) -> None:
-        """Gives engines a last moment, then the rest to their next home.
+        """Flushes the queue, then hands the rest to the next coordinators.
 
-        Without this, a request that was cancelled just before the process
-        ended would hold its engine's memory until its answer is complete,
-        since its owner lives and no sweep takes it for an orphan.
+        Without the handover, a request that was cancelled just before the
+        process stopped would hold engine memory until its output is complete:
+        its owner is alive, so orphan detection doesn't cancel the request.
         """
-        end = clock.now() + _FLUSH_S
-        while self._book.pending and clock.now() < end:
+        flush_deadline = clock.now() + _SHUTDOWN_FLUSH_S
+        while self._queue.pending and clock.now() < flush_deadline:
             self._send_due()
             await asyncio.sleep(cancels.FIRST_RETRY_S)
-        for vm, orders in self._orders_by_next_home():
-            await self._give_to(vm, orders)
+        for vm, cancellations in self._cancellations_by_next_coordinator():
+            await self._send_to_vm(vm, cancellations)
 
     def _send_due(self) -> None:
         now = clock.now()
-        known = self._world.follower.snapshot.endpoints_by_id.keys()
-        if known and (dropped := self._book.expire(known, now)):
-            self._world.log.warning("cancels_dropped", count=dropped)
-            self._world.count("cancel_dropped", dropped)
-        for order in self._book.due(now):
-            endpoint = self._world.endpoint(order.endpoint_id)
+        known_ids = self._context.follower.snapshot.endpoints_by_id.keys()
+        if known_ids and (dropped := self._queue.expire(known_ids, now)):
+            self._context.log.warning("cancels_dropped", count=dropped)
+            self._context.count("cancel_dropped", dropped)
+        for cancellation in self._queue.due(now):
+            endpoint = self._context.endpoint(cancellation.endpoint_id)
             if endpoint is None:
                 continue
-            call = asyncio.create_task(self._send(order, endpoint))
+            call = asyncio.create_task(self._send(cancellation, endpoint))
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
 
     async def _send(
-        self, order: cancels.CancelOrder, endpoint: model.Endpoint
+        self, cancellation: cancels.CancelOrder, endpoint: model.Endpoint
     ) -> None:
-        done = await self._world.engines.cancel(
-            endpoint, order.request_id, timeout_s=_CALL_TIMEOUT_S
+        acknowledged = await self._context.engines.cancel(
+            endpoint, cancellation.request_id, timeout_s=_CALL_TIMEOUT_S
         )
         now = clock.now()
-        if done:
-            self._book.acknowledge(order, now)
-            self._world.count("cancel_acknowledged")
+        if acknowledged:
+            self._queue.acknowledge(cancellation, now)
+            self._context.count("cancel_acknowledged")
         else:
-            self._book.fail(order, now)
-            self._world.count("cancel_failed")
-        self._note_pending()
-        self._added.set()
+            self._queue.fail(cancellation, now)
+            self._context.count("cancel_failed")
+        self._update_pending_gauge()
+        self._wakeup.set()
 
     async def _wait(self) -> None:
-        next_at = self._book.next_at()
-        left = _IDLE_S if next_at is None else next_at - clock.now()
+        next_at = self._queue.next_at()
+        wait_s = _MAX_SLEEP_S if next_at is None else next_at - clock.now()
         try:
             await asyncio.wait_for(
-                self._added.wait(), min(max(left, 0.01), _IDLE_S)
+                self._wakeup.wait(), min(max(wait_s, 0.01), _MAX_SLEEP_S)
             )
         except TimeoutError:
             pass
 
-    def _orders_by_next_home(
+    def _cancellations_by_next_coordinator(
         self,
     ) -> list[tuple[model.Vm, list[cancels.CancelOrder]]]:
-        own_id = self._world.environment.vm
+        own_id = self._context.environment.vm
         vms = [
             vm
-            for vm in self._world.follower.fleet.vms_by_id.values()
+            for vm in self._context.follower.fleet.vms_by_id.values()
             if vm.id != own_id
         ]
-        orders_by_vm: dict[str, list[cancels.CancelOrder]] = {}
+        cancellations_by_vm: dict[str, list[cancels.CancelOrder]] = {}
         vms_by_id = {vm.id: vm for vm in vms}
-        for order in self._book.all():
-            vm = ownership.home_of(order.endpoint_id, vms)
+        for cancellation in self._queue.all():
+            vm = ownership.home_of(cancellation.endpoint_id, vms)
             if vm is not None:
-                orders_by_vm.setdefault(vm.id, []).append(order)
-        return [(vms_by_id[key], each) for key, each in orders_by_vm.items()]
+                cancellations_by_vm.setdefault(vm.id, []).append(cancellation)
+        return [
+            (vms_by_id[vm_id], each)
+            for vm_id, each in cancellations_by_vm.items()
+        ]
 
-    async def _give_to(
-        self, vm: model.Vm, orders: list[cancels.CancelOrder]
+    async def _send_to_vm(
+        self, vm: model.Vm, cancellations: list[cancels.CancelOrder]
     ) -> None:
-        body = codec.encode(messages.CancelsRequest(cancels=tuple(orders)))
+        body = codec.encode(
+            messages.CancelsRequest(cancels=tuple(cancellations))
+        )
         url = f"http://{vm.host}:{vm.dispatch_port}{peers.CANCELS_PATH}"
         try:
-            reply = await self._world.peers.call(
-                "POST", url, body, headers=self._world.auth.headers(body)
+            response = await self._context.peers.call(
+                "POST", url, body, headers=self._context.auth.headers(body)
             )
-            answer = codec.decode(messages.CancelsAnswer, reply.body)
-            taken = answer.taken == len(orders)
+            answer = codec.decode(messages.CancelsAnswer, response.body)
+            accepted = answer.taken == len(cancellations)
         except (peer_client.PeerError, codec.CodecError):
-            taken = False
-        event = "cancels_handed_over" if taken else "cancels_lost"
-        self._world.log.event(event, to=vm.id, count=len(orders))
+            accepted = False
+        event = "cancels_handed_over" if accepted else "cancels_lost"
+        self._context.log.event(event, to=vm.id, count=len(cancellations))
 
-    def _note_pending(self) -> None:
-        self._world.metrics.pending_cancels.set({}, self._book.pending)
+    def _update_pending_gauge(self) -> None:
+        self._context.metrics.pending_cancels.set({}, self._queue.pending)
--- a/src/cowsliprill/dispatch/errors.py
+++ b/src/cowsliprill/dispatch/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the dispatch process."""
+"""Exceptions of the dispatch process."""
 
 from cowsliprill import errors
 
 
 class DispatchError(errors.CowsliprillError):
-    """Base of the errors of the dispatch process."""
+    """Base class of the errors of the dispatch process."""
 
     code = "dispatch_failed"
 
 
-class InvalidAskError(DispatchError):
-    """Raised for a message of a peer that can't be used."""
+class InvalidMessageError(DispatchError):
+    """Raised when a message from a peer is invalid."""
 
     code = "invalid_message"
--- a/src/cowsliprill/dispatch/handlers.py
+++ b/src/cowsliprill/dispatch/handlers.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of the dispatch process: peers' messages in and out."""
+"""HTTP handlers of the dispatch process for messages from peers."""
 
 import asyncio
 
@@ -15,64 +15,66 @@
 
 
 class SlotsHandler(_PeerHandler):
-    """`POST /v1/slots`."""
+    """Handles `POST /v1/slots`, a long poll for slot leases."""
 
     def initialize(
         self, auth: peer_auth.PeerAuth, desk: slot_desk.SlotDesk
     ) -> None:
-        """Keeps what the handler needs.
+        """Stores the dependencies of the handler.
 
         Args:
-          auth: Signs and checks bodies.
-          desk: The desk that answers.
+          auth: Signs and verifies message bodies.
+          desk: Server that grants the slot leases.
         """
         super().initialize(auth)
-        self._desk = desk
-        self._task: asyncio.Task | None = None
-        self._gone = False
+        self._lease_server = desk
+        self._response_task: asyncio.Task | None = None
+        self._connection_closed = False
 
     async def post(self) -> None:
-        """Answers asks, perhaps after a wait."""
+        """Responds with slot grants, possibly after a long-poll wait."""
         request = self.read(messages.SlotsRequest)
         if request is None:
             return
-        self._task = asyncio.ensure_future(self._desk.answer(request))
+        self._response_task = asyncio.ensure_future(
+            self._lease_server.handle(request)
+        )
         try:
-            self.answer(await self._task)
+            self.answer(await self._response_task)
         except errors_lib.CowsliprillError as error:
             self.refuse(400, error.code, error.message)
         except asyncio.CancelledError:
-            if not self._gone:
+            if not self._connection_closed:
                 raise
 
     def on_connection_close(self) -> None:
-        """Stops the wait of an entry that is gone.
+        """Cancels the long poll of an entry process that has disconnected.
 
-        The wait states the entry's wants again and again; for a dead entry
-        that would hold slots which nobody will use.
+        A long poll keeps requesting slots on behalf of its entry process. For
+        a dead process, that would lease slots which stay unused.
         """
-        self._gone = True
-        if self._task is not None:
-            self._task.cancel()
+        self._connection_closed = True
+        if self._response_task is not None:
+            self._response_task.cancel()
 
 
 class CancelsHandler(_PeerHandler):
-    """`POST /v1/cancels`."""
+    """Handles `POST /v1/cancels`, the handover of pending cancellations."""
 
     def initialize(
         self, auth: peer_auth.PeerAuth, canceller: canceller_lib.Canceller
     ) -> None:
-        """Keeps what the handler needs.
+        """Stores the dependencies of the handler.
 
         Args:
-          auth: Signs and checks bodies.
-          canceller: Owner of the orders.
+          auth: Signs and verifies message bodies.
+          canceller: Queue that takes over the cancellations.
         """
         super().initialize(auth)
         self._canceller = canceller
 
     def post(self) -> None:
-        """Takes over cancel orders of a process that leaves."""
+        """Takes over the pending cancellations of a process that stops."""
         request = self.read(messages.CancelsRequest)
         if request is None:
             return
--- a/src/cowsliprill/dispatch/homes.py
+++ b/src/cowsliprill/dispatch/homes.py
@@ -1,6 +1,7 @@
-"""The slot ledgers of the endpoints whose home this VM is.
+"""Slot ledgers of the endpoints that this VM coordinates.
 
-Owned by the dispatch process' event loop; nothing else touches a ledger.
+The ledgers belong to the event loop of the dispatch process and aren't
+thread-safe.
 """
 
 import dataclasses
@@ -11,174 +12,185 @@
 from cowsliprill.decisions import shares
 from cowsliprill.decisions import slots
 from cowsliprill.dispatch import prefix_feed
-from cowsliprill.dispatch import settling as settling_lib
+from cowsliprill.dispatch import settling as reclaim_lib
 from cowsliprill.engines import model as engine_model
 
 
 @dataclasses.dataclass(slots=True)
-class Home:
-    """One endpoint that is homed here.
+class CoordinatedEndpoint:
+    """State of one endpoint that this VM coordinates.
 
     Attributes:
-      endpoint: The endpoint as the settings describe it.
+      endpoint: The endpoint as configured in the settings.
       ledger: Its slot leases.
-      settling: What was stated since this process became its home, until the
-        forerunner's leases are over or known; None from then on.
-      reported_at: When its newest load report was read.
-      load: Its newest load report, None before the first.
-      prefixes: What is known of its prefix cache.
+      reclaim: Slot demands received since this process became coordinator;
+        None once all leases of the previous coordinator are known or expired.
+      load_read_at: When the newest load report was requested, in seconds.
+      load_report: Newest load report, None before the first.
+      prefix_changes: Changes of its prefix cache.
     """
 
     endpoint: model.Endpoint
     ledger: slots.SlotLedger
-    settling: settling_lib.Settling | None
-    reported_at: float
-    load: engine_model.LoadReport | None = None
-    prefixes: prefix_feed.PrefixFeed = dataclasses.field(
-        default_factory=prefix_feed.PrefixFeed
+    reclaim: reclaim_lib.ReclaimPeriod | None
+    load_read_at: float
+    load_report: engine_model.LoadReport | None = None
+    prefix_changes: prefix_feed.PrefixChangeLog = dataclasses.field(
+        default_factory=prefix_feed.PrefixChangeLog
     )
 
 
 class Homes:
-    """Which endpoints are homed here, and their ledgers.
+    """The endpoints that this VM coordinates, with their slot ledgers.
 
     Args:
       vm_id: Id of this VM.
+
+    Attributes:
+      by_id: State of each coordinated endpoint, by its id.
     """
 
     def __init__(self, vm_id: str) -> None:
         self._vm_id = vm_id
-        self._map = home_map.HomeMap()
-        self._entries_by_vm: dict[str, int] = {}
-        self.by_endpoint: dict[str, Home] = {}
+        self._coordinator_map = home_map.HomeMap()
+        self._entry_count_by_vm: dict[str, int] = {}
+        self.by_id: dict[str, CoordinatedEndpoint] = {}
 
     def update(
         self, snapshot: model.Snapshot, fleet: model.Fleet, now: float
     ) -> None:
-        """Takes new settings or a new VM list.
+        """Applies new settings or a new VM list.
 
         Args:
           snapshot: The settings in force.
           fleet: The VM list.
-          now: Time, seconds.
+          now: Current time in seconds.
         """
-        self._map.update(fleet.vms_by_id.values())
-        self._map.keep_only(snapshot.endpoints_by_id)
-        self._entries_by_vm = {
+        self._coordinator_map.update(fleet.vms_by_id.values())
+        self._coordinator_map.keep_only(snapshot.endpoints_by_id)
+        self._entry_count_by_vm = {
             vm.id: len(vm.entry_ports)
             for vm in fleet.vms_by_id.values()
             if vm.role is model.VmRole.ENTRY
         }
         shares_by_customer = shares.Shares(snapshot.customers_by_id)
-        kept = {}
+        states_by_id = {}
         for endpoint in snapshot.endpoints_by_id.values():
             if endpoint.kind is model.EndpointKind.PLAIN:
                 continue
-            if not self.is_here(endpoint.id):
+            if not self.is_coordinator_of(endpoint.id):
                 continue
-            home = self._kept_or_new(endpoint, now)
-            home.ledger.shares_by_customer = shares_by_customer
-            kept[endpoint.id] = home
-        self.by_endpoint = kept
-
-    def is_here(self, endpoint_id: str) -> bool:
-        """Returns whether the newest VM list makes this VM the home."""
-        vm = self._map.home_of(endpoint_id)
+            state = self._keep_or_create(endpoint, now)
+            state.ledger.shares_by_customer = shares_by_customer
+            states_by_id[endpoint.id] = state
+        self.by_id = states_by_id
+
+    def is_coordinator_of(self, endpoint_id: str) -> bool:
+        """Returns whether this VM coordinates an endpoint.
+
+        The newest VM list decides.
+        """
+        vm = self._coordinator_map.home_of(endpoint_id)
         return vm is not None and vm.id == self._vm_id
 
-    def ask(
-        self, entry: str, ask: messages.SlotAsk, now: float
+    def process_demand(
+        self, entry: str, demand: messages.SlotAsk, now: float
     ) -> messages.SlotGrant | None:
-        """Answers one ask.
+        """Processes the slot demand of an entry process for one endpoint.
 
         Args:
-          entry: Incarnation of the asking entry process.
-          ask: Its statement.
-          now: Time, seconds.
+          entry: Incarnation of the entry process.
+          demand: Its slot demand.
+          now: Current time in seconds.
 
         Returns:
-          The grant, or None if the endpoint isn't homed here.
+          The grant, or None if this VM doesn't coordinate the endpoint.
         """
-        home = self.by_endpoint.get(ask.endpoint_id)
-        if home is None:
+        state = self.by_id.get(demand.endpoint_id)
+        if state is None:
             return None
-        if home.settling is not None:
-            home.settling.note(entry, ask)
-            self._settle_if_possible(home, now)
-        return home.ledger.ask(entry, ask, now)
+        if state.reclaim is not None:
+            state.reclaim.record(entry, demand)
+            self._end_reclaim_if_complete(state, now)
+        return state.ledger.ask(entry, demand, now)
 
     def regrant(self, now: float) -> list[tuple[str, messages.SlotGrant]]:
-        """Finds the entries that should hear from this home unasked.
+        """Returns the grants to push to entry processes with long polls.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          Pairs of entry and its present grant.
+          Pairs of entry process and its current grant.
         """
         changed = []
-        for home in self.by_endpoint.values():
-            changed.extend(home.ledger.regrant(now))
+        for state in self.by_id.values():
+            changed.extend(state.ledger.regrant(now))
         return changed
 
-    def with_news(
+    def with_endpoint_updates(
         self, entry: str, grant: messages.SlotGrant, now: float
     ) -> messages.SlotGrant:
-        """Adds to a grant what the home has learned of the endpoint.
+        """Adds load report age and prefix cache updates to a grant.
 
         Args:
-          entry: Who gets the grant.
+          entry: Incarnation of the entry process that receives the grant.
           grant: The grant.
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          The grant with age of the load report and news of cached prefixes.
+          A copy of the grant with the updates, or the grant itself if this VM
+          doesn't coordinate the endpoint.
         """
-        home = self.by_endpoint.get(grant.endpoint_id)
-        if home is None:
+        state = self.by_id.get(grant.endpoint_id)
+        if state is None:
             return grant
-        news = home.prefixes.news_for(entry)
+        update = state.prefix_changes.update_for(entry)
         return dataclasses.replace(
             grant,
-            report_age_s=now - home.reported_at,
-            prefix_hashes=news.stored,
-            prefix_hashes_gone=news.gone,
-            prefix_epoch=news.epoch,
+            report_age_s=now - state.load_read_at,
+            prefix_hashes=update.stored,
+            prefix_hashes_gone=update.evicted,
+            prefix_epoch=update.epoch,
         )
 
-    def unsettled(self, endpoint_id: str, now: float) -> bool:
-        """Returns whether an endpoint is homed here since a short time only."""
-        home = self.by_endpoint.get(endpoint_id)
-        if home is None or home.settling is None:
+    def is_reclaiming(self, endpoint_id: str, now: float) -> bool:
+        """Returns whether an endpoint is in its reclaim period."""
+        state = self.by_id.get(endpoint_id)
+        if state is None or state.reclaim is None:
             return False
-        return now < home.settling.ends_at
+        return now < state.reclaim.ends_at
 
     def next_expiry(self) -> float | None:
-        """Returns when the next lease of any endpoint runs out."""
-        times = [
-            home.ledger.next_expiry() for home in self.by_endpoint.values()
-        ]
+        """Returns when the next lease of any endpoint expires, if any."""
+        times = [state.ledger.next_expiry() for state in self.by_id.values()]
         return min((at for at in times if at is not None), default=None)
 
-    def _kept_or_new(self, endpoint: model.Endpoint, now: float) -> Home:
-        home = self.by_endpoint.get(endpoint.id)
-        if home is not None and home.endpoint.slots == endpoint.slots:
-            home.endpoint = endpoint
-            return home
-        settling = settling_lib.Settling(now)
+    def _keep_or_create(
+        self, endpoint: model.Endpoint, now: float
+    ) -> CoordinatedEndpoint:
+        state = self.by_id.get(endpoint.id)
+        if state is not None and state.endpoint.slots == endpoint.slots:
+            state.endpoint = endpoint
+            return state
+        reclaim = reclaim_lib.ReclaimPeriod(now)
         ledger = slots.SlotLedger(
-            endpoint.id, endpoint.slots, silent_until=settling.ends_at
+            endpoint.id, endpoint.slots, silent_until=reclaim.ends_at
         )
-        return Home(endpoint, ledger, settling, reported_at=now)
-
-    def _settle_if_possible(self, home: Home, now: float) -> None:
-        settling = home.settling
-        assert settling is not None
-        if now >= settling.ends_at:
-            home.settling = None
-        elif settling.has_heard_all(self._entries_by_vm):
-            shares_by_customer = home.ledger.shares_by_customer
-            endpoint = home.endpoint
-            home.ledger = settling.ledger(endpoint.id, endpoint.slots, now)
-            home.ledger.shares_by_customer = shares_by_customer
-            home.settling = None
+        return CoordinatedEndpoint(endpoint, ledger, reclaim, load_read_at=now)
+
+    def _end_reclaim_if_complete(
+        self, state: CoordinatedEndpoint, now: float
+    ) -> None:
+        reclaim = state.reclaim
+        assert reclaim is not None
+        if now >= reclaim.ends_at:
+            state.reclaim = None
+        elif reclaim.is_complete(self._entry_count_by_vm):
+            shares_by_customer = state.ledger.shares_by_customer
+            endpoint = state.endpoint
+            state.ledger = reclaim.build_ledger(
+                endpoint.id, endpoint.slots, now
+            )
+            state.ledger.shares_by_customer = shares_by_customer
+            state.reclaim = None
--- a/src/cowsliprill/dispatch/messages.py
+++ b/src/cowsliprill/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""Messages that the dispatch process takes from peers and gives to them."""
+"""Wire messages that the dispatch process exchanges with its peers."""
 
 import dataclasses
 
@@ -8,13 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SlotsRequest:
-    """Body of `POST /v1/slots`.
+    """Request body of `POST /v1/slots`.
 
     Attributes:
-      entry: Incarnation of the asking entry process.
-      asks: Its standing with each endpoint that it uses of this home.
-      wait_s: How long the home may hold the answer back while it can grant
-        nothing beyond what is in use.
+      entry: Incarnation of the requesting entry process.
+      asks: Its slot demand for each endpoint that it uses and that the
+        receiving VM coordinates.
+      wait_s: How long the coordinator may delay the response while it can
+        grant nothing beyond the slots in use, in seconds (long poll).
     """
 
     entry: str
@@ -24,25 +25,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class WireGrant:
-    """A `messages.SlotGrant` with the time left in place of a time.
+    """A `messages.SlotGrant` with a duration in place of its expiry time.
 
-    The two processes' clocks count from different boots.
+    Monotonic clocks of two VMs start at different boots, so an absolute time
+    of one means nothing to the other.
 
     Attributes:
-      endpoint_id: The endpoint.
-      slots: Slots that the entry holds in all.
-      expires_in_s: Length of the lease, which the entry counts from when it
-        sent the ask. Counted from the answer's arrival, an answer that lay in
-        a buffer while the entry was paused would give a lease that ran out
-        long ago.
-      report_age_s: Age of the endpoint's load report, seconds.
-      waiting: Asks that the home could not meet.
-      prefix_hashes: Prefix blocks newly known to be cached there.
-      prefix_hashes_gone: Prefix blocks newly known to be evicted there.
-      prefix_epoch: Another number than before means that earlier news of
-        prefixes may be stale.
-      used: Slots of the endpoint in use by all entries, as last stated.
-      sequence: The `SlotAsk.sequence` that this answers.
+      endpoint_id: Id of the endpoint.
+      slots: Total number of slots that the entry process holds.
+      expires_in_s: Duration of the lease in seconds, counted by the entry
+        process from the time at which it sent the request. Counted from the
+        arrival of the response, a response that lay in a buffer while the
+        entry process was paused would confer a lease that expired long ago.
+      report_age_s: Age of the endpoint's load report in seconds.
+      waiting: Number of requests of other entry processes that lack a slot.
+      prefix_hashes: Prefix blocks that have been cached since the last update.
+      prefix_hashes_gone: Prefix blocks that have been evicted since the last
+        update.
+      prefix_epoch: Changes when earlier prefix updates may be stale.
+      used: Slots in use by all entry processes, as last reported by them.
+      sequence: `SlotAsk.sequence` of the demand that this grant answers.
     """
 
     endpoint_id: str
@@ -59,15 +61,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SlotsAnswer:
-    """Answer of `POST /v1/slots`.
+    """Response body of `POST /v1/slots`.
 
     Attributes:
-      grants: One for each asked endpoint that is homed here.
-      not_home: Asked endpoints that are not; the asker's VM list and this
-        one's differ, and the asker looks for the home anew.
-      unsettled: Asked endpoints that this process is home to only since less
-        than a lease time. It can't grant slots which its forerunner may have
-        leased; the asker keeps to its fall-back share meanwhile.
+      grants: One grant for each requested endpoint that this VM coordinates.
+      not_home: Requested endpoints that this VM doesn't coordinate. The VM
+        lists of the two processes differ, and the requester looks up the
+        coordinator again.
+      unsettled: Requested endpoints whose reclaim period isn't over: this
+        process became their coordinator less than a lease duration ago and
+        can't grant slots that the previous coordinator may have leased. The
+        requester uses its fallback slots meanwhile.
     """
 
     grants: tuple[WireGrant, ...] = ()
@@ -77,10 +81,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CancelsRequest:
-    """Body of `POST /v1/cancels`.
+    """Request body of `POST /v1/cancels`.
 
     Attributes:
-      cancels: Orders that the sender could not get acknowledged.
+      cancels: Cancellations that no engine has acknowledged to the sender.
     """
 
     cancels: tuple[cancels.CancelOrder, ...]
@@ -88,10 +92,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CancelsAnswer:
-    """Answer of `POST /v1/cancels`.
+    """Response body of `POST /v1/cancels`.
 
     Attributes:
-      taken: How many orders were taken over.
+      taken: Number of cancellations that were queued.
     """
 
     taken: int
--- a/src/cowsliprill/dispatch/orderer.py
+++ b/src/cowsliprill/dispatch/orderer.py
@@ -1,4 +1,4 @@
-"""Gives the homed engines their orders and reads back what became of them."""
+"""Sends target orders to the coordinated engines and reads back their state."""
 
 import asyncio
 import dataclasses
@@ -6,98 +6,104 @@
 from cowsliprill import clock
 from cowsliprill.decisions import fencing
 from cowsliprill.decisions import model
-from cowsliprill.dispatch import world as world_lib
+from cowsliprill.dispatch import world as context_lib
 from cowsliprill.dispatch import zone as zone_lib
 from cowsliprill.engines import errors as engine_errors
 
-_TURN_S = 0.25
+_INTERVAL_S = 0.25
 
 
-class Orderer:
-    """Owns the order book of the engines homed here.
+class OrderSender:
+    """I/O layer of the target reconciler of the coordinated engines.
 
     Args:
-      world: What the tasks share.
-      zone: Asks the zone's other VMs.
+      context: Shared state and clients of the process.
+      zone_monitor: Queries the other entry VMs of the availability zone.
     """
 
-    def __init__(self, world: world_lib.World, zone: zone_lib.Zone) -> None:
-        self._world = world
-        self._zone = zone
-        self._book = fencing.OrderBook(clock.now())
-        self._holds_by_endpoint: dict[str, fencing.Hold] = {}
+    def __init__(
+        self,
+        context: context_lib.DispatchContext,
+        zone_monitor: zone_lib.ZoneMonitor,
+    ) -> None:
+        self._context = context
+        self._zone_monitor = zone_monitor
+        self._reconciler = fencing.OrderBook(clock.now())
+        self._hold_reason_by_endpoint: dict[str, fencing.Hold] = {}
 
     def update(self) -> None:
-        """Takes new settings, or other homes, from the world."""
-        self._book.see_engines(
-            self._world.follower.snapshot.revision,
-            self._world.homed_endpoints(),
+        """Applies new settings or a changed set of coordinated engines."""
+        self._reconciler.see_engines(
+            self._context.follower.snapshot.revision,
+            self._context.coordinated_engines(),
         )
 
     def status(self) -> dict[str, str]:
-        """Returns why orders are held, by endpoint."""
-        return dict(self._holds_by_endpoint)
+        """Returns why orders are held back, by endpoint id."""
+        return dict(self._hold_reason_by_endpoint)
 
     async def run(self) -> None:
-        """Reads back and orders, until cancelled."""
-        pulse = asyncio.create_task(self._keep_looking())
+        """Reads back engine state and sends orders, until cancelled."""
+        pause_detector = asyncio.create_task(self._detect_pauses())
         try:
             while True:
-                await self._turn()
-                await asyncio.sleep(_TURN_S)
+                await self._reconcile()
+                await asyncio.sleep(_INTERVAL_S)
         finally:
-            pulse.cancel()
+            pause_detector.cancel()
 
-    async def _keep_looking(self) -> None:
-        # Of its own, since a turn waits for engines: a slow engine must not
-        # look like a pause of this process.
+    async def _detect_pauses(self) -> None:
+        # A separate task, since reconciling waits for engines: a slow engine
+        # must not look like a pause of this process.
         while True:
-            if self._book.look(clock.now()):
-                self._world.log.warning("woke_from_pause")
-                self._world.count("woke_from_pause")
-            await asyncio.sleep(_TURN_S)
-
-    async def _turn(self) -> None:
-        to_read = self._book.to_read(clock.now())
-        await asyncio.gather(*(self._read_back(each) for each in to_read))
-        wanted = self._book.wanted(clock.now())
-        wanted_ids = {order.endpoint_id for order in wanted}
-        self._holds_by_endpoint = {
-            endpoint_id: hold
-            for endpoint_id, hold in self._holds_by_endpoint.items()
-            if endpoint_id in wanted_ids
+            if self._reconciler.look(clock.now()):
+                self._context.log.warning("woke_from_pause")
+                self._context.count("woke_from_pause")
+            await asyncio.sleep(_INTERVAL_S)
+
+    async def _reconcile(self) -> None:
+        due_ids = self._reconciler.to_read(clock.now())
+        await asyncio.gather(*(self._read_back(each) for each in due_ids))
+        orders = self._reconciler.wanted(clock.now())
+        ordered_ids = {order.endpoint_id for order in orders}
+        self._hold_reason_by_endpoint = {
+            endpoint_id: reason
+            for endpoint_id, reason in self._hold_reason_by_endpoint.items()
+            if endpoint_id in ordered_ids
         }
-        for order in wanted:
+        for order in orders:
             await self._send_if_allowed(order)
 
     async def _read_back(self, endpoint_id: str) -> None:
-        endpoint = self._world.endpoint(endpoint_id)
+        endpoint = self._context.endpoint(endpoint_id)
         if endpoint is None:
             return
-        asked_at = clock.now()
+        requested_at = clock.now()
         try:
-            answer = await self._world.engines.read_order(endpoint)
+            reported = await self._context.engines.read_order(endpoint)
         except engine_errors.CallError as error:
-            self._book.see_read_back(endpoint_id, None, asked_at)
-            await self._world.note_failure(endpoint, error)
+            self._reconciler.see_read_back(endpoint_id, None, requested_at)
+            await self._context.report_if_draining(endpoint, error)
             return
-        read = fencing.ReadBack(fencing=answer.fencing, target=answer.target)
-        self._book.see_read_back(endpoint_id, read, asked_at)
+        read_back = fencing.ReadBack(
+            fencing=reported.fencing, target=reported.target
+        )
+        self._reconciler.see_read_back(endpoint_id, read_back, requested_at)
 
     async def _send_if_allowed(self, order: fencing.Order) -> None:
-        zone = await self._zone.ask_if_older()
-        # Nothing may be awaited between this check and the call: whatever
-        # happens meanwhile would not be checked.
-        hold = self._book.hold(
+        zone_report = await self._zone_monitor.query_if_stale()
+        # There must be no await between this check and the start of the call:
+        # a change in between would go unchecked.
+        hold_reason = self._reconciler.hold(
             order,
-            is_home=self._world.is_home(order.endpoint_id),
-            zone=zone,
+            is_home=self._context.is_coordinator_of(order.endpoint_id),
+            zone=zone_report,
             now=clock.now(),
         )
-        if hold is not None:
-            self._note_hold(order, hold)
+        if hold_reason is not None:
+            self._record_hold(order, hold_reason)
             return
-        endpoint = self._world.endpoint(order.endpoint_id)
+        endpoint = self._context.endpoint(order.endpoint_id)
         if endpoint is not None:
             await self._send(order, endpoint)
 
@@ -106,23 +112,23 @@
     ) -> None:
         outcome = "taken"
         try:
-            await self._world.engines.order(
+            await self._context.engines.order(
                 endpoint, order.fencing, order.target
             )
         except engine_errors.StaleFencing as error:
-            self._book.see_fencing(order.endpoint_id, error.highest)
+            self._reconciler.see_fencing(order.endpoint_id, error.highest)
             outcome = "stale_fencing"
         except engine_errors.CallError as error:
             outcome = error.code
-        self._book.sent(order, clock.now())
-        self._world.count(f"order_{outcome}")
-        self._world.log.event(
+        self._reconciler.sent(order, clock.now())
+        self._context.count(f"order_{outcome}")
+        self._context.log.event(
             "order_sent",
             endpoint=order.endpoint_id,
             fencing=order.fencing,
             outcome=outcome,
         )
-        await self._world.follower.audit(
+        await self._context.follower.audit(
             {
                 "action": "order_sent",
                 "endpoint": order.endpoint_id,
@@ -132,14 +138,16 @@
             }
         )
 
-    def _note_hold(self, order: fencing.Order, hold: fencing.Hold) -> None:
-        if self._holds_by_endpoint.get(order.endpoint_id) is hold:
+    def _record_hold(
+        self, order: fencing.Order, hold_reason: fencing.Hold
+    ) -> None:
+        if self._hold_reason_by_endpoint.get(order.endpoint_id) is hold_reason:
             return
-        self._holds_by_endpoint[order.endpoint_id] = hold
-        self._world.count(f"order_held_{hold}")
-        self._world.log.event(
+        self._hold_reason_by_endpoint[order.endpoint_id] = hold_reason
+        self._context.count(f"order_held_{hold_reason}")
+        self._context.log.event(
             "order_held",
             endpoint=order.endpoint_id,
             fencing=order.fencing,
-            reason=hold,
+            reason=hold_reason,
         )
--- a/src/cowsliprill/dispatch/pace.py
+++ b/src/cowsliprill/dispatch/pace.py
@@ -1,25 +1,23 @@
-"""How often the home asks its engines, so that control stays within bounds."""
+"""Polling interval that keeps the traffic within a byte-rate budget."""
 
 
-def interval_s(
+def poll_interval_s(
     round_bytes: int,
     *,
     bytes_per_s: int,
-    shortest_s: float,
-    longest_s: float,
+    min_interval_s: float,
+    max_interval_s: float,
 ) -> float:
-    """Works out the time between two rounds of questions.
+    """Returns the interval between two polling rounds, in seconds.
 
-    A small site gets fresh answers; a home with many busy engines asks less
-    often instead of exceeding its share of the control budget.
+    A small site is polled often and has fresh data; a coordinator of many busy
+    engines polls less often instead of exceeding its share of the budget for
+    control traffic.
 
     Args:
-      round_bytes: Bytes on the wire of one round.
-      bytes_per_s: What the rounds may cost on average.
-      shortest_s: Lower bound.
-      longest_s: Upper bound.
-
-    Returns:
-      Seconds.
+      round_bytes: Bytes on the wire in one round.
+      bytes_per_s: Average byte rate that the rounds may use.
+      min_interval_s: Lower limit of the interval, in seconds.
+      max_interval_s: Upper limit of the interval, in seconds.
     """
-    return min(max(round_bytes / bytes_per_s, shortest_s), longest_s)
+    return min(max(round_bytes / bytes_per_s, min_interval_s), max_interval_s)
--- a/src/cowsliprill/dispatch/port_probe.py
+++ b/src/cowsliprill/dispatch/port_probe.py
@@ -1,4 +1,4 @@
-"""Tells a port on which nothing listens from a host that can't be reached."""
+"""TCP probe that distinguishes a closed port from an unreachable host."""
 
 from tornado import iostream
 from tornado import tcpclient
@@ -8,16 +8,17 @@
 _TIMEOUT_S = 1.0
 
 
-async def reply_of(host: str, port: int) -> orphans.PortReply:
-    """Opens a connection and closes it at once.
+async def probe(host: str, port: int) -> orphans.PortReply:
+    """Opens a TCP connection and closes it at once.
 
     Args:
-      host: IP number.
+      host: IP address.
       port: TCP port.
 
     Returns:
-      Refused if the host's kernel said that nothing listens, else silent; a
-      connection that comes about proves nothing about who is behind it.
+      `Refused` if the host's kernel refused the connection because nothing
+      listens on the port, else `Silent`. A successful connection is `Silent`
+      too: it doesn't identify the process that listens.
     """
     client = tcpclient.TCPClient()
     try:
--- a/src/cowsliprill/dispatch/prefix_feed.py
+++ b/src/cowsliprill/dispatch/prefix_feed.py
@@ -1,7 +1,7 @@
-"""What an engine's cache events say, and which entry was told what.
+"""Change log of an engine's prefix cache, with a cursor per entry process.
 
-Events come late and with gaps. A stale belief costs only a prefill that is
-longer than planned, so nothing here is exact; everything is bounded.
+Cache events arrive late and some are lost, so the log is approximate: stale
+information only costs a longer prefill than planned. All sizes are bounded.
 """
 
 import collections
@@ -10,89 +10,93 @@
 
 from cowsliprill.engines import model as engine_model
 
-NEWS_MAX = 16
-_LOG_MAX = 4_096
-_ENTRIES_MAX = 4_096
+MAX_BLOCKS_PER_UPDATE = 16
+_MAX_LOGGED_CHANGES = 4_096
+_MAX_CURSORS = 4_096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
-    """What an entry has not been told yet.
+class PrefixUpdate:
+    """Changes of the prefix cache that an entry process hasn't received yet.
 
     Attributes:
-      stored: Blocks that are cached now.
-      gone: Blocks that are no longer cached.
-      epoch: Another one than before means that all earlier news may be stale.
+      stored: Blocks that have been cached.
+      evicted: Blocks that are no longer cached.
+      epoch: Changes when all earlier updates may be stale.
     """
 
     stored: tuple[int, ...] = ()
-    gone: tuple[int, ...] = ()
+    evicted: tuple[int, ...] = ()
     epoch: int = 0
 
 
-class PrefixFeed:
-    """One engine's cached prefix blocks.
+class PrefixChangeLog:
+    """Recent changes of the prefix blocks that one engine has cached.
 
     Attributes:
-      last_seq: Number of the last event read.
-      epoch: Rises whenever earlier events may be stale.
+      last_seq: Sequence number of the last event applied.
+      epoch: Increases whenever earlier events may be stale.
     """
 
     def __init__(self) -> None:
         self.last_seq = 0
         self.epoch = 1
         self._log: collections.deque[tuple[int, bool]] = collections.deque(
-            maxlen=_LOG_MAX
+            maxlen=_MAX_LOGGED_CHANGES
         )
-        self._logged = 0
-        self._told_by_entry: dict[str, int] = {}
+        self._total_logged = 0
+        self._cursor_by_entry: dict[str, int] = {}
 
-    def take(self, events: engine_model.CacheEvents) -> None:
-        """Takes events read from the engine.
+    def apply(self, events: engine_model.CacheEvents) -> None:
+        """Applies cache events read from the engine.
 
         Args:
-          events: In order. With a gap, a removal may be among the missing
-            ones, so that whatever was believed before is forgotten.
+          events: Events in order. After a gap the log is reset, since an
+            eviction may be among the missing events.
         """
         if events.gap:
-            self.forget()
+            self.reset()
         self.last_seq = events.last_seq
         for event in events.events:
             stored = event.kind is engine_model.CacheEventKind.STORED
             self._log.append((event.block, stored))
-            self._logged += 1
+            self._total_logged += 1
 
-    def forget(self) -> None:
-        """Forgets everything, for example when the engine has restarted."""
+    def reset(self) -> None:
+        """Drops all changes, for example after a restart of the engine."""
         self.epoch += 1
         self._log.clear()
-        self._told_by_entry.clear()
+        self._cursor_by_entry.clear()
 
-    def news_for(self, entry: str) -> News:
-        """Returns what an entry has not been told yet, a little at a time.
+    def update_for(self, entry: str) -> PrefixUpdate:
+        """Returns the next changes for an entry process, advancing its cursor.
 
         Args:
           entry: Incarnation of the entry process.
 
         Returns:
-          At most `NEWS_MAX` blocks.
+          At most `MAX_BLOCKS_PER_UPDATE` blocks.
         """
-        first = self._logged - len(self._log)
-        told = max(self._told_by_entry.get(entry, first), first)
-        end = min(told + NEWS_MAX, self._logged)
-        if len(self._told_by_entry) >= _ENTRIES_MAX:
-            self._told_by_entry.clear()
-        self._told_by_entry[entry] = end
-        fresh = itertools.islice(self._log, told - first, end - first)
-        stored_by_block = dict(fresh)
-        return News(
+        log_start = self._total_logged - len(self._log)
+        cursor = max(self._cursor_by_entry.get(entry, log_start), log_start)
+        end = min(cursor + MAX_BLOCKS_PER_UPDATE, self._total_logged)
+        if len(self._cursor_by_entry) >= _MAX_CURSORS:
+            self._cursor_by_entry.clear()
+        self._cursor_by_entry[entry] = end
+        unsent = itertools.islice(
+            self._log, cursor - log_start, end - log_start
+        )
+        stored_by_block = dict(unsent)
+        return PrefixUpdate(
             stored=_blocks(stored_by_block, True),
-            gone=_blocks(stored_by_block, False),
+            evicted=_blocks(stored_by_block, False),
             epoch=self.epoch,
         )
 
 
 def _blocks(stored_by_block: dict[int, bool], stored: bool) -> tuple[int, ...]:
     return tuple(
-        block for block, kept in stored_by_block.items() if kept is stored
+        block
+        for block, is_stored in stored_by_block.items()
+        if is_stored is stored
     )
--- a/src/cowsliprill/dispatch/process.py
+++ b/src/cowsliprill/dispatch/process.py
@@ -1,4 +1,4 @@
-"""The dispatch process: home of some of the fleet's engines."""
+"""Dispatch process: coordinates a part of the fleet's engines."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 from cowsliprill.dispatch import canceller as canceller_lib
 from cowsliprill.dispatch import handlers
 from cowsliprill.dispatch import homes as homes_lib
-from cowsliprill.dispatch import orderer as orderer_lib
-from cowsliprill.dispatch import reporter as reporter_lib
+from cowsliprill.dispatch import orderer as order_sender_lib
+from cowsliprill.dispatch import reporter as load_poller_lib
 from cowsliprill.dispatch import slot_desk
-from cowsliprill.dispatch import sweeper as sweeper_lib
-from cowsliprill.dispatch import world as world_lib
+from cowsliprill.dispatch import sweeper as orphan_reaper_lib
+from cowsliprill.dispatch import world as context_lib
 from cowsliprill.dispatch import zone as zone_lib
 from cowsliprill.engines import engine_client
 from cowsliprill.engines import http_client
@@ -26,16 +26,16 @@
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.settings import follower as follower_lib
 
-_RESTART_S = 0.5
+_TASK_RESTART_DELAY_S = 0.5
 
 
-class Dispatch:
-    """The parts of one dispatch process.
+class DispatchProcess:
+    """Builds, starts and stops the components of a dispatch process.
 
     Args:
-      environment: What the process was told about itself.
-      log: Its log.
-      metrics: Its metrics.
+      environment: Environment file of this process.
+      log: Log of the process.
+      metrics: Metrics of the process.
     """
 
     def __init__(
@@ -45,139 +45,146 @@
         metrics: metrics_lib.Metrics,
     ) -> None:
         client = peer_client.PeerClient()
-        self._http = http_client.HttpClient()
-        self._world = world_lib.World(
+        self._http_client = http_client.HttpClient()
+        self._context = context_lib.DispatchContext(
             environment=environment,
             follower=follower_lib.Follower(environment, client, log),
-            homes=homes_lib.Homes(environment.vm),
-            engines=engine_client.EngineClient(self._http),
+            coordinated=homes_lib.Homes(environment.vm),
+            engines=engine_client.EngineClient(self._http_client),
             peers=client,
             auth=peer_auth.PeerAuth(environment.peer_secret.get_secret_value()),
             log=log,
             metrics=metrics,
         )
-        self._zone = zone_lib.Zone(self._world)
-        self._canceller = canceller_lib.Canceller(self._world)
-        self._sweeper = sweeper_lib.Sweeper(
-            self._world, self._zone, self._canceller.add
+        self._zone_monitor = zone_lib.ZoneMonitor(self._context)
+        self._canceller = canceller_lib.Canceller(self._context)
+        self._orphan_reaper = orphan_reaper_lib.OrphanReaper(
+            self._context, self._zone_monitor, self._canceller.add
         )
-        self._orderer = orderer_lib.Orderer(self._world, self._zone)
-        self._reporter = reporter_lib.Reporter(self._world)
-        self._desk = slot_desk.SlotDesk(
-            self._world.homes, clock.now, self._sweeper.hear
+        self._order_sender = order_sender_lib.OrderSender(
+            self._context, self._zone_monitor
+        )
+        self._load_poller = load_poller_lib.LoadPoller(self._context)
+        self._lease_server = slot_desk.SlotDesk(
+            self._context.coordinated,
+            clock.now,
+            self._orphan_reaper.record_heartbeat,
         )
         self._tasks: list[asyncio.Task] = []
         self._stopping = False
-        self._world.follower.subscribe(self._update)
+        self._context.follower.subscribe(self._apply_cluster_state)
 
     def routes(self) -> list[tuple]:
         """Returns the tornado routes of the process."""
-        auth = self._world.auth
-        desk = {"auth": auth, "desk": self._desk}
-        canceller = {"auth": auth, "canceller": self._canceller}
+        auth = self._context.auth
+        slots_arguments = {"auth": auth, "desk": self._lease_server}
+        cancels_arguments = {"auth": auth, "canceller": self._canceller}
         return [
-            (peers.SLOTS_PATH, handlers.SlotsHandler, desk),
-            (peers.CANCELS_PATH, handlers.CancelsHandler, canceller),
+            (peers.SLOTS_PATH, handlers.SlotsHandler, slots_arguments),
+            (peers.CANCELS_PATH, handlers.CancelsHandler, cancels_arguments),
         ]
 
     def start(self) -> None:
-        """Starts the tasks."""
+        """Starts the background tasks."""
         jobs = {
-            "follower": self._world.follower.run,
-            "desk": self._desk.run,
+            "follower": self._context.follower.run,
+            "desk": self._lease_server.run,
             "canceller": self._canceller.run,
-            "sweeper": self._sweeper.run,
-            "orderer": self._orderer.run,
-            "reporter": self._reporter.run,
+            "sweeper": self._orphan_reaper.run,
+            "orderer": self._order_sender.run,
+            "reporter": self._load_poller.run,
         }
         for name, job in jobs.items():
-            task = asyncio.create_task(self._keep_running(name, job))
+            task = asyncio.create_task(self._run_supervised(name, job))
             self._tasks.append(task)
 
     async def stop(self) -> None:
-        """Hands over what is left; entries turn to the next home."""
+        """Stops the tasks, ends long polls and hands over cancellations.
+
+        Entry processes then turn to the next coordinator of each endpoint.
+        """
         self._stopping = True
         for task in self._tasks:
             task.cancel()
-        self._desk.release()
+        self._lease_server.end_long_polls()
         await self._canceller.hand_over()
-        self._world.peers.close()
-        self._http.close()
+        self._context.peers.close()
+        self._http_client.close()
 
     def unready_reason(self) -> str:
         """Returns why the process can't serve, empty if it can."""
         if self._stopping:
             return "the process is stopping"
-        if not self._world.follower.is_ready():
+        if not self._context.follower.is_ready():
             return "settings and VM list are not known yet"
         return ""
 
     def status(self) -> dict[str, Any]:
-        """Returns what `GET /v1/status` answers."""
+        """Returns the response body of `GET /v1/status`."""
         now = clock.now()
         endpoints = {
-            name: {
-                "slots": home.ledger.slots,
-                "granted": home.ledger.leased(),
-                "in_use": home.ledger.used(),
-                "waiting": home.ledger.waiting(),
-                "report_age_s": round(now - home.reported_at, 3),
+            endpoint_id: {
+                "slots": state.ledger.slots,
+                "granted": state.ledger.leased(),
+                "in_use": state.ledger.used(),
+                "waiting": state.ledger.waiting(),
+                "report_age_s": round(now - state.load_read_at, 3),
             }
-            for name, home in self._world.homes.by_endpoint.items()
+            for endpoint_id, state in self._context.coordinated.by_id.items()
         }
         return {
-            "revision": self._world.follower.snapshot.revision,
+            "revision": self._context.follower.snapshot.revision,
             "unready_reason": self.unready_reason(),
             "pending_cancels": self._canceller.pending,
-            "orders_held": self._orderer.status(),
+            "orders_held": self._order_sender.status(),
             "endpoints": endpoints,
         }
 
-    def _update(self) -> None:
-        follower = self._world.follower
-        homes = self._world.homes
-        before = set(homes.by_endpoint)
-        homes.update(follower.snapshot, follower.fleet, clock.now())
-        after = set(homes.by_endpoint)
-        if before != after:
-            self._world.log.event(
+    def _apply_cluster_state(self) -> None:
+        follower = self._context.follower
+        coordinated = self._context.coordinated
+        previous_ids = set(coordinated.by_id)
+        coordinated.update(follower.snapshot, follower.fleet, clock.now())
+        current_ids = set(coordinated.by_id)
+        if previous_ids != current_ids:
+            self._context.log.event(
                 "homes_changed",
-                gained=len(after - before),
-                lost=len(before - after),
-                homed=len(after),
+                gained=len(current_ids - previous_ids),
+                lost=len(previous_ids - current_ids),
+                homed=len(current_ids),
             )
-        self._world.metrics.revision.set({}, follower.snapshot.revision)
-        self._sweeper.update()
-        self._orderer.update()
-        self._desk.regrant()
+        self._context.metrics.revision.set({}, follower.snapshot.revision)
+        self._orphan_reaper.update()
+        self._order_sender.update()
+        self._lease_server.regrant()
 
-    async def _keep_running(
+    async def _run_supervised(
         self, name: str, job: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
-        # A fault in one task must not silently end it: the sweep would stop
-        # and engines would fill up with requests of dead entries. One would
-        # notice only when slots run out.
+        # An exception must not silently end a task. Without the orphan reaper,
+        # for example, engines would fill up with requests of dead entry
+        # processes, which would show only when slots run out.
         while True:
             try:
                 await job()
             except Exception as error:  # noqa: BLE001
-                self._world.log.error(
+                self._context.log.error(
                     "task_failed", task=name, reason=repr(error)
                 )
-                self._world.count("task_failed")
-                await asyncio.sleep(_RESTART_S)
+                self._context.count("task_failed")
+                await asyncio.sleep(_TASK_RESTART_DELAY_S)
 
 
 async def serve(environment: environment_lib.Environment) -> None:
-    """Runs the dispatch process until it is told to stop.
+    """Runs the dispatch process until a stop signal arrives.
 
     Args:
-      environment: What the process was told about itself.
+      environment: Environment file of this process.
     """
     log = log_lib.open_log(f"dispatch.{environment.vm}")
     metrics = metrics_lib.Metrics()
-    dispatch = Dispatch(environment, log, metrics)
-    shell = process.Process(
+    dispatch = DispatchProcess(environment, log, metrics)
+    runner = process.Process(
         environment,
         log,
         metrics,
@@ -185,6 +192,6 @@
         status=dispatch.status,
         drain=dispatch.stop,
     )
-    shell.listen(dispatch.routes())
+    runner.listen(dispatch.routes())
     dispatch.start()
-    await shell.run_until_stopped()
+    await runner.run_until_stopped()
--- a/src/cowsliprill/dispatch/reporter.py
+++ b/src/cowsliprill/dispatch/reporter.py
@@ -1,4 +1,4 @@
-"""Reads the homed engines' load reports and cache events."""
+"""Polls load reports and cache events of the coordinated engines."""
 
 import asyncio
 
@@ -6,70 +6,74 @@
 from cowsliprill.decisions import model
 from cowsliprill.dispatch import homes as homes_lib
 from cowsliprill.dispatch import pace
-from cowsliprill.dispatch import world as world_lib
+from cowsliprill.dispatch import world as context_lib
 from cowsliprill.engines import errors as engine_errors
 
-_BYTES_PER_S = 1_000
-_ENGINE_BYTES = 900
-_EVENT_BYTES = 60
-_SHORTEST_S = 1.0
-_LONGEST_S = 30.0
+_MAX_BYTES_PER_S = 1_000
+_LOAD_REPORT_BYTES = 900
+_CACHE_EVENT_BYTES = 60
+_MIN_INTERVAL_S = 1.0
+_MAX_INTERVAL_S = 30.0
 
 
-class Reporter:
-    """Keeps what the home knows of its engines fresh.
+class LoadPoller:
+    """Refreshes load report and prefix cache state of coordinated engines.
 
     Args:
-      world: What the tasks share.
+      context: Shared state and clients of the process.
     """
 
-    def __init__(self, world: world_lib.World) -> None:
-        self._world = world
+    def __init__(self, context: context_lib.DispatchContext) -> None:
+        self._context = context
         self._round_bytes = 0
 
     async def run(self) -> None:
-        """Reads until cancelled."""
+        """Polls all engines in rounds, until cancelled."""
         while True:
             self._round_bytes = 0
-            homes = list(self._world.homes.by_endpoint.values())
-            await asyncio.gather(*(self._read(home) for home in homes))
-            self._note_slots(homes)
+            states = list(self._context.coordinated.by_id.values())
+            await asyncio.gather(*(self._poll(each) for each in states))
+            self._update_slot_gauges(states)
             await asyncio.sleep(
-                pace.interval_s(
+                pace.poll_interval_s(
                     self._round_bytes,
-                    bytes_per_s=_BYTES_PER_S,
-                    shortest_s=_SHORTEST_S,
-                    longest_s=_LONGEST_S,
+                    bytes_per_s=_MAX_BYTES_PER_S,
+                    min_interval_s=_MIN_INTERVAL_S,
+                    max_interval_s=_MAX_INTERVAL_S,
                 )
             )
 
-    async def _read(self, home: homes_lib.Home) -> None:
-        self._round_bytes += _ENGINE_BYTES
-        asked_at = clock.now()
+    async def _poll(self, state: homes_lib.CoordinatedEndpoint) -> None:
+        self._round_bytes += _LOAD_REPORT_BYTES
+        requested_at = clock.now()
         try:
-            home.load = await self._world.engines.load(home.endpoint)
-            home.reported_at = asked_at
-            if home.endpoint.kind is model.EndpointKind.PREFILL:
-                await self._read_cache_events(home)
+            state.load_report = await self._context.engines.load(state.endpoint)
+            state.load_read_at = requested_at
+            if state.endpoint.kind is model.EndpointKind.PREFILL:
+                await self._poll_cache_events(state)
         except engine_errors.CallError as error:
-            self._world.count("report_failed")
-            await self._world.note_failure(home.endpoint, error)
+            self._context.count("report_failed")
+            await self._context.report_if_draining(state.endpoint, error)
 
-    async def _read_cache_events(self, home: homes_lib.Home) -> None:
-        feed = home.prefixes
-        events = await self._world.engines.cache_events(
-            home.endpoint, feed.last_seq
+    async def _poll_cache_events(
+        self, state: homes_lib.CoordinatedEndpoint
+    ) -> None:
+        prefix_changes = state.prefix_changes
+        events = await self._context.engines.cache_events(
+            state.endpoint, prefix_changes.last_seq
         )
-        self._round_bytes += _EVENT_BYTES * len(events.events)
+        self._round_bytes += _CACHE_EVENT_BYTES * len(events.events)
         if events.gap:
-            self._world.count("cache_events_gap")
-        feed.take(events)
+            self._context.count("cache_events_gap")
+        prefix_changes.apply(events)
 
-    def _note_slots(self, homes: list[homes_lib.Home]) -> None:
-        gauge = self._world.metrics.slots
-        for home in homes:
-            name = home.endpoint.id
-            granted = {"endpoint": name, "state": "granted"}
-            gauge.set(granted, home.ledger.leased())
-            in_use = {"endpoint": name, "state": "in_use"}
-            gauge.set(in_use, home.ledger.used())
+    def _update_slot_gauges(
+        self, states: list[homes_lib.CoordinatedEndpoint]
+    ) -> None:
+        gauge = self._context.metrics.slots
+        for state in states:
+            endpoint_id = state.endpoint.id
+            granted = {"endpoint": endpoint_id, "state": "granted"}
+            gauge.set(granted, state.ledger.leased())
+            in_use = {"endpoint": endpoint_id, "state": "in_use"}
+            gauge.set(in_use, state.ledger.used())
--- a/src/cowsliprill/dispatch/settling.py
+++ b/src/cowsliprill/dispatch/settling.py
@@ -1,4 +1,4 @@
-"""How a new home learns what its forerunner has leased."""
+"""Reclaim period in which a new coordinator learns the existing leases."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -8,71 +8,75 @@
 from cowsliprill.decisions import slots
 
 
-class Settling:
-    """The statements that a new home has heard about one endpoint.
+class ReclaimPeriod:
+    """Slot demands that a new coordinator has received for one endpoint.
 
-    A home that has just started, or has just taken the endpoint over, knows
-    nothing of its forerunner's leases. Granting from an empty ledger would
-    promise slots twice; one would notice refusals with `engine_full` after
-    each restart of a home. All old leases are over after one lease time, or
-    known as soon as every entry process of the list has stated what it holds.
+    A coordinator that has just started, or has just taken the endpoint over,
+    doesn't know the leases of the previous coordinator. Grants from an empty
+    ledger would lease slots twice, and engines would refuse requests with
+    `engine_full` after each restart of a coordinator. The period ends after
+    one lease duration, when all old leases have expired, or as soon as every
+    entry process in the VM list has reported the slots that it holds.
 
     Args:
-      now: When this home began, seconds.
+      now: When this process became coordinator, in seconds.
+
+    Attributes:
+      ends_at: When the period ends at the latest, in seconds.
     """
 
     def __init__(self, now: float) -> None:
         self.ends_at = now + slots.LEASE_S
-        self._stated_by_process: dict[
+        self._demand_by_process: dict[
             tuple[str, str], tuple[str, messages.SlotAsk]
         ] = {}
 
-    def note(self, entry: str, ask: messages.SlotAsk) -> None:
-        """Takes a statement; a newer one of the same process replaces it.
+    def record(self, entry: str, demand: messages.SlotAsk) -> None:
+        """Records a demand, replacing an earlier one of the same process.
 
         Args:
           entry: Incarnation of the entry process.
-          ask: What it says.
+          demand: Its slot demand, which includes the slots that it holds.
         """
         incarnation = identity.Incarnation.parse(entry)
         process = (incarnation.vm, incarnation.process)
-        self._stated_by_process[process] = (entry, ask)
+        self._demand_by_process[process] = (entry, demand)
 
-    def has_heard_all(self, entries_by_vm: Mapping[str, int]) -> bool:
-        """Returns whether every entry process has stated what it holds.
+    def is_complete(self, entry_count_by_vm: Mapping[str, int]) -> bool:
+        """Returns whether every entry process has reported its slots.
 
         Args:
-          entries_by_vm: Number of entry processes by VM, from the list.
+          entry_count_by_vm: Number of entry processes by VM, from the VM list.
         """
-        heard_by_vm: dict[str, int] = {}
-        for vm, _ in self._stated_by_process:
-            heard_by_vm[vm] = heard_by_vm.get(vm, 0) + 1
+        reported_by_vm: dict[str, int] = {}
+        for vm, _ in self._demand_by_process:
+            reported_by_vm[vm] = reported_by_vm.get(vm, 0) + 1
         return all(
-            heard_by_vm.get(vm, 0) >= count
-            for vm, count in entries_by_vm.items()
+            reported_by_vm.get(vm, 0) >= count
+            for vm, count in entry_count_by_vm.items()
         )
 
-    def ledger(
+    def build_ledger(
         self, endpoint_id: str, slot_count: int, now: float
     ) -> slots.SlotLedger:
-        """Makes a ledger that knows everything that was stated.
+        """Builds a ledger with all slots that entry processes hold.
 
         Args:
-          endpoint_id: The endpoint.
-          slot_count: Slots it has.
-          now: Time, seconds.
+          endpoint_id: Id of the endpoint.
+          slot_count: Number of slots of the endpoint.
+          now: Current time in seconds.
 
         Returns:
-          The ledger; it may grant at once.
+          The ledger, which may grant further slots at once.
         """
         ledger = slots.SlotLedger(endpoint_id, slot_count)
-        # What entries hold goes first. Were wants met on the way, the first
-        # entry would be granted what the last one holds.
-        for entry, ask in self._stated_by_process.values():
-            ledger.ask(entry, _holding_only(ask), now)
+        # Held slots are recorded before any new demand is met. Otherwise the
+        # first entry process could be granted slots that the last one holds.
+        for entry, demand in self._demand_by_process.values():
+            ledger.ask(entry, _held_only(demand), now)
         return ledger
 
 
-def _holding_only(ask: messages.SlotAsk) -> messages.SlotAsk:
-    held = max(ask.held, ask.in_use)
-    return dataclasses.replace(ask, want=held, customer_wants=(), sequence=0)
+def _held_only(demand: messages.SlotAsk) -> messages.SlotAsk:
+    held = max(demand.held, demand.in_use)
+    return dataclasses.replace(demand, want=held, customer_wants=(), sequence=0)
--- a/src/cowsliprill/dispatch/slot_desk.py
+++ b/src/cowsliprill/dispatch/slot_desk.py
@@ -1,6 +1,7 @@
-"""Answers entries' asks for slots, holding an answer back while none is free.
+"""Long-poll server that grants slot leases to entry processes.
 
-The desk belongs to the dispatch process' event loop.
+The server belongs to the event loop of the dispatch process and isn't
+thread-safe.
 """
 
 import asyncio
@@ -14,114 +15,118 @@
 from cowsliprill.dispatch import homes as homes_lib
 from cowsliprill.dispatch import messages
 
-# A lease that ran out during the wait would make the answer worthless, and the
-# home takes an entry for silent that doesn't state its standing in that time.
-MAX_WAIT_S = 0.8 * slots.LEASE_S
-_IDLE_S = 0.5
-# The lease of an entry that fell silent stays overdue until the endpoint shows
-# what it really runs.
-_OVERDUE_S = 0.1
+# A lease that expires during the wait makes the response useless, and an entry
+# process that reports no slot demand for a lease duration counts as timed out.
+MAX_LONG_POLL_S = 0.8 * slots.LEASE_S
+_MAX_SLEEP_S = 0.5
+# An expired lease remains the next one to expire until the endpoint's running
+# requests show which of its slots are free; this bounds the polling meanwhile.
+_MIN_SLEEP_S = 0.1
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Waiting:
-    """One held answer.
+class _LongPoll:
+    """A response that is delayed until there is a grant to report.
 
     Attributes:
-      grants_by_endpoint: The answer so far.
-      news: Set when the answer should go out.
+      grants_by_endpoint: Grants of the response so far, by endpoint id.
+      ready: Set when the response should be sent.
     """
 
     grants_by_endpoint: dict[str, decision_messages.SlotGrant]
-    news: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    ready: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
 class SlotDesk:
-    """Turns asks into grants, now or as soon as there is something to grant.
+    """Answers slot demands at once or when slots become available.
 
     Args:
-      homes: The ledgers.
-      clock: Returns the time, seconds.
-      hear: Called with the incarnation of each entry that asks.
+      coordinated: The endpoints with their slot ledgers.
+      clock: Returns the current time in seconds.
+      record_heartbeat: Called with the incarnation of each entry process that
+        sends a request.
     """
 
     def __init__(
         self,
-        homes: homes_lib.Homes,
+        coordinated: homes_lib.Homes,
         clock: Callable[[], float],
-        hear: Callable[[identity.Incarnation], None],
+        record_heartbeat: Callable[[identity.Incarnation], None],
     ) -> None:
-        self._homes = homes
+        self._coordinated = coordinated
         self._clock = clock
-        self._hear = hear
-        self._waiting_by_entry: dict[str, _Waiting] = {}
+        self._record_heartbeat = record_heartbeat
+        self._long_poll_by_entry: dict[str, _LongPoll] = {}
 
-    async def answer(
+    async def handle(
         self, request: messages.SlotsRequest
     ) -> messages.SlotsAnswer:
-        """Answers one entry's asks.
+        """Handles the slot demands of one entry process.
 
         Args:
-          request: The asks.
+          request: The slot demands.
 
         Returns:
-          The grants. If there is no news for the entry, the answer waits until
-          there is, `wait_s` is over, or the same entry asks again.
+          The grants. If none exceeds what the entry process holds, the
+          response is delayed until one does, `wait_s` is over, or the same
+          entry process sends another request.
 
         Raises:
-          errors.InvalidAskError: The asks make no sense.
+          errors.InvalidMessageError: The request is invalid.
         """
-        self._hear(_checked_entry(request))
+        self._record_heartbeat(_validated_entry(request))
         received_at = self._clock()
-        older = self._waiting_by_entry.pop(request.entry, None)
-        if older is not None:
-            older.news.set()
-        grants_by_endpoint = self._ask_all(request)
+        previous = self._long_poll_by_entry.pop(request.entry, None)
+        if previous is not None:
+            previous.ready.set()
+        grants_by_endpoint = self._process_demands(request)
         self.regrant()
-        wait_s = min(request.wait_s, MAX_WAIT_S)
-        # An asker falls back on its own share of an unsettled endpoint as soon
-        # as it knows; held back, its callers would be refused meanwhile.
-        settled = not self._unsettled(request)
-        if settled and wait_s and not _has_news(request, grants_by_endpoint):
+        wait_s = min(request.wait_s, MAX_LONG_POLL_S)
+        # A requester uses its fallback slots of a reclaiming endpoint once it
+        # knows of the reclaim period. A delayed response would have its callers
+        # refused meanwhile.
+        may_wait = not self._reclaiming_ids(request)
+        if may_wait and wait_s and not _is_ready(request, grants_by_endpoint):
             await self._wait(request.entry, grants_by_endpoint, wait_s)
-        return self._written(request, grants_by_endpoint, received_at)
+        return self._build_response(request, grants_by_endpoint, received_at)
 
     def regrant(self) -> None:
-        """Sends the held answers for which there is news."""
-        for entry, grant in self._homes.regrant(self._clock()):
-            waiting = self._waiting_by_entry.get(entry)
-            if waiting is None:
+        """Ends the long polls for which there is a changed grant."""
+        for entry, grant in self._coordinated.regrant(self._clock()):
+            long_poll = self._long_poll_by_entry.get(entry)
+            if long_poll is None:
                 continue
-            waiting.grants_by_endpoint[grant.endpoint_id] = grant
-            waiting.news.set()
+            long_poll.grants_by_endpoint[grant.endpoint_id] = grant
+            long_poll.ready.set()
 
-    def release(self) -> None:
-        """Sends all held answers as they are, since the process stops."""
-        for waiting in self._waiting_by_entry.values():
-            waiting.news.set()
+    def end_long_polls(self) -> None:
+        """Ends all long polls with their current grants, for shutdown."""
+        for long_poll in self._long_poll_by_entry.values():
+            long_poll.ready.set()
 
     async def run(self) -> None:
-        """Looks again whenever a lease runs out; ends by cancellation.
+        """Regrants slots whenever a lease expires, until cancelled.
 
-        Slots of an entry that died come free without any message. Without
-        this, entries that wait for them would wait until their next ask.
+        Slots of a dead entry process become free without any message. Without
+        this task, entry processes that wait for them would wait until their
+        next request.
         """
         while True:
-            expiry = self._homes.next_expiry()
+            expiry = self._coordinated.next_expiry()
             now = self._clock()
-            left = _IDLE_S if expiry is None else expiry - now
-            await asyncio.sleep(min(max(left, _OVERDUE_S), _IDLE_S))
+            sleep_s = _MAX_SLEEP_S if expiry is None else expiry - now
+            await asyncio.sleep(min(max(sleep_s, _MIN_SLEEP_S), _MAX_SLEEP_S))
             self.regrant()
 
-    def _ask_all(
+    def _process_demands(
         self, request: messages.SlotsRequest
     ) -> dict[str, decision_messages.SlotGrant]:
         now = self._clock()
         grants_by_endpoint = {}
-        for ask in request.asks:
-            grant = self._homes.ask(request.entry, ask, now)
+        for demand in request.asks:
+            grant = self._coordinated.process_demand(request.entry, demand, now)
             if grant is not None:
-                grants_by_endpoint[ask.endpoint_id] = grant
+                grants_by_endpoint[demand.endpoint_id] = grant
         return grants_by_endpoint
 
     async def _wait(
@@ -130,17 +135,17 @@
         grants_by_endpoint: dict[str, decision_messages.SlotGrant],
         wait_s: float,
     ) -> None:
-        waiting = _Waiting(grants_by_endpoint)
-        self._waiting_by_entry[entry] = waiting
+        long_poll = _LongPoll(grants_by_endpoint)
+        self._long_poll_by_entry[entry] = long_poll
         try:
-            await asyncio.wait_for(waiting.news.wait(), wait_s)
+            await asyncio.wait_for(long_poll.ready.wait(), wait_s)
         except TimeoutError:
             pass
         finally:
-            if self._waiting_by_entry.get(entry) is waiting:
-                del self._waiting_by_entry[entry]
+            if self._long_poll_by_entry.get(entry) is long_poll:
+                del self._long_poll_by_entry[entry]
 
-    def _written(
+    def _build_response(
         self,
         request: messages.SlotsRequest,
         grants_by_endpoint: dict[str, decision_messages.SlotGrant],
@@ -148,45 +153,48 @@
     ) -> messages.SlotsAnswer:
         now = self._clock()
         grants = [
-            self._homes.with_news(request.entry, grant, now)
+            self._coordinated.with_endpoint_updates(request.entry, grant, now)
             for grant in grants_by_endpoint.values()
         ]
         return messages.SlotsAnswer(
-            grants=tuple(_on_wire(grant, received_at) for grant in grants),
+            grants=tuple(_to_wire(grant, received_at) for grant in grants),
             not_home=tuple(
-                ask.endpoint_id
-                for ask in request.asks
-                if ask.endpoint_id not in grants_by_endpoint
+                demand.endpoint_id
+                for demand in request.asks
+                if demand.endpoint_id not in grants_by_endpoint
             ),
-            unsettled=self._unsettled(request),
+            unsettled=self._reclaiming_ids(request),
         )
 
-    def _unsettled(self, request: messages.SlotsRequest) -> tuple[str, ...]:
+    def _reclaiming_ids(
+        self, request: messages.SlotsRequest
+    ) -> tuple[str, ...]:
         now = self._clock()
         return tuple(
-            ask.endpoint_id
-            for ask in request.asks
-            if self._homes.unsettled(ask.endpoint_id, now)
+            demand.endpoint_id
+            for demand in request.asks
+            if self._coordinated.is_reclaiming(demand.endpoint_id, now)
         )
 
 
-def _has_news(
+def _is_ready(
     request: messages.SlotsRequest,
     grants_by_endpoint: dict[str, decision_messages.SlotGrant],
 ) -> bool:
-    wanting = False
-    for ask in request.asks:
-        grant = grants_by_endpoint.get(ask.endpoint_id)
+    """Returns whether the response should be sent without a wait."""
+    wants_slots = False
+    for demand in request.asks:
+        grant = grants_by_endpoint.get(demand.endpoint_id)
         if grant is None:
             return True
-        if grant.slots > max(ask.in_use, ask.held):
+        if grant.slots > max(demand.in_use, demand.held):
             return True
-        wanting = wanting or ask.want > ask.in_use
-    # An entry that wants nothing has nothing to wait for.
-    return not wanting
+        wants_slots = wants_slots or demand.want > demand.in_use
+    # An entry process that wants no further slots has nothing to wait for.
+    return not wants_slots
 
 
-def _on_wire(
+def _to_wire(
     grant: decision_messages.SlotGrant, received_at: float
 ) -> messages.WireGrant:
     return messages.WireGrant(
@@ -203,15 +211,18 @@
     )
 
 
-def _checked_entry(request: messages.SlotsRequest) -> identity.Incarnation:
-    for ask in request.asks:
-        if not 0 <= ask.in_use <= ask.want:
-            raise errors.InvalidAskError(
-                f"{ask.endpoint_id}: in_use {ask.in_use}, want {ask.want}"
+def _validated_entry(request: messages.SlotsRequest) -> identity.Incarnation:
+    for demand in request.asks:
+        if not 0 <= demand.in_use <= demand.want:
+            raise errors.InvalidMessageError(
+                f"{demand.endpoint_id}: in_use {demand.in_use} is not between"
+                f" 0 and want {demand.want}"
             )
-    if len({ask.endpoint_id for ask in request.asks}) < len(request.asks):
-        raise errors.InvalidAskError("two asks for one endpoint")
+    if len({demand.endpoint_id for demand in request.asks}) < len(request.asks):
+        raise errors.InvalidMessageError(
+            "more than one slot demand for the same endpoint"
+        )
     try:
         return identity.Incarnation.parse(request.entry)
     except identity.IdentityError as error:
-        raise errors.InvalidAskError(str(error)) from error
+        raise errors.InvalidMessageError(str(error)) from error
--- a/src/cowsliprill/dispatch/sweeper.py
+++ b/src/cowsliprill/dispatch/sweeper.py
@@ -1,4 +1,4 @@
-"""Finds requests at the homed engines whose entry process is gone."""
+"""Cancels requests on coordinated engines whose entry process is gone."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,151 +13,159 @@
 from cowsliprill.decisions import orphans
 from cowsliprill.dispatch import pace
 from cowsliprill.dispatch import port_probe
-from cowsliprill.dispatch import world as world_lib
+from cowsliprill.dispatch import world as context_lib
 from cowsliprill.dispatch import zone as zone_lib
 from cowsliprill.engines import errors as engine_errors
 from cowsliprill.engines import model as engine_model
 
-_TURN_S = 1.0
-# Reading what the engines run is the largest part of the sweep's bytes, so
-# large homes read seldom; and at once when an entry stops asking for slots.
-_BYTES_PER_S = 1_000
-_ENGINE_BYTES = 300
-_REQUEST_BYTES = 100
-_LONGEST_S = 60.0
-# Requests are taken to end within this time under any earlier revision.
-_UNKNOWN_S = 600.0
-# A lost availability zone makes many owners suspect at once; asking all their
-# VMs each second would exceed the control budget just then.
-_PROBES_PER_TURN = 8
+_CYCLE_INTERVAL_S = 1.0
+# Listing the running requests of all engines takes most of the bytes of orphan
+# detection, so coordinators of many engines list them seldom; any coordinator
+# lists them at once when an entry process stops reporting slot demand.
+_MAX_BYTES_PER_S = 1_000
+_BYTES_PER_ENGINE = 300
+_BYTES_PER_REQUEST = 100
+_MAX_READ_INTERVAL_S = 60.0
+# Assumed upper limit of a request's duration under any earlier revision.
+_EARLIER_MAX_REQUEST_S = 600.0
+# The loss of an availability zone makes many owners suspect at once. Probing
+# all their VMs each second would exceed the budget for control traffic.
+_MAX_VM_PROBES_PER_CYCLE = 8
 
 
-class Sweeper:
-    """Reads what engines run, asks after quiet owners, cancels for the gone.
+class OrphanReaper:
+    """I/O layer of orphan detection on the coordinated engines.
+
+    Lists the running requests of the engines, probes the VMs of owners that
+    have timed out, and cancels the requests of owners that are gone.
 
     Args:
-      world: What the tasks share.
-      zone: Tells whether this VM reaches its zone.
-      cancel: Takes the cancel orders.
+      context: Shared state and clients of the process.
+      zone_monitor: Tracks whether this VM reaches a majority of its zone.
+      cancel: Queues cancellations for sending.
     """
 
     def __init__(
         self,
-        world: world_lib.World,
-        zone: zone_lib.Zone,
+        context: context_lib.DispatchContext,
+        zone_monitor: zone_lib.ZoneMonitor,
         cancel: Callable[[Iterable[cancels.CancelOrder]], None],
     ) -> None:
-        self._world = world
-        self._zone = zone
+        self._context = context
+        self._zone_monitor = zone_monitor
         self._cancel = cancel
-        self._sweep = orphans.OrphanSweep(clock.now())
-        self._running_by_endpoint: dict[str, list[orphans.Running]] = {}
+        self._detector = orphans.OrphanSweep(clock.now())
+        self._requests_by_endpoint: dict[str, list[orphans.Running]] = {}
         self._read_at = float("-inf")
-        self._reading: asyncio.Task | None = None
-        self._heard_by_entry: dict[identity.Incarnation, float] = {}
+        self._read_task: asyncio.Task | None = None
+        self._heartbeat_at_by_entry: dict[identity.Incarnation, float] = {}
         self._started_at = clock.now()
-        self._longest_request_s = 0.0
+        self._max_request_s = 0.0
 
-    def hear(self, incarnation: identity.Incarnation) -> None:
-        """Notes that an entry process has asked for slots."""
+    def record_heartbeat(self, incarnation: identity.Incarnation) -> None:
+        """Records that an entry process has sent a slot demand."""
         now = clock.now()
-        self._heard_by_entry[incarnation] = now
-        self._sweep.hear(incarnation, now)
+        self._heartbeat_at_by_entry[incarnation] = now
+        self._detector.hear(incarnation, now)
 
     def update(self) -> None:
-        """Takes new settings from the world."""
-        # Never lowered: requests that began under an earlier revision may be
-        # as old as that one allowed.
-        services = self._world.follower.snapshot.services_by_id.values()
-        longest_s = max((each.timeout_s for each in services), default=0.0)
-        self._longest_request_s = max(self._longest_request_s, longest_s)
+        """Applies new settings."""
+        # The limit is never lowered: requests that began under an earlier
+        # revision may last as long as that revision allowed.
+        services = self._context.follower.snapshot.services_by_id.values()
+        max_timeout_s = max((each.timeout_s for each in services), default=0.0)
+        self._max_request_s = max(self._max_request_s, max_timeout_s)
 
     async def run(self) -> None:
-        """Sweeps until cancelled."""
+        """Runs detection cycles until cancelled."""
         try:
             while True:
-                await self.turn()
-                await asyncio.sleep(_TURN_S)
+                await self.run_cycle()
+                await asyncio.sleep(_CYCLE_INTERVAL_S)
         finally:
-            if self._reading is not None:
-                self._reading.cancel()
+            if self._read_task is not None:
+                self._read_task.cancel()
 
-    async def turn(self) -> None:
-        """Looks once at everything, in less than `orphans.MAX_GAP_S`."""
-        fleet = self._world.follower.fleet
-        self._sweep.see_list(fleet.vms_by_id.values(), clock.now())
+    async def run_cycle(self) -> None:
+        """Runs one detection cycle, in less than `orphans.MAX_GAP_S`."""
+        fleet = self._context.follower.fleet
+        self._detector.see_list(fleet.vms_by_id.values(), clock.now())
         self._read_if_due()
-        suspects = self._sweep.suspects(self._running(), clock.now())
-        questions = [self._probe(vm) for vm in suspects[:_PROBES_PER_TURN]]
-        if suspects:
-            questions.append(self._zone.ask_if_older())
-        await asyncio.gather(*questions)
+        vms_to_probe = self._detector.suspects(
+            self._all_requests(), clock.now()
+        )
+        queries = [
+            self._probe_vm(vm) for vm in vms_to_probe[:_MAX_VM_PROBES_PER_CYCLE]
+        ]
+        if vms_to_probe:
+            queries.append(self._zone_monitor.query_if_stale())
+        await asyncio.gather(*queries)
         self._cancel_orphans()
 
     def _read_if_due(self) -> None:
-        # Not awaited: an engine that hangs would stretch the turn, and the
-        # observations of VMs would no longer count as one unbroken time. No
-        # orphan of any engine would be found while it hangs.
-        if self._reading is not None:
-            if not self._reading.done():
+        # The read isn't awaited: an engine that hangs would prolong the cycle,
+        # and the observations of VMs would no longer count as continuous. While
+        # it hangs, no orphan of any engine would be found.
+        if self._read_task is not None:
+            if not self._read_task.done():
                 return
-            self._reading.result()
+            self._read_task.result()
         age_s = clock.now() - self._read_at
-        if self._has_lapsed_entry() or age_s >= self._interval_s():
+        if self._expire_entries() or age_s >= self._read_interval_s():
             self._read_at = clock.now()
-            self._reading = asyncio.create_task(self._read_all())
-
-    def _has_lapsed_entry(self) -> bool:
-        """Forgets the entries that went quiet; tells whether there are any."""
-        quiet_since = clock.now() - orphans.SUSPECT_S
-        heard_by_entry = {
-            entry: heard_at
-            for entry, heard_at in self._heard_by_entry.items()
-            if heard_at > quiet_since
+            self._read_task = asyncio.create_task(self._read_all())
+
+    def _expire_entries(self) -> bool:
+        """Drops entry processes that timed out; returns if there were any."""
+        expired_at = clock.now() - orphans.SUSPECT_S
+        live_by_entry = {
+            entry: heartbeat_at
+            for entry, heartbeat_at in self._heartbeat_at_by_entry.items()
+            if heartbeat_at > expired_at
         }
-        lapsed = len(heard_by_entry) < len(self._heard_by_entry)
-        self._heard_by_entry = heard_by_entry
-        return lapsed
-
-    def _interval_s(self) -> float:
-        requests = sum(map(len, self._running_by_endpoint.values()))
-        engines = len(self._world.homes.by_endpoint)
-        return pace.interval_s(
-            engines * _ENGINE_BYTES + requests * _REQUEST_BYTES,
-            bytes_per_s=_BYTES_PER_S,
-            shortest_s=_TURN_S,
-            longest_s=_LONGEST_S,
+        any_expired = len(live_by_entry) < len(self._heartbeat_at_by_entry)
+        self._heartbeat_at_by_entry = live_by_entry
+        return any_expired
+
+    def _read_interval_s(self) -> float:
+        requests = sum(map(len, self._requests_by_endpoint.values()))
+        engines = len(self._context.coordinated.by_id)
+        return pace.poll_interval_s(
+            engines * _BYTES_PER_ENGINE + requests * _BYTES_PER_REQUEST,
+            bytes_per_s=_MAX_BYTES_PER_S,
+            min_interval_s=_CYCLE_INTERVAL_S,
+            max_interval_s=_MAX_READ_INTERVAL_S,
         )
 
-    def _oldest_possible_s(self) -> float:
-        # A home that has just started hasn't seen the revisions before, under
-        # which requests may have been given more time than now.
-        if clock.now() - self._started_at < _UNKNOWN_S:
-            return max(self._longest_request_s, _UNKNOWN_S)
-        return self._longest_request_s
+    def _longest_request_s(self) -> float:
+        # A coordinator that has just started doesn't know the earlier
+        # revisions, which may have allowed requests more time than this one.
+        if clock.now() - self._started_at < _EARLIER_MAX_REQUEST_S:
+            return max(self._max_request_s, _EARLIER_MAX_REQUEST_S)
+        return self._max_request_s
 
-    def _running(self) -> list[orphans.Running]:
+    def _all_requests(self) -> list[orphans.Running]:
         return [
             request
-            for requests in self._running_by_endpoint.values()
+            for requests in self._requests_by_endpoint.values()
             for request in requests
         ]
 
     async def _read_all(self) -> None:
-        endpoints = self._world.homed_endpoints()
-        homed_ids = {endpoint.id for endpoint in endpoints}
-        for endpoint_id in self._running_by_endpoint.keys() - homed_ids:
-            del self._running_by_endpoint[endpoint_id]
+        endpoints = self._context.coordinated_engines()
+        endpoint_ids = {endpoint.id for endpoint in endpoints}
+        for endpoint_id in self._requests_by_endpoint.keys() - endpoint_ids:
+            del self._requests_by_endpoint[endpoint_id]
         await asyncio.gather(*(self._read(each) for each in endpoints))
 
     async def _read(self, endpoint: model.Endpoint) -> None:
         try:
-            requests = await self._world.engines.running(endpoint)
+            requests = await self._context.engines.running(endpoint)
         except engine_errors.CallError as error:
-            self._running_by_endpoint.pop(endpoint.id, None)
-            await self._world.note_failure(endpoint, error)
+            self._requests_by_endpoint.pop(endpoint.id, None)
+            await self._context.report_if_draining(endpoint, error)
             return
-        self._running_by_endpoint[endpoint.id] = [
+        self._requests_by_endpoint[endpoint.id] = [
             orphans.Running(
                 endpoint_id=endpoint.id,
                 request_id=request.request_id,
@@ -165,45 +173,46 @@
             )
             for request in requests
         ]
-        home = self._world.homes.by_endpoint.get(endpoint.id)
-        if home is not None:
-            home.ledger.observe(_count_by_entry(requests), clock.now())
+        state = self._context.coordinated.by_id.get(endpoint.id)
+        if state is not None:
+            state.ledger.observe(_count_by_entry(requests), clock.now())
 
-    async def _probe(self, vm: model.Vm) -> None:
+    async def _probe_vm(self, vm: model.Vm) -> None:
         ports = vm.entry_ports
-        replies = await asyncio.gather(
-            *(self._ask(vm.host, port) for port in ports)
+        results = await asyncio.gather(
+            *(self._probe_port(vm.host, port) for port in ports)
         )
-        self._sweep.see_ports(vm.id, replies, clock.now())
+        self._detector.see_ports(vm.id, results, clock.now())
 
-    async def _ask(self, host: str, port: int) -> orphans.PortReply:
+    async def _probe_port(self, host: str, port: int) -> orphans.PortReply:
         url = f"http://{host}:{port}{peers.INCARNATION_PATH}"
         try:
-            reply = await self._world.peers.call("GET", url, timeout_s=1.0)
-            text = reply.json()["incarnation"]
+            response = await self._context.peers.call("GET", url, timeout_s=1.0)
+            text = response.json()["incarnation"]
             return orphans.Answered(identity.Incarnation.parse(text))
         except peer_client.PeerError:
-            # The client doesn't tell a refusal from a timeout.
-            return await port_probe.reply_of(host, port)
+            # The client doesn't distinguish a refused connection from a
+            # timeout.
+            return await port_probe.probe(host, port)
         except (identity.IdentityError, KeyError, TypeError):
             return orphans.Silent()
 
     def _cancel_orphans(self) -> None:
-        found = self._sweep.orphans(
-            self._running(),
-            longest_request_s=self._oldest_possible_s(),
-            reaches_zone=self._zone.hears_most(),
+        found = self._detector.orphans(
+            self._all_requests(),
+            longest_request_s=self._longest_request_s(),
+            reaches_zone=self._zone_monitor.has_majority(),
             now=clock.now(),
         )
         for orphan in found:
-            self._world.log.event(
+            self._context.log.event(
                 "orphan_found",
                 endpoint=orphan.endpoint_id,
                 request_id=orphan.request_id,
                 reason=orphan.reason,
             )
-            self._world.count(f"orphan_{orphan.reason}")
-            self._forget(orphan)
+            self._context.count(f"orphan_{orphan.reason}")
+            self._remove_request(orphan)
         self._cancel(
             cancels.CancelOrder(
                 endpoint_id=orphan.endpoint_id, request_id=orphan.request_id
@@ -211,9 +220,9 @@
             for orphan in found
         )
 
-    def _forget(self, orphan: orphans.Orphan) -> None:
-        requests = self._running_by_endpoint.get(orphan.endpoint_id, [])
-        self._running_by_endpoint[orphan.endpoint_id] = [
+    def _remove_request(self, orphan: orphans.Orphan) -> None:
+        requests = self._requests_by_endpoint.get(orphan.endpoint_id, [])
+        self._requests_by_endpoint[orphan.endpoint_id] = [
             request
             for request in requests
             if request.request_id != orphan.request_id
--- a/src/cowsliprill/dispatch/world.py
+++ b/src/cowsliprill/dispatch/world.py
@@ -1,4 +1,4 @@
-"""What the tasks of the dispatch process share: settings, fleet and tools."""
+"""State and clients that the tasks of the dispatch process share."""
 
 import dataclasses
 
@@ -14,29 +14,29 @@
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.settings import follower as follower_lib
 
-# An endpoint that says that it is draining is left out for this long, unless
-# it says so again. The VM list has named it by then.
-LEAVING_TTL_S = 60.0
+# How long an endpoint that reports that it is draining is excluded, unless it
+# reports so again. By then the VM list names the endpoint as leaving.
+LEAVING_NOTICE_TTL_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class World:
-    """What the tasks share.
+class DispatchContext:
+    """Dependencies that the tasks of a dispatch process share.
 
     Attributes:
-      environment: What the process was told about itself.
-      follower: Settings in force and VM list.
-      homes: The endpoints homed here.
-      engines: Calls engines.
-      peers: Calls other VMs' processes.
-      auth: Signs what is sent to them.
-      log: The process' log.
-      metrics: The process' metrics.
+      environment: Environment file of this process.
+      follower: Provides the settings in force and the VM list.
+      coordinated: The endpoints that this VM coordinates.
+      engines: Client for engines.
+      peers: Client for the processes of other VMs.
+      auth: Signs messages to peers.
+      log: Log of the process.
+      metrics: Metrics of the process.
     """
 
     environment: environment_lib.Environment
     follower: follower_lib.Follower
-    homes: homes_lib.Homes
+    coordinated: homes_lib.Homes
     engines: engine_client.EngineClient
     peers: peer_client.PeerClient
     auth: peer_auth.PeerAuth
@@ -44,32 +44,35 @@
     metrics: metrics_lib.Metrics
 
     def endpoint(self, endpoint_id: str) -> model.Endpoint | None:
-        """Returns an endpoint of the settings in force."""
+        """Returns an endpoint of the settings in force, None if unknown."""
         return self.follower.snapshot.endpoints_by_id.get(endpoint_id)
 
-    def homed_endpoints(self) -> list[model.Endpoint]:
-        """Returns the engines that are homed here."""
-        return [home.endpoint for home in self.homes.by_endpoint.values()]
+    def coordinated_engines(self) -> list[model.Endpoint]:
+        """Returns the engines that this VM coordinates."""
+        return [state.endpoint for state in self.coordinated.by_id.values()]
 
-    def is_home(self, endpoint_id: str) -> bool:
-        """Returns whether the newest VM list makes this VM the home."""
-        return self.homes.is_here(endpoint_id)
+    def is_coordinator_of(self, endpoint_id: str) -> bool:
+        """Returns whether this VM coordinates an endpoint.
+
+        The newest VM list decides.
+        """
+        return self.coordinated.is_coordinator_of(endpoint_id)
 
     def count(self, event: str, amount: int = 1) -> None:
-        """Counts an event for the metrics."""
+        """Adds to the metrics counter of an event."""
         self.metrics.events.add({"event": event}, amount)
 
-    async def note_failure(
+    async def report_if_draining(
         self, endpoint: model.Endpoint, error: engine_errors.CallError
     ) -> None:
-        """Passes on that an endpoint is leaving, if that is why it refused.
+        """Reports an endpoint as leaving if it refused a call for that reason.
 
-        The VM list lags. Until it names the endpoint, entries would go on
-        placing work there and collect refusals.
+        The VM list lags behind. Until the list names the endpoint as leaving,
+        entry processes would go on placing requests there and be refused.
 
         Args:
           endpoint: The endpoint.
-          error: How a call to it ended.
+          error: Error of a call to it.
         """
         if error.code != protocol.CODE_DRAINING:
             return
@@ -77,4 +80,4 @@
             return
         self.log.event("endpoint_draining", endpoint=endpoint.id)
         self.count("endpoint_draining")
-        await self.follower.report_leaving(endpoint.id, LEAVING_TTL_S)
+        await self.follower.report_leaving(endpoint.id, LEAVING_NOTICE_TTL_S)
--- a/tests/test_dispatch_slots.py
+++ b/tests/test_dispatch_slots.py
@@ -1,4 +1,4 @@
-"""Tests of `dispatch.homes`, `dispatch.slot_desk` and their handler."""
+"""Tests of coordinated endpoints, the slot lease server and its handler."""
 
 import asyncio
 import dataclasses
@@ -49,7 +49,7 @@
     )
 
 
-def _world(*endpoints: model.Endpoint) -> model.Snapshot:
+def _snapshot(*endpoints: model.Endpoint) -> model.Snapshot:
     by_id = {endpoint.id: endpoint for endpoint in endpoints}
     return model.Snapshot(revision=1, endpoints_by_id=by_id)
 
@@ -58,7 +58,9 @@
     return model.Fleet(version=1, vms_by_id={name: _vm(name) for name in names})
 
 
-def _ask(endpoint_id: str, in_use: int, want: int) -> decision_messages.SlotAsk:
+def _demand(
+    endpoint_id: str, in_use: int, want: int
+) -> decision_messages.SlotAsk:
     waiting = (("umurongo", want - in_use),) if want > in_use else ()
     return decision_messages.SlotAsk(
         endpoint_id=endpoint_id,
@@ -70,26 +72,26 @@
 
 
 def _request(
-    entry: str, *asks: decision_messages.SlotAsk, wait_s: float = 0.0
+    entry: str, *demands: decision_messages.SlotAsk, wait_s: float = 0.0
 ) -> messages.SlotsRequest:
-    return messages.SlotsRequest(entry=entry, asks=asks, wait_s=wait_s)
+    return messages.SlotsRequest(entry=entry, asks=demands, wait_s=wait_s)
 
 
-def _homes_of_two_vms(slot_count: int) -> homes_lib.Homes:
-    homes = homes_lib.Homes(_home_vm("d0"))
+def _coordinated_with_two_vms(slot_count: int) -> homes_lib.Homes:
+    coordinated = homes_lib.Homes(_coordinator_of("d0"))
     fleet = _fleet("vm-a", "vm-b")
-    homes.update(_world(_endpoint("d0", slot_count)), fleet, 0.0)
-    return homes
+    coordinated.update(_snapshot(_endpoint("d0", slot_count)), fleet, 0.0)
+    return coordinated
 
 
-def _home_vm(endpoint_id: str) -> str:
-    home = ownership.home_of(endpoint_id, [_vm("vm-a"), _vm("vm-b")])
-    assert home is not None
-    return home.id
+def _coordinator_of(endpoint_id: str) -> str:
+    coordinator = ownership.home_of(endpoint_id, [_vm("vm-a"), _vm("vm-b")])
+    assert coordinator is not None
+    return coordinator.id
 
 
 class _Clock:
-    """Time that the test sets; real waits stay short and are never timed."""
+    """Clock that the test sets; no assertion depends on real time."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -98,140 +100,160 @@
         return self.now
 
 
-class TestHomes:
-    """Which endpoints have a ledger here, and what a new home grants."""
+class TestCoordinatedEndpoints:
+    """Slot ledgers of coordinated endpoints, also after a handover."""
 
-    def test_an_endpoint_that_is_homed_elsewhere_gets_no_ledger(self) -> None:
-        homes = homes_lib.Homes("vm-a")
-        homes.update(_world(_endpoint("d0", 20)), _fleet("vm-b"), 0.0)
-        assert homes.ask(_ENTRY_A, _ask("d0", 0, 1), 10.0) is None
+    def test_endpoint_with_another_coordinator_has_no_ledger(self) -> None:
+        coordinated = homes_lib.Homes("vm-a")
+        coordinated.update(_snapshot(_endpoint("d0", 20)), _fleet("vm-b"), 0.0)
+        assert (
+            coordinated.process_demand(_ENTRY_A, _demand("d0", 0, 1), 10.0)
+            is None
+        )
 
-    def test_a_new_home_grants_no_new_work_for_one_lease_time(self) -> None:
-        """A home is killed and restarted, or takes over from a dead VM.
+    def test_new_coordinator_grants_no_further_slots_for_one_lease(
+        self,
+    ) -> None:
+        """Guards against slots leased twice after a coordinator failover.
 
-        Entries still hold leases of its forerunner. Grants from the empty
-        ledger would promise those slots twice, and callers would wait for
-        prefills whose decode engine then refuses.
+        A coordinator restarts after a crash, or takes over from a dead VM,
+        while entry processes hold leases of the previous coordinator. Grants
+        from the empty ledger would lease those slots again, and callers would
+        wait for prefills whose decode engine then refuses the request.
         """
-        homes = _homes_of_two_vms(20)
-        early = homes.ask(_ENTRY_A, _ask("d0", 3, 9), slots.LEASE_S / 2)
-        later = homes.ask(_ENTRY_A, _ask("d0", 3, 9), slots.LEASE_S)
+        coordinated = _coordinated_with_two_vms(20)
+        early = coordinated.process_demand(
+            _ENTRY_A, _demand("d0", 3, 9), slots.LEASE_S / 2
+        )
+        later = coordinated.process_demand(
+            _ENTRY_A, _demand("d0", 3, 9), slots.LEASE_S
+        )
         assert early is not None
         assert early.slots == 3
         assert later is not None
         assert later.slots > 3
 
-    def test_a_new_home_grants_once_every_entry_has_stated_what_it_holds(
+    def test_new_coordinator_grants_once_every_entry_has_reported(
         self,
     ) -> None:
-        """A VM is drained and its engines get a new home.
+        """Guards against refusals and double leases when a VM is drained.
 
-        If that waited for a whole lease time with every grant, briefs that
-        may wait a second were refused at each step of a rollout. Granting
-        without the other entry's word would promise its slots twice.
+        The drained VM's engines get a new coordinator. If that withheld all
+        grants for a whole lease duration, requests that may wait one second
+        would be refused at each step of a rollout. Grants before the other
+        entry process has reported would lease its slots twice.
         """
-        homes = _homes_of_two_vms(4)
-        other = dataclasses.replace(_ask("d0", 1, 3), held=3, customer_wants=())
-        alone = homes.ask(_ENTRY_B, other, 0.1)
-        unsettled = homes.unsettled("d0", 0.1)
-        together = homes.ask(_ENTRY_A, _ask("d0", 0, 4), 0.2)
-        assert alone is not None
-        assert alone.slots == 3
-        assert unsettled
-        assert together is not None
-        assert together.slots == 1
-        assert not homes.unsettled("d0", 0.2)
-
-    def test_an_early_want_takes_nothing_that_a_later_entry_holds(self) -> None:
-        homes = _homes_of_two_vms(4)
-        other = dataclasses.replace(_ask("d0", 1, 3), held=3, customer_wants=())
-        homes.ask(_ENTRY_A, _ask("d0", 0, 4), 0.1)
-        holder = homes.ask(_ENTRY_B, other, 0.2)
-        wanter = homes.ask(_ENTRY_A, _ask("d0", 0, 4), 0.3)
+        coordinated = _coordinated_with_two_vms(4)
+        other = dataclasses.replace(
+            _demand("d0", 1, 3), held=3, customer_wants=()
+        )
+        first = coordinated.process_demand(_ENTRY_B, other, 0.1)
+        reclaiming = coordinated.is_reclaiming("d0", 0.1)
+        second = coordinated.process_demand(_ENTRY_A, _demand("d0", 0, 4), 0.2)
+        assert first is not None
+        assert first.slots == 3
+        assert reclaiming
+        assert second is not None
+        assert second.slots == 1
+        assert not coordinated.is_reclaiming("d0", 0.2)
+
+    def test_early_demand_gets_no_slots_that_a_later_entry_holds(self) -> None:
+        coordinated = _coordinated_with_two_vms(4)
+        other = dataclasses.replace(
+            _demand("d0", 1, 3), held=3, customer_wants=()
+        )
+        coordinated.process_demand(_ENTRY_A, _demand("d0", 0, 4), 0.1)
+        holder = coordinated.process_demand(_ENTRY_B, other, 0.2)
+        wanter = coordinated.process_demand(_ENTRY_A, _demand("d0", 0, 4), 0.3)
         assert holder is not None
         assert holder.slots == 3
         assert wanter is not None
         assert wanter.slots == 1
 
-    def test_an_update_that_changes_nothing_keeps_the_leases(self) -> None:
-        homes = homes_lib.Homes("vm-a")
-        homes.update(_world(_endpoint("d0", 2)), _fleet("vm-a"), 0.0)
-        homes.ask(_ENTRY_A, _ask("d0", 2, 2), 5.0)
-        homes.update(_world(_endpoint("d0", 2)), _fleet("vm-a"), 5.0)
-        grant = homes.ask(_ENTRY_B, _ask("d0", 0, 2), 5.1)
+    def test_update_without_changes_keeps_the_leases(self) -> None:
+        coordinated = homes_lib.Homes("vm-a")
+        coordinated.update(_snapshot(_endpoint("d0", 2)), _fleet("vm-a"), 0.0)
+        coordinated.process_demand(_ENTRY_A, _demand("d0", 2, 2), 5.0)
+        coordinated.update(_snapshot(_endpoint("d0", 2)), _fleet("vm-a"), 5.0)
+        grant = coordinated.process_demand(_ENTRY_B, _demand("d0", 0, 2), 5.1)
         assert grant is not None
         assert grant.slots == 0
 
 
-def _desk() -> tuple[slot_desk.SlotDesk, _Clock]:
-    homes = homes_lib.Homes("vm-a")
-    homes.update(_world(_endpoint("d0", 1)), _fleet("vm-a"), 0.0)
-    now = _Clock()
-    return slot_desk.SlotDesk(homes, now, lambda incarnation: None), now
+def _lease_server() -> tuple[slot_desk.SlotDesk, _Clock]:
+    coordinated = homes_lib.Homes("vm-a")
+    coordinated.update(_snapshot(_endpoint("d0", 1)), _fleet("vm-a"), 0.0)
+    clock = _Clock()
+    return slot_desk.SlotDesk(
+        coordinated, clock, lambda incarnation: None
+    ), clock
 
 
-async def _started(desk: slot_desk.SlotDesk, entry: str) -> asyncio.Task:
-    request = _request(entry, _ask("d0", 0, 1), wait_s=9.0)
-    task = asyncio.ensure_future(desk.answer(request))
+async def _start_request(
+    lease_server: slot_desk.SlotDesk, entry: str
+) -> asyncio.Task:
+    request = _request(entry, _demand("d0", 0, 1), wait_s=9.0)
+    task = asyncio.ensure_future(lease_server.handle(request))
     for _ in range(5):
         await asyncio.sleep(0)
     return task
 
 
-class TestSlotDesk:
-    """When an ask is answered."""
+class TestSlotLeaseServer:
+    """When a long poll for slots ends."""
 
-    def test_a_held_answer_goes_out_when_a_slot_is_given_back(self) -> None:
+    def test_long_poll_ends_when_a_slot_is_released(self) -> None:
         async def scenario() -> messages.SlotsAnswer:
-            desk, _ = _desk()
-            await desk.answer(_request(_ENTRY_A, _ask("d0", 1, 1)))
-            held = await _started(desk, _ENTRY_B)
-            assert not held.done()
-            await desk.answer(_request(_ENTRY_A, _ask("d0", 0, 0)))
-            return await held
+            lease_server, _ = _lease_server()
+            await lease_server.handle(_request(_ENTRY_A, _demand("d0", 1, 1)))
+            pending = await _start_request(lease_server, _ENTRY_B)
+            assert not pending.done()
+            await lease_server.handle(_request(_ENTRY_A, _demand("d0", 0, 0)))
+            return await pending
 
         answer = asyncio.run(scenario())
         assert [grant.slots for grant in answer.grants] == [1]
 
-    def test_a_newer_ask_ends_the_wait_of_the_same_entry(self) -> None:
-        """An entry asks for a slot, waits, and its caller goes away.
+    def test_newer_request_ends_the_long_poll_of_the_same_entry(self) -> None:
+        """Guards against a slot leased for a caller that has disconnected.
 
-        If the older ask were stated again it would take the freed slot for
-        nobody, and another firm's brief would wait for a whole lease.
+        An entry process requests a slot and waits, and its caller disconnects.
+        If the older demand were processed again, it would lease the released
+        slot without use, and another customer would wait for a whole lease.
         """
 
         async def scenario() -> messages.SlotsAnswer:
-            desk, _ = _desk()
-            await desk.answer(_request(_ENTRY_A, _ask("d0", 1, 1)))
-            held = await _started(desk, _ENTRY_B)
-            await desk.answer(_request(_ENTRY_B, _ask("d0", 0, 0)))
-            await held
-            await desk.answer(_request(_ENTRY_A, _ask("d0", 0, 0)))
-            third = _request("vm-c.e0.three", _ask("d0", 0, 1))
-            return await desk.answer(third)
+            lease_server, _ = _lease_server()
+            await lease_server.handle(_request(_ENTRY_A, _demand("d0", 1, 1)))
+            pending = await _start_request(lease_server, _ENTRY_B)
+            await lease_server.handle(_request(_ENTRY_B, _demand("d0", 0, 0)))
+            await pending
+            await lease_server.handle(_request(_ENTRY_A, _demand("d0", 0, 0)))
+            third = _request("vm-c.e0.three", _demand("d0", 0, 1))
+            return await lease_server.handle(third)
 
         answer = asyncio.run(scenario())
         assert [grant.slots for grant in answer.grants] == [1]
 
-    def test_an_endpoint_homed_elsewhere_is_named_at_once(self) -> None:
+    def test_endpoint_with_another_coordinator_ends_the_wait(self) -> None:
         async def scenario() -> messages.SlotsAnswer:
-            desk, _ = _desk()
-            return await desk.answer(
-                _request(_ENTRY_A, _ask("other", 0, 1), wait_s=9.0)
+            lease_server, _ = _lease_server()
+            return await lease_server.handle(
+                _request(_ENTRY_A, _demand("other", 0, 1), wait_s=9.0)
             )
 
         assert asyncio.run(scenario()).not_home == ("other",)
 
 
-async def _with_server(
-    talk: Callable[[str, peer_client.PeerClient], Awaitable[Any]],
+async def _run_with_server(
+    exchange: Callable[[str, peer_client.PeerClient], Awaitable[Any]],
 ) -> Any:
-    desk, _ = _desk()
+    lease_server, _ = _lease_server()
     auth = peer_auth.PeerAuth("")
     route = (
         peers.SLOTS_PATH,
         handlers.SlotsHandler,
-        {"auth": auth, "desk": desk},
+        {"auth": auth, "desk": lease_server},
     )
     server = httpserver.HTTPServer(web.Application([route]))
     sockets = netutil.bind_sockets(0, "127.0.0.1")
@@ -239,26 +261,30 @@
     port = sockets[0].getsockname()[1]
     client = peer_client.PeerClient()
     try:
-        return await talk(f"http://127.0.0.1:{port}{peers.SLOTS_PATH}", client)
+        return await exchange(
+            f"http://127.0.0.1:{port}{peers.SLOTS_PATH}", client
+        )
     finally:
         client.close()
         server.stop()
 
 
 class TestSlotsHandler:
-    """The message as peers send it."""
+    """Requests and responses on the wire."""
 
-    def test_an_ask_over_http_is_granted_with_the_time_left(self) -> None:
-        async def talk(url: str, client: peer_client.PeerClient) -> Any:
-            request = dataclasses.asdict(_request(_ENTRY_A, _ask("d0", 0, 1)))
+    def test_grant_over_http_has_the_remaining_lease_duration(self) -> None:
+        async def exchange(url: str, client: peer_client.PeerClient) -> Any:
+            request = dataclasses.asdict(
+                _request(_ENTRY_A, _demand("d0", 0, 1))
+            )
             body = json.dumps(request).encode()
             return (await client.call("POST", url, body)).json()
 
-        answer = asyncio.run(_with_server(talk))
+        answer = asyncio.run(_run_with_server(exchange))
         assert answer["grants"][0]["slots"] == 1
         assert 0 < answer["grants"][0]["expires_in_s"] <= slots.LEASE_S
 
-    def test_messages_that_make_no_sense_get_a_code(self) -> None:
+    def test_invalid_messages_get_an_error_code(self) -> None:
         bodies = [
             b"not json",
             b'{"entry": 5, "asks": []}',
@@ -267,12 +293,14 @@
             b' [{"endpoint_id": "d0", "in_use": -1, "want": 0}]}',
         ]
 
-        async def talk(url: str, client: peer_client.PeerClient) -> Any:
-            replies = [await client.call("POST", url, body) for body in bodies]
+        async def exchange(url: str, client: peer_client.PeerClient) -> Any:
+            responses = [
+                await client.call("POST", url, body) for body in bodies
+            ]
             return [
-                (reply.status, reply.json()["error"]["code"])
-                for reply in replies
+                (response.status, response.json()["error"]["code"])
+                for response in responses
             ]
 
-        answers = asyncio.run(_with_server(talk))
+        answers = asyncio.run(_run_with_server(exchange))
         assert answers == [(400, "invalid_message")] * len(bodies)
--- a/tests/test_dispatch_world.py
+++ b/tests/test_dispatch_world.py
@@ -1,4 +1,4 @@
-"""Tests of what the home passes on about its engines."""
+"""Tests of the reports of draining engines by their coordinator."""
 
 import asyncio
 import dataclasses
@@ -9,7 +9,7 @@
 from tornado import web
 
 from cowsliprill.decisions import model
-from cowsliprill.dispatch import world as world_lib
+from cowsliprill.dispatch import world as context_lib
 from cowsliprill.engines import engine_client
 from cowsliprill.engines import errors
 from cowsliprill.engines import http_client
@@ -29,7 +29,7 @@
 
 
 class _Follower:
-    """Takes reports as the settings process' follower does."""
+    """Records the leaving notices that are reported to it."""
 
     def __init__(self) -> None:
         self.fleet = model.Fleet()
@@ -40,12 +40,12 @@
         self.reported.append(endpoint_id)
 
 
-def _world(follower: Any) -> world_lib.World:
+def _context(follower: Any) -> context_lib.DispatchContext:
     unused: Any = None
-    return world_lib.World(
+    return context_lib.DispatchContext(
         environment=unused,
         follower=follower,
-        homes=unused,
+        coordinated=unused,
         engines=unused,
         peers=unused,
         auth=unused,
@@ -61,7 +61,7 @@
         self.write({"error": {"code": code, "message": "", "run": "no"}})
 
 
-async def _ask_draining_engine() -> errors.CallError:
+async def _call_draining_engine() -> errors.CallError:
     route = (protocol.RUNNING_PATH, _DrainingHandler)
     application = web.Application([route], log_function=lambda _: None)
     server = httpserver.HTTPServer(application)
@@ -80,29 +80,30 @@
     raise AssertionError("a draining engine answered")
 
 
-class TestNoteFailure:
-    """An engine's own word that it is draining travels before the VM list."""
+class TestReportIfDraining:
+    """Draining engines are reported before the VM list names them."""
 
-    def test_a_draining_answer_is_passed_on_once(self) -> None:
-        """An engine's VM is told to leave; the platform's list lags.
+    def test_a_draining_engine_is_reported_once(self) -> None:
+        """Guards against requests to an engine whose VM is being drained.
 
-        Until the list names it, entries would go on sending work there, and
-        each try would cost the caller a refused attempt.
+        The platform's VM list lags behind. Until the list names the engine as
+        leaving, entry processes would go on sending requests there, each of
+        which would cost the caller a refused attempt.
         """
         follower = _Follower()
-        world = _world(follower)
+        context = _context(follower)
 
         async def scenario() -> None:
-            error = await _ask_draining_engine()
-            await world.note_failure(_ENDPOINT, error)
+            error = await _call_draining_engine()
+            await context.report_if_draining(_ENDPOINT, error)
             follower.fleet = model.Fleet(leaving_endpoint_ids=frozenset({"d0"}))
-            await world.note_failure(_ENDPOINT, error)
+            await context.report_if_draining(_ENDPOINT, error)
 
         asyncio.run(scenario())
         assert follower.reported == ["d0"]
 
-    def test_other_failures_are_no_news_of_leaving(self) -> None:
+    def test_other_failures_are_not_reported_as_leaving(self) -> None:
         follower = _Follower()
         error = errors.ConnectFailed("refused")
-        asyncio.run(_world(follower).note_failure(_ENDPOINT, error))
+        asyncio.run(_context(follower).report_if_draining(_ENDPOINT, error))
         assert follower.reported == []
--- a/tests/test_port_probe.py
+++ b/tests/test_port_probe.py
@@ -7,19 +7,22 @@
 from cowsliprill.dispatch import port_probe
 
 
-def _reply_of(port: int) -> orphans.PortReply:
-    return asyncio.run(port_probe.reply_of("127.0.0.1", port))
+def _probe(port: int) -> orphans.PortReply:
+    return asyncio.run(port_probe.probe("127.0.0.1", port))
 
 
-class TestReplyOf:
-    """A port on which nothing listens is told from one that is silent."""
+class TestProbe:
+    """Distinguishes a closed port from one that gives no answer."""
 
-    def test_a_closed_port_refuses(self) -> None:
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))
-            assert _reply_of(taken.getsockname()[1]) == orphans.Refused()
+    def test_closed_port_is_refused(self) -> None:
+        with socket.socket() as bound:
+            bound.bind(("127.0.0.1", 0))
+            assert _probe(bound.getsockname()[1]) == orphans.Refused()
 
-    def test_a_listener_that_says_nothing_is_silent(self) -> None:
-        """A paused owner's kernel still takes connections for it."""
+    def test_listener_without_response_is_silent(self) -> None:
+        """The kernel accepts connections for a process that is paused.
+
+        Such an owner must not count as ended.
+        """
         with socket.create_server(("127.0.0.1", 0)) as paused:
-            assert _reply_of(paused.getsockname()[1]) == orphans.Silent()
+            assert _probe(paused.getsockname()[1]) == orphans.Silent()
--- a/tests/test_prefix_feed.py
+++ b/tests/test_prefix_feed.py
@@ -13,22 +13,22 @@
 _ENTRY = "vm-a.e0.one"
 
 
-class _Reader:
-    """An entry that believes what it is told."""
+class _EntryView:
+    """Cached blocks as an entry process knows them from its updates."""
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.believed: set[int] = set()
+        self.cached: set[int] = set()
 
-    def read_all(self, feed: prefix_feed.PrefixFeed) -> None:
+    def read_all(self, log: prefix_feed.PrefixChangeLog) -> None:
         while True:
-            news = feed.news_for(_ENTRY)
-            if news.epoch != self.epoch:
-                self.epoch = news.epoch
-                self.believed.clear()
-            self.believed |= set(news.stored)
-            self.believed -= set(news.gone)
-            if not news.stored and not news.gone:
+            update = log.update_for(_ENTRY)
+            if update.epoch != self.epoch:
+                self.epoch = update.epoch
+                self.cached.clear()
+            self.cached |= set(update.stored)
+            self.cached -= set(update.evicted)
+            if not update.stored and not update.evicted:
                 return
 
 
@@ -54,8 +54,8 @@
 )
 
 
-class TestPrefixFeed:
-    """What entries come to believe of an engine's cache."""
+class TestPrefixChangeLog:
+    """The cached blocks that entry processes assume after updates."""
 
     @_SETTINGS
     @hypothesis.given(
@@ -63,44 +63,44 @@
             strategies.tuples(_CHANGES, strategies.booleans()), max_size=6
         )
     )
-    def test_no_block_is_believed_in_beyond_a_gap(
+    def test_blocks_from_before_a_gap_are_dropped(
         self, rounds: list[tuple[list[tuple[int, bool]], bool]]
     ) -> None:
-        """Cache events come late and some are lost.
+        """Guards against stale blocks after lost cache events.
 
-        A block that was evicted in the gap would draw requests to an engine
-        that has to compute its prompt anew, and the family waits longer.
+        A block that was evicted during the gap would attract requests to an
+        engine that has to prefill the whole prompt, which delays the response.
         """
-        feed = prefix_feed.PrefixFeed()
-        reader = _Reader()
-        since_gap: set[int] = set()
+        log = prefix_feed.PrefixChangeLog()
+        view = _EntryView()
+        stored_since_gap: set[int] = set()
         for changes, gap in rounds:
             if gap:
-                since_gap.clear()
+                stored_since_gap.clear()
             for block, stored in changes:
                 if stored:
-                    since_gap.add(block)
+                    stored_since_gap.add(block)
                 else:
-                    since_gap.discard(block)
-            feed.take(_events(changes, feed.last_seq, gap))
-            reader.read_all(feed)
-            assert reader.believed == since_gap
+                    stored_since_gap.discard(block)
+            log.apply(_events(changes, log.last_seq, gap))
+            view.read_all(log)
+            assert view.cached == stored_since_gap
 
-    def test_news_come_a_little_at_a_time(self) -> None:
-        feed = prefix_feed.PrefixFeed()
+    def test_an_update_is_limited_in_size(self) -> None:
+        log = prefix_feed.PrefixChangeLog()
         changes = [(block, True) for block in range(100)]
-        feed.take(_events(changes, 0, False))
-        news = feed.news_for(_ENTRY)
-        assert len(news.stored) == prefix_feed.NEWS_MAX
+        log.apply(_events(changes, 0, False))
+        update = log.update_for(_ENTRY)
+        assert len(update.stored) == prefix_feed.MAX_BLOCKS_PER_UPDATE
 
 
-class TestIntervalS:
-    """Rounds of questions stay within their bytes a second."""
+class TestPollIntervalS:
+    """Polling rounds stay within their byte-rate budget."""
 
-    def test_a_small_round_comes_often_and_a_large_one_seldom(self) -> None:
+    def test_interval_grows_with_the_bytes_of_a_round(self) -> None:
         intervals = [
-            pace.interval_s(
-                size, bytes_per_s=1_000, shortest_s=1.0, longest_s=60.0
+            pace.poll_interval_s(
+                size, bytes_per_s=1_000, min_interval_s=1.0, max_interval_s=60.0
             )
             for size in (10, 5_000, 10**9)
         ]
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -1,4 +1,4 @@
-"""Tests of `dispatch.sweeper` with engines that misbehave."""
+"""Tests of orphan detection in `dispatch.sweeper` with faulty engines."""
 
 import asyncio
 import types
@@ -8,13 +8,13 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import orphans
 from cowsliprill.dispatch import homes as homes_lib
-from cowsliprill.dispatch import sweeper as sweeper_lib
-from cowsliprill.dispatch import world as world_lib
+from cowsliprill.dispatch import sweeper as reaper_lib
+from cowsliprill.dispatch import world as context_lib
 from cowsliprill.engines import model as engine_model
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
-_TURNS = 20
+_CYCLES = 20
 
 
 def _engine(name: str) -> model.Endpoint:
@@ -30,7 +30,7 @@
 
 
 class _Engines:
-    """One engine hangs; each other one holds one very old request."""
+    """Engines of which one hangs and each other one runs one request."""
 
     def __init__(self, age_s: float) -> None:
         self._age_s = age_s
@@ -48,16 +48,16 @@
         ]
 
 
-class _Zone:
-    def hears_most(self) -> bool:
+class _ZoneMonitor:
+    def has_majority(self) -> bool:
         return True
 
-    async def ask_if_older(self) -> None:
+    async def query_if_stale(self) -> None:
         return None
 
 
-def _sweep(age_s: float) -> list[cancels.CancelOrder]:
-    """Sweeps a few turns and returns what was cancelled."""
+def _reap(age_s: float) -> list[cancels.CancelOrder]:
+    """Runs some detection cycles and returns the cancellations."""
     own = model.Vm(
         id="vm-a",
         host="127.0.0.1",
@@ -79,13 +79,13 @@
         endpoints_by_id={each.id: each for each in engines},
     )
     fleet = model.Fleet(version=1, vms_by_id={own.id: own})
-    homes = homes_lib.Homes(own.id)
-    homes.update(snapshot, fleet, 0.0)
+    coordinated = homes_lib.Homes(own.id)
+    coordinated.update(snapshot, fleet, 0.0)
     unused: Any = None
-    world = world_lib.World(
+    context = context_lib.DispatchContext(
         environment=unused,
         follower=types.SimpleNamespace(snapshot=snapshot, fleet=fleet),
-        homes=homes,
+        coordinated=coordinated,
         engines=_Engines(age_s),
         peers=unused,
         auth=unused,
@@ -95,34 +95,38 @@
     cancelled: list[cancels.CancelOrder] = []
 
     async def scenario() -> None:
-        sweeper = sweeper_lib.Sweeper(world, _Zone(), cancelled.extend)
-        sweeper.update()
-        for _ in range(_TURNS):
-            await asyncio.wait_for(sweeper.turn(), orphans.MAX_GAP_S)
+        reaper = reaper_lib.OrphanReaper(
+            context, _ZoneMonitor(), cancelled.extend
+        )
+        reaper.update()
+        for _ in range(_CYCLES):
+            await asyncio.wait_for(reaper.run_cycle(), orphans.MAX_GAP_S)
             await asyncio.sleep(0)
 
     asyncio.run(scenario())
     return cancelled
 
 
-class TestSweeper:
-    """The sweep of all engines while one of them misbehaves."""
+class TestOrphanReaper:
+    """Detection cycles over all engines while one of them is faulty."""
 
-    def test_a_hanging_engine_keeps_no_other_from_being_swept(self) -> None:
-        """One engine takes the connection and never answers.
+    def test_a_hanging_engine_does_not_block_detection_on_others(self) -> None:
+        """Guards against a cycle that waits for an unresponsive engine.
 
-        If the sweep waited for it, orphans at healthy engines would hold
-        their slots for as long as it hangs.
+        One engine accepts the connection and never responds. If the cycle
+        waited for that engine, orphans on healthy engines would hold their
+        slots for as long as it hangs.
         """
-        orders = _sweep(age_s=10_000.0)
-        assert [order.endpoint_id for order in orders] == ["answers"]
+        cancellations = _reap(age_s=10_000.0)
+        assert [each.endpoint_id for each in cancellations] == ["answers"]
 
-    def test_a_home_that_just_started_doesnt_trust_the_present_limit(
+    def test_a_restarted_coordinator_allows_for_earlier_timeouts(
         self,
     ) -> None:
-        """An operator has lowered a service's time; then a home restarts.
+        """Guards against the cancellation of requests with a longer timeout.
 
-        Requests that began before may run on for the time they were given.
-        The new home knows only the new limit, and must not cut them.
+        An operator lowers a service's timeout, then the coordinator restarts.
+        Requests that began before the change keep their longer timeout, but
+        the restarted coordinator knows only the new one.
         """
-        assert _sweep(age_s=300.0) == []
+        assert _reap(age_s=300.0) == []
