--- a/tests/test_prefix_feed.py
+++ b/tests/test_prefix_feed.py
@@ -1,4 +1,4 @@
-"""Tests of `dispatch.prefix_feed` and `dispatch.pace`."""
+"""Tests of the prefix change log and of the polling interval."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/test_sweeper.py
+++ b/tests/test_sweeper.py
@@ -1,4 +1,4 @@
-"""Tests of orphan detection in `dispatch.sweeper` with faulty engines."""
+"""Tests of orphan detection in the dispatch process with faulty engines."""
 
 import asyncio
 import types
@@ -30,7 +30,7 @@
 
 
 class _Engines:
-    """Engines of which one hangs and each other one runs one request."""
+    """Engines of which one hangs; the others run one request of a given age."""
 
     def __init__(self, age_s: float) -> None:
         self._age_s = age_s
