--- a/src/cowsliprill/dispatch/port_probe.py
+++ b/src/cowsliprill/dispatch/port_probe.py
@@ -17,8 +17,8 @@
 
     Returns:
       `Refused` if the host's kernel refused the connection because nothing
-      listens on the port, else `Silent`. A successful connection is `Silent`
-      too: it doesn't identify the process that listens.
+      listens on the port, else `Silent`, also for a successful connection:
+      that doesn't identify the process that listens.
     """
     client = tcpclient.TCPClient()
     try:
--- a/src/cowsliprill/dispatch/sweeper.py
+++ b/src/cowsliprill/dispatch/sweeper.py
@@ -87,7 +87,10 @@
                 self._read_task.cancel()
 
     async def run_cycle(self) -> None:
-        """Runs one detection cycle, in less than `orphans.MAX_GAP_S`."""
+        """Runs one detection cycle.
+
+        A cycle takes less than `orphans.MAX_GAP_S`.
+        """
         fleet = self._context.follower.fleet
         self._detector.see_list(fleet.vms_by_id.values(), clock.now())
         self._read_if_due()
