--- a/src/cowsliprill/capacity/wire.py
+++ b/src/cowsliprill/capacity/wire.py
@@ -17,10 +17,10 @@
 from cowsliprill import peers
 from cowsliprill.capacity import synthetic
 from cowsliprill.decisions import model
+from cowsliprill.dispatch import coordinated_endpoints as coordinated_lib
 from cowsliprill.dispatch import handlers
-from cowsliprill.dispatch import homes as homes_lib
 from cowsliprill.dispatch import messages
-from cowsliprill.dispatch import slot_desk
+from cowsliprill.dispatch import slot_lease_server
 from cowsliprill.engines import engine_client
 from cowsliprill.engines import http_client
 from cowsliprill.engines import protocol
@@ -141,17 +141,19 @@
         )
         for n in range(asks)
     ]
-    homes = homes_lib.Homes("vm-0000")
+    coordinated = coordinated_lib.CoordinatedEndpoints("vm-0000")
     by_id = {endpoint.id: endpoint for endpoint in endpoints}
     snapshot = model.Snapshot(revision=1, endpoints_by_id=by_id)
     own = synthetic.vms(1)[0]
-    homes.update(snapshot, model.Fleet(vms_by_id={own.id: own}), -1e9)
-    desk = slot_desk.SlotDesk(homes, clock.now, _ignore)
+    coordinated.update(snapshot, model.Fleet(vms_by_id={own.id: own}), -1e9)
+    lease_server = slot_lease_server.SlotLeaseServer(
+        coordinated, clock.now, _ignore
+    )
     auth = peer_auth.PeerAuth("secret")
     route = (
         peers.SLOTS_PATH,
         handlers.SlotsHandler,
-        {"auth": auth, "desk": desk},
+        {"auth": auth, "desk": lease_server},
     )
     client = http_client.HttpClient()
     sequence = 0
@@ -171,7 +173,7 @@
         response = await client.call(
             _HOST, port, "POST", peers.SLOTS_PATH, headers, body
         )
-        codec.decode(messages.SlotsAnswer, await response.read(1_000_000))
+        codec.decode(messages.SlotsResponse, await response.read(1_000_000))
 
     try:
         return await _measure([route], exchange)
--- a/src/cowsliprill/dispatch/canceller.py
+++ b/src/cowsliprill/dispatch/canceller.py
@@ -10,8 +10,8 @@
 from cowsliprill.decisions import cancel_queue
 from cowsliprill.decisions import model
 from cowsliprill.decisions import rendezvous
+from cowsliprill.dispatch import context as context_lib
 from cowsliprill.dispatch import messages
-from cowsliprill.dispatch import world as context_lib
 
 _MAX_SLEEP_S = 1.0
 _CALL_TIMEOUT_S = 1.0
@@ -141,7 +141,7 @@
             response = await self._context.peers.call(
                 "POST", url, body, headers=self._context.auth.headers(body)
             )
-            answer = codec.decode(messages.CancelsAnswer, response.body)
+            answer = codec.decode(messages.CancelsResponse, response.body)
             accepted = answer.taken == len(cancellations)
         except (peer_client.PeerError, codec.CodecError):
             accepted = False
--- a/src/cowsliprill/dispatch/world.py
+++ b/src/cowsliprill/dispatch/context.py
@@ -6,7 +6,7 @@
 from cowsliprill import peer_auth
 from cowsliprill import peer_client
 from cowsliprill.decisions import model
-from cowsliprill.dispatch import homes as homes_lib
+from cowsliprill.dispatch import coordinated_endpoints as coordinated_lib
 from cowsliprill.engines import engine_client
 from cowsliprill.engines import errors as engine_errors
 from cowsliprill.engines import protocol
@@ -36,7 +36,7 @@
 
     environment: environment_lib.Environment
     follower: follower_lib.Follower
-    coordinated: homes_lib.Homes
+    coordinated: coordinated_lib.CoordinatedEndpoints
     engines: engine_client.EngineClient
     peers: peer_client.PeerClient
     auth: peer_auth.PeerAuth
--- a/src/cowsliprill/dispatch/homes.py
+++ b/src/cowsliprill/dispatch/coordinated_endpoints.py
@@ -11,8 +11,8 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import slot_ledger
-from cowsliprill.dispatch import prefix_feed
-from cowsliprill.dispatch import settling as reclaim_lib
+from cowsliprill.dispatch import prefix_change_log
+from cowsliprill.dispatch import reclaim_period as reclaim_lib
 from cowsliprill.engines import model as engine_model
 
 
@@ -35,12 +35,12 @@
     reclaim: reclaim_lib.ReclaimPeriod | None
     load_read_at: float
     load_report: engine_model.LoadReport | None = None
-    prefix_changes: prefix_feed.PrefixChangeLog = dataclasses.field(
-        default_factory=prefix_feed.PrefixChangeLog
+    prefix_changes: prefix_change_log.PrefixChangeLog = dataclasses.field(
+        default_factory=prefix_change_log.PrefixChangeLog
     )
 
 
-class Homes:
+class CoordinatedEndpoints:
     """The endpoints that this VM coordinates, with their slot ledgers.
 
     Args:
--- a/src/cowsliprill/dispatch/handlers.py
+++ b/src/cowsliprill/dispatch/handlers.py
@@ -7,7 +7,7 @@
 from cowsliprill import peer_handler
 from cowsliprill.dispatch import canceller as canceller_lib
 from cowsliprill.dispatch import messages
-from cowsliprill.dispatch import slot_desk
+from cowsliprill.dispatch import slot_lease_server
 
 
 class _PeerHandler(peer_handler.PeerHandler):
@@ -18,7 +18,7 @@
     """Handles `POST /v1/slots`, a long poll for slot leases."""
 
     def initialize(
-        self, auth: peer_auth.PeerAuth, desk: slot_desk.SlotDesk
+        self, auth: peer_auth.PeerAuth, desk: slot_lease_server.SlotLeaseServer
     ) -> None:
         """Stores the dependencies of the handler.
 
@@ -79,4 +79,4 @@
         if request is None:
             return
         self._canceller.add(request.cancels)
-        self.answer(messages.CancelsAnswer(taken=len(request.cancels)))
+        self.answer(messages.CancelsResponse(taken=len(request.cancels)))
--- a/src/cowsliprill/dispatch/reporter.py
+++ b/src/cowsliprill/dispatch/load_poller.py
@@ -4,9 +4,9 @@
 
 from cowsliprill import clock
 from cowsliprill.decisions import model
-from cowsliprill.dispatch import homes as homes_lib
-from cowsliprill.dispatch import pace
-from cowsliprill.dispatch import world as context_lib
+from cowsliprill.dispatch import context as context_lib
+from cowsliprill.dispatch import coordinated_endpoints as coordinated_lib
+from cowsliprill.dispatch import polling
 from cowsliprill.engines import errors as engine_errors
 
 _MAX_BYTES_PER_S = 1_000
@@ -35,7 +35,7 @@
             await asyncio.gather(*(self._poll(each) for each in states))
             self._update_slot_gauges(states)
             await asyncio.sleep(
-                pace.poll_interval_s(
+                polling.poll_interval_s(
                     self._round_bytes,
                     bytes_per_s=_MAX_BYTES_PER_S,
                     min_interval_s=_MIN_INTERVAL_S,
@@ -43,7 +43,7 @@
                 )
             )
 
-    async def _poll(self, state: homes_lib.CoordinatedEndpoint) -> None:
+    async def _poll(self, state: coordinated_lib.CoordinatedEndpoint) -> None:
         self._round_bytes += _LOAD_REPORT_BYTES
         requested_at = clock.now()
         try:
@@ -56,7 +56,7 @@
             await self._context.report_if_draining(state.endpoint, error)
 
     async def _poll_cache_events(
-        self, state: homes_lib.CoordinatedEndpoint
+        self, state: coordinated_lib.CoordinatedEndpoint
     ) -> None:
         prefix_changes = state.prefix_changes
         events = await self._context.engines.cache_events(
@@ -68,7 +68,7 @@
         prefix_changes.apply(events)
 
     def _update_slot_gauges(
-        self, states: list[homes_lib.CoordinatedEndpoint]
+        self, states: list[coordinated_lib.CoordinatedEndpoint]
     ) -> None:
         gauge = self._context.metrics.slots
         for state in states:
--- a/src/cowsliprill/dispatch/messages.py
+++ b/src/cowsliprill/dispatch/messages.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class SlotsAnswer:
+class SlotsResponse:
     """Response body of `POST /v1/slots`.
 
     Attributes:
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CancelsAnswer:
+class CancelsResponse:
     """Response body of `POST /v1/cancels`.
 
     Attributes:
--- a/src/cowsliprill/dispatch/orderer.py
+++ b/src/cowsliprill/dispatch/order_sender.py
@@ -6,8 +6,8 @@
 from cowsliprill import clock
 from cowsliprill.decisions import fencing
 from cowsliprill.decisions import model
-from cowsliprill.dispatch import world as context_lib
-from cowsliprill.dispatch import zone as zone_lib
+from cowsliprill.dispatch import context as context_lib
+from cowsliprill.dispatch import zone_monitor as zone_monitor_lib
 from cowsliprill.engines import errors as engine_errors
 
 _INTERVAL_S = 0.25
@@ -24,7 +24,7 @@
     def __init__(
         self,
         context: context_lib.DispatchContext,
-        zone_monitor: zone_lib.ZoneMonitor,
+        zone_monitor: zone_monitor_lib.ZoneMonitor,
     ) -> None:
         self._context = context
         self._zone_monitor = zone_monitor
--- a/src/cowsliprill/dispatch/sweeper.py
+++ b/src/cowsliprill/dispatch/orphan_reaper.py
@@ -11,10 +11,10 @@
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import model
 from cowsliprill.decisions import orphans
-from cowsliprill.dispatch import pace
+from cowsliprill.dispatch import context as context_lib
+from cowsliprill.dispatch import polling
 from cowsliprill.dispatch import port_probe
-from cowsliprill.dispatch import world as context_lib
-from cowsliprill.dispatch import zone as zone_lib
+from cowsliprill.dispatch import zone_monitor as zone_monitor_lib
 from cowsliprill.engines import errors as engine_errors
 from cowsliprill.engines import model as engine_model
 
@@ -48,7 +48,7 @@
     def __init__(
         self,
         context: context_lib.DispatchContext,
-        zone_monitor: zone_lib.ZoneMonitor,
+        zone_monitor: zone_monitor_lib.ZoneMonitor,
         cancel: Callable[[Iterable[cancel_queue.Cancellation]], None],
     ) -> None:
         self._context = context
@@ -135,7 +135,7 @@
     def _read_interval_s(self) -> float:
         requests = sum(map(len, self._requests_by_endpoint.values()))
         engines = len(self._context.coordinated.by_id)
-        return pace.poll_interval_s(
+        return polling.poll_interval_s(
             engines * _BYTES_PER_ENGINE + requests * _BYTES_PER_REQUEST,
             bytes_per_s=_MAX_BYTES_PER_S,
             min_interval_s=_CYCLE_INTERVAL_S,
--- a/src/cowsliprill/dispatch/process.py
+++ b/src/cowsliprill/dispatch/process.py
@@ -12,14 +12,14 @@
 from cowsliprill import peers
 from cowsliprill import process
 from cowsliprill.dispatch import canceller as canceller_lib
+from cowsliprill.dispatch import context as context_lib
+from cowsliprill.dispatch import coordinated_endpoints as coordinated_lib
 from cowsliprill.dispatch import handlers
-from cowsliprill.dispatch import homes as homes_lib
-from cowsliprill.dispatch import orderer as order_sender_lib
-from cowsliprill.dispatch import reporter as load_poller_lib
-from cowsliprill.dispatch import slot_desk
-from cowsliprill.dispatch import sweeper as orphan_reaper_lib
-from cowsliprill.dispatch import world as context_lib
-from cowsliprill.dispatch import zone as zone_lib
+from cowsliprill.dispatch import load_poller as load_poller_lib
+from cowsliprill.dispatch import order_sender as order_sender_lib
+from cowsliprill.dispatch import orphan_reaper as orphan_reaper_lib
+from cowsliprill.dispatch import slot_lease_server
+from cowsliprill.dispatch import zone_monitor as zone_monitor_lib
 from cowsliprill.engines import engine_client
 from cowsliprill.engines import http_client
 from cowsliprill.observability import log as log_lib
@@ -49,14 +49,14 @@
         self._context = context_lib.DispatchContext(
             environment=environment,
             follower=follower_lib.Follower(environment, client, log),
-            coordinated=homes_lib.Homes(environment.vm),
+            coordinated=coordinated_lib.CoordinatedEndpoints(environment.vm),
             engines=engine_client.EngineClient(self._http_client),
             peers=client,
             auth=peer_auth.PeerAuth(environment.peer_secret.get_secret_value()),
             log=log,
             metrics=metrics,
         )
-        self._zone_monitor = zone_lib.ZoneMonitor(self._context)
+        self._zone_monitor = zone_monitor_lib.ZoneMonitor(self._context)
         self._canceller = canceller_lib.Canceller(self._context)
         self._orphan_reaper = orphan_reaper_lib.OrphanReaper(
             self._context, self._zone_monitor, self._canceller.add
@@ -65,7 +65,7 @@
             self._context, self._zone_monitor
         )
         self._load_poller = load_poller_lib.LoadPoller(self._context)
-        self._lease_server = slot_desk.SlotDesk(
+        self._lease_server = slot_lease_server.SlotLeaseServer(
             self._context.coordinated,
             clock.now,
             self._orphan_reaper.record_heartbeat,
--- a/src/cowsliprill/dispatch/slot_desk.py
+++ b/src/cowsliprill/dispatch/slot_lease_server.py
@@ -11,8 +11,8 @@
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import messages as decision_messages
 from cowsliprill.decisions import slot_ledger
+from cowsliprill.dispatch import coordinated_endpoints as coordinated_lib
 from cowsliprill.dispatch import errors
-from cowsliprill.dispatch import homes as homes_lib
 from cowsliprill.dispatch import messages
 
 # A lease that expires during the wait makes the response useless, and an entry
@@ -37,7 +37,7 @@
     ready: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
-class SlotDesk:
+class SlotLeaseServer:
     """Answers slot demands at once or when slots become available.
 
     Args:
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        coordinated: homes_lib.Homes,
+        coordinated: coordinated_lib.CoordinatedEndpoints,
         clock: Callable[[], float],
         record_heartbeat: Callable[[identity.Incarnation], None],
     ) -> None:
@@ -60,7 +60,7 @@
 
     async def handle(
         self, request: messages.SlotsRequest
-    ) -> messages.SlotsAnswer:
+    ) -> messages.SlotsResponse:
         """Handles the slot demands of one entry process.
 
         Args:
@@ -150,13 +150,13 @@
         request: messages.SlotsRequest,
         grants_by_endpoint: dict[str, decision_messages.SlotGrant],
         received_at: float,
-    ) -> messages.SlotsAnswer:
+    ) -> messages.SlotsResponse:
         now = self._clock()
         grants = [
             self._coordinated.with_endpoint_updates(request.entry, grant, now)
             for grant in grants_by_endpoint.values()
         ]
-        return messages.SlotsAnswer(
+        return messages.SlotsResponse(
             grants=tuple(_to_wire(grant, received_at) for grant in grants),
             not_home=tuple(
                 demand.endpoint_id
--- a/src/cowsliprill/dispatch/zone.py
+++ b/src/cowsliprill/dispatch/zone_monitor.py
@@ -7,7 +7,7 @@
 from cowsliprill import peers
 from cowsliprill.decisions import fencing
 from cowsliprill.decisions import model
-from cowsliprill.dispatch import world as context_lib
+from cowsliprill.dispatch import context as context_lib
 
 _TIMEOUT_S = 1.0
 
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_asker.py
@@ -171,7 +171,7 @@
 
     async def _call(
         self, vm: model.Vm, asks: list[messages.SlotDemand], wait_s: float
-    ) -> slot_messages.SlotsAnswer:
+    ) -> slot_messages.SlotsResponse:
         for ask in asks:
             labels = {"endpoint": ask.endpoint_id, "state": "in_use"}
             self._metrics.slots.set(labels, ask.in_use)
@@ -184,7 +184,7 @@
         text = await self._homes.post(
             vm, peers.SLOTS_PATH, request, wait_s + _ANSWER_S
         )
-        answer = codec.decode(slot_messages.SlotsAnswer, text)
+        answer = codec.decode(slot_messages.SlotsResponse, text)
         for grant in answer.grants:
             self._take_grant(grant, sent_at)
         return answer
@@ -209,7 +209,7 @@
         self._metrics.slots.set(labels, wire.slots)
         self._scheduling.post(grant)
 
-    def _take(self, home: _Home, answer: slot_messages.SlotsAnswer) -> None:
+    def _take(self, home: _Home, answer: slot_messages.SlotsResponse) -> None:
         if not home.reachable:
             self._log.event("home_reachable", vm=home.vm.id)
         home.reachable = True
--- a/tests/entry_site.py
+++ b/tests/entry_site.py
@@ -120,7 +120,7 @@
 
     def answer(
         self, request: slot_messages.SlotsRequest
-    ) -> slot_messages.SlotsAnswer:
+    ) -> slot_messages.SlotsResponse:
         now = clock.now()
         grants = []
         for ask in request.asks:
@@ -136,7 +136,7 @@
                     sequence=grant.sequence,
                 )
             )
-        return slot_messages.SlotsAnswer(grants=tuple(grants))
+        return slot_messages.SlotsResponse(grants=tuple(grants))
 
 
 @dataclasses.dataclass
--- a/tests/test_dispatch_world.py
+++ b/tests/test_dispatch_context.py
@@ -9,7 +9,7 @@
 from tornado import web
 
 from cowsliprill.decisions import model
-from cowsliprill.dispatch import world as context_lib
+from cowsliprill.dispatch import context as context_lib
 from cowsliprill.engines import engine_client
 from cowsliprill.engines import errors
 from cowsliprill.engines import http_client
--- a/tests/test_dispatch_slots.py
+++ b/tests/test_dispatch_slots.py
@@ -18,10 +18,10 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import rendezvous
 from cowsliprill.decisions import slot_ledger
+from cowsliprill.dispatch import coordinated_endpoints as coordinated_lib
 from cowsliprill.dispatch import handlers
-from cowsliprill.dispatch import homes as homes_lib
 from cowsliprill.dispatch import messages
-from cowsliprill.dispatch import slot_desk
+from cowsliprill.dispatch import slot_lease_server
 
 _ENTRY_A = "vm-a.e0.one"
 _ENTRY_B = "vm-b.e0.two"
@@ -77,8 +77,10 @@
     return messages.SlotsRequest(entry=entry, asks=demands, wait_s=wait_s)
 
 
-def _coordinated_with_two_vms(slot_count: int) -> homes_lib.Homes:
-    coordinated = homes_lib.Homes(_coordinator_of("d0"))
+def _coordinated_with_two_vms(
+    slot_count: int,
+) -> coordinated_lib.CoordinatedEndpoints:
+    coordinated = coordinated_lib.CoordinatedEndpoints(_coordinator_of("d0"))
     fleet = _fleet("vm-a", "vm-b")
     coordinated.update(_snapshot(_endpoint("d0", slot_count)), fleet, 0.0)
     return coordinated
@@ -106,7 +108,7 @@
     """Slot ledgers of coordinated endpoints, also after a handover."""
 
     def test_endpoint_with_another_coordinator_has_no_ledger(self) -> None:
-        coordinated = homes_lib.Homes("vm-a")
+        coordinated = coordinated_lib.CoordinatedEndpoints("vm-a")
         coordinated.update(_snapshot(_endpoint("d0", 20)), _fleet("vm-b"), 0.0)
         assert (
             coordinated.process_demand(_ENTRY_A, _demand("d0", 0, 1), 10.0)
@@ -173,7 +175,7 @@
         assert wanter.slots == 1
 
     def test_update_without_changes_keeps_the_leases(self) -> None:
-        coordinated = homes_lib.Homes("vm-a")
+        coordinated = coordinated_lib.CoordinatedEndpoints("vm-a")
         coordinated.update(_snapshot(_endpoint("d0", 2)), _fleet("vm-a"), 0.0)
         coordinated.process_demand(_ENTRY_A, _demand("d0", 2, 2), 5.0)
         coordinated.update(_snapshot(_endpoint("d0", 2)), _fleet("vm-a"), 5.0)
@@ -182,17 +184,17 @@
         assert grant.slots == 0
 
 
-def _lease_server() -> tuple[slot_desk.SlotDesk, _Clock]:
-    coordinated = homes_lib.Homes("vm-a")
+def _lease_server() -> tuple[slot_lease_server.SlotLeaseServer, _Clock]:
+    coordinated = coordinated_lib.CoordinatedEndpoints("vm-a")
     coordinated.update(_snapshot(_endpoint("d0", 1)), _fleet("vm-a"), 0.0)
     clock = _Clock()
-    return slot_desk.SlotDesk(
+    return slot_lease_server.SlotLeaseServer(
         coordinated, clock, lambda incarnation: None
     ), clock
 
 
 async def _start_request(
-    lease_server: slot_desk.SlotDesk, entry: str
+    lease_server: slot_lease_server.SlotLeaseServer, entry: str
 ) -> asyncio.Task:
     request = _request(entry, _demand("d0", 0, 1), wait_s=9.0)
     task = asyncio.ensure_future(lease_server.handle(request))
@@ -205,7 +207,7 @@
     """When a long poll for slots ends."""
 
     def test_long_poll_ends_when_a_slot_is_released(self) -> None:
-        async def scenario() -> messages.SlotsAnswer:
+        async def scenario() -> messages.SlotsResponse:
             lease_server, _ = _lease_server()
             await lease_server.handle(_request(_ENTRY_A, _demand("d0", 1, 1)))
             pending = await _start_request(lease_server, _ENTRY_B)
@@ -224,7 +226,7 @@
         slot without use, and another customer would wait for a whole lease.
         """
 
-        async def scenario() -> messages.SlotsAnswer:
+        async def scenario() -> messages.SlotsResponse:
             lease_server, _ = _lease_server()
             await lease_server.handle(_request(_ENTRY_A, _demand("d0", 1, 1)))
             pending = await _start_request(lease_server, _ENTRY_B)
@@ -238,7 +240,7 @@
         assert [grant.slots for grant in answer.grants] == [1]
 
     def test_endpoint_with_another_coordinator_ends_the_wait(self) -> None:
-        async def scenario() -> messages.SlotsAnswer:
+        async def scenario() -> messages.SlotsResponse:
             lease_server, _ = _lease_server()
             return await lease_server.handle(
                 _request(_ENTRY_A, _demand("other", 0, 1), wait_s=9.0)
--- a/tests/test_sweeper.py
+++ b/tests/test_orphan_reaper.py
@@ -7,9 +7,9 @@
 from cowsliprill.decisions import cancel_queue
 from cowsliprill.decisions import model
 from cowsliprill.decisions import orphans
-from cowsliprill.dispatch import homes as homes_lib
-from cowsliprill.dispatch import sweeper as reaper_lib
-from cowsliprill.dispatch import world as context_lib
+from cowsliprill.dispatch import context as context_lib
+from cowsliprill.dispatch import coordinated_endpoints as coordinated_lib
+from cowsliprill.dispatch import orphan_reaper as reaper_lib
 from cowsliprill.engines import model as engine_model
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
@@ -79,7 +79,7 @@
         endpoints_by_id={each.id: each for each in engines},
     )
     fleet = model.Fleet(version=1, vms_by_id={own.id: own})
-    coordinated = homes_lib.Homes(own.id)
+    coordinated = coordinated_lib.CoordinatedEndpoints(own.id)
     coordinated.update(snapshot, fleet, 0.0)
     unused: Any = None
     context = context_lib.DispatchContext(
--- a/tests/test_prefix_feed.py
+++ b/tests/test_prefix_change_log.py
@@ -3,8 +3,8 @@
 import hypothesis
 from hypothesis import strategies
 
-from cowsliprill.dispatch import pace
-from cowsliprill.dispatch import prefix_feed
+from cowsliprill.dispatch import polling
+from cowsliprill.dispatch import prefix_change_log
 from cowsliprill.engines import model
 
 _SETTINGS = hypothesis.settings(
@@ -20,7 +20,7 @@
         self.epoch = 0
         self.cached: set[int] = set()
 
-    def read_all(self, log: prefix_feed.PrefixChangeLog) -> None:
+    def read_all(self, log: prefix_change_log.PrefixChangeLog) -> None:
         while True:
             update = log.update_for(_ENTRY)
             if update.epoch != self.epoch:
@@ -71,7 +71,7 @@
         A block that was evicted during the gap would attract requests to an
         engine that has to prefill the whole prompt, which delays the response.
         """
-        log = prefix_feed.PrefixChangeLog()
+        log = prefix_change_log.PrefixChangeLog()
         view = _EntryView()
         stored_since_gap: set[int] = set()
         for changes, gap in rounds:
@@ -87,11 +87,11 @@
             assert view.cached == stored_since_gap
 
     def test_an_update_is_limited_in_size(self) -> None:
-        log = prefix_feed.PrefixChangeLog()
+        log = prefix_change_log.PrefixChangeLog()
         changes = [(block, True) for block in range(100)]
         log.apply(_events(changes, 0, False))
         update = log.update_for(_ENTRY)
-        assert len(update.stored) == prefix_feed.MAX_BLOCKS_PER_UPDATE
+        assert len(update.stored) == prefix_change_log.MAX_BLOCKS_PER_UPDATE
 
 
 class TestPollIntervalS:
@@ -99,7 +99,7 @@
 
     def test_interval_grows_with_the_bytes_of_a_round(self) -> None:
         intervals = [
-            pace.poll_interval_s(
+            polling.poll_interval_s(
                 size, bytes_per_s=1_000, min_interval_s=1.0, max_interval_s=60.0
             )
             for size in (10, 5_000, 10**9)
--- a/tests/test_slot_asker.py
+++ b/tests/test_slot_asker.py
@@ -140,7 +140,7 @@
                 endpoint_id="draft-d1", slots=0, expires_in_s=2.0, sequence=1
             )
             homes.answers.put_nowait(
-                slot_messages.SlotsAnswer(
+                slot_messages.SlotsResponse(
                     grants=(grant,), unsettled=("draft-d1",)
                 )
             )
