--- a/src/cowsliprill/cells/caller.py
+++ b/src/cowsliprill/cells/caller.py
@@ -11,22 +11,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HomesCaller:
+class CoordinatorCaller:
     """Calls homes.
 
     Attributes:
       vm_id: Id of this VM.
-      own: The cells that this process is home to.
+      local: The cells that this process is home to.
       client: Calls the other VMs.
     """
 
     vm_id: str
-    own: homes_lib.Homes
+    local: homes_lib.Homes
     client: home_client.HomeClient
 
     async def post(
-        self, vm: model.Vm, request: wire.CellRequest, timeout_s: float
-    ) -> wire.CellAnswer:
+        self, vm: model.Vm, request: wire.SchedulingRequest, timeout_s: float
+    ) -> wire.SchedulingResponse:
         """Sends a message to a home.
 
         Args:
@@ -41,6 +41,6 @@
           errors.CowsliprillError: There was no usable answer.
         """
         if vm.id == self.vm_id:
-            return await self.own.answer(request)
+            return await self.local.handle(request)
         text = await self.client.post(vm, peers.CELLS_PATH, request, timeout_s)
-        return codec.decode(wire.CellAnswer, text)
+        return codec.decode(wire.SchedulingResponse, text)
--- a/src/cowsliprill/cells/client.py
+++ b/src/cowsliprill/cells/client.py
@@ -21,20 +21,23 @@
 from cowsliprill.observability import log as log_lib
 
 # A home hears of an entry that has requests at least this often.
-PING_S = 0.8
+HEARTBEAT_INTERVAL_S = 0.8
 
 # A call to a home takes some milliseconds; one that takes this long beyond
 # what it may be held back is lost. Callers wait meanwhile.
-_CALL_S = 0.35
-_HOLD_S = 0.4
+_CALL_TIMEOUT_S = 0.35
+_LONG_POLL_S = 0.4
 
-_PAUSE_S = 0.02
+_CALL_DELAY_S = 0.02
 
-Post = Callable[[model.Vm, wire.CellRequest, float], Awaitable[wire.CellAnswer]]
+Post = Callable[
+    [model.Vm, wire.SchedulingRequest, float],
+    Awaitable[wire.SchedulingResponse],
+]
 
 
 @dataclasses.dataclass(slots=True)
-class _Placed:
+class _TrackedRequest:
     """What this entry knows of one of its requests.
 
     Attributes:
@@ -66,64 +69,65 @@
         pool: str,
         entry: str,
         post: Post,
-        world: world_lib.World,
+        cluster_state: world_lib.World,
         log: log_lib.Log,
     ) -> None:
         self._pool = pool
         self._entry = entry
         self._post = post
-        self._world = world
+        self._cluster_state = cluster_state
         self._log = log
-        self.placed_by_number: dict[int, _Placed] = {}
-        self.prompt_part = 0.0
-        self.attentive = False
+        self.tracked_by_id: dict[int, _TrackedRequest] = {}
+        self.prefill_fraction = 0.0
+        self.polling = False
         self._choice = home_choice.HomeChoice(pool)
         self._epoch = 0
         self._outbox: channel.Outbox[wire.Event] = channel.Outbox()
         self._inbox = channel.Inbox()
-        self._news = asyncio.Event()
-        self._waiting = asyncio.Event()
+        self._send_due = asyncio.Event()
+        self._has_queued = asyncio.Event()
         self._tasks = [
-            asyncio.create_task(work) for work in (self._send(), self._poll())
+            asyncio.create_task(coroutine)
+            for coroutine in (self._send(), self._poll())
         ]
 
-    def submit(self, placed: _Placed) -> None:
+    def submit(self, tracked: _TrackedRequest) -> None:
         """Takes a new request."""
         # Looked up first: a change of home states all that is placed, and this
         # request would be stated twice.
-        self._look_up_home()
-        self.placed_by_number[placed.submit.request_id] = placed
-        self._waiting.set()
-        request = wire.write_request(placed.submit, clock.now())
+        self._update_coordinator()
+        self.tracked_by_id[tracked.submit.request_id] = tracked
+        self._has_queued.set()
+        request = wire.request_to_wire(tracked.submit, clock.now())
         self._add(wire.Submit(kind="submit", request=request))
 
-    def add(self, event: messages.Event, number: int) -> None:
+    def add(self, event: messages.Event, request_id: int) -> None:
         """Takes an event of a request that was submitted."""
-        placed = self.placed_by_number.get(number)
-        if placed is None:
+        tracked = self.tracked_by_id.get(request_id)
+        if tracked is None:
             return
         match event:
             case messages.PrefillFinished():
-                placed.stage = messages.Stage.TRANSFER
+                tracked.stage = messages.Stage.TRANSFER
             case messages.FirstToken():
-                placed.stage = messages.Stage.DECODE
+                tracked.stage = messages.Stage.DECODE
             case messages.AttemptFailed():
-                placed.start = None
-                placed.stage = messages.Stage.QUEUED
-                self._waiting.set()
+                tracked.start = None
+                tracked.stage = messages.Stage.QUEUED
+                self._has_queued.set()
             case messages.Finished() | messages.Cancel():
-                del self.placed_by_number[number]
-        self._add(wire.write_event(event))
+                del self.tracked_by_id[request_id]
+        self._add(wire.event_to_wire(event))
 
-    def world_changed(self) -> None:
+    def cluster_state_changed(self) -> None:
         """Turns to another home if the VM list names one."""
-        self._look_up_home()
+        self._update_coordinator()
 
-    def be_attentive(self, attentive: bool) -> None:
+    def set_polling(self, enabled: bool) -> None:
         """Has the home asked now and then though there are no requests."""
-        if attentive and not self.attentive:
-            self._news.set()
-        self.attentive = attentive
+        if enabled and not self.polling:
+            self._send_due.set()
+        self.polling = enabled
 
     def close(self) -> None:
         """Ends the tasks."""
@@ -132,29 +136,31 @@
 
     def _add(self, event: wire.Event) -> None:
         self._outbox.add(event)
-        self._news.set()
+        self._send_due.set()
 
-    def _look_up_home(self) -> None:
-        vms_by_id = self._world.fleet.vms_by_id
+    def _update_coordinator(self) -> None:
+        vms_by_id = self._cluster_state.fleet.vms_by_id
         if self._choice.look_up(vms_by_id, clock.now()):
-            self._turned()
+            self._coordinator_changed()
 
-    def _turned(self) -> None:
-        home = self._choice.home
+    def _coordinator_changed(self) -> None:
+        coordinator = self._choice.home
         self._log.event(
-            "home_chosen", pool=self._pool, vm=home.id if home else ""
+            "home_chosen",
+            pool=self._pool,
+            vm=coordinator.id if coordinator else "",
         )
-        self._begin_anew()
+        self._reset_channel()
 
-    def _begin_anew(self) -> None:
+    def _reset_channel(self) -> None:
         """States all requests to a home that doesn't know of them."""
         self._epoch += 1
         self._outbox = channel.Outbox()
         self._inbox = channel.Inbox()
         now = clock.now()
-        for placed in self.placed_by_number.values():
-            request = wire.write_request(placed.submit, now)
-            start = placed.start
+        for tracked in self.tracked_by_id.values():
+            request = wire.request_to_wire(tracked.submit, now)
+            start = tracked.start
             if start is None:
                 self._add(wire.Submit(kind="submit", request=request))
                 continue
@@ -162,7 +168,7 @@
                 wire.Adopt(
                     kind="adopt",
                     request=request,
-                    stage=placed.stage,
+                    stage=tracked.stage,
                     prefill_id=start.prefill_id,
                     decode_id=start.decode_id,
                     slots=start.slots,
@@ -170,49 +176,51 @@
                 )
             )
 
-    def _waits(self) -> bool:
+    def _any_queued(self) -> bool:
         return any(
-            placed.start is None for placed in self.placed_by_number.values()
+            tracked.start is None for tracked in self.tracked_by_id.values()
         )
 
     async def _send(self) -> None:
         """Sends what is new at once, else a sign of life if there is need."""
         while True:
-            needed = self.attentive or bool(self.placed_by_number)
+            heartbeat_needed = self.polling or bool(self.tracked_by_id)
             try:
-                async with asyncio.timeout(PING_S if needed else None):
-                    await self._news.wait()
+                async with asyncio.timeout(
+                    HEARTBEAT_INTERVAL_S if heartbeat_needed else None
+                ):
+                    await self._send_due.wait()
             except TimeoutError:
-                self._look_up_home()
-            self._news.clear()
-            answered = await self._call(0.0)
-            if self._outbox.pending() or (needed and not answered):
-                await asyncio.sleep(_PAUSE_S)
-                self._news.set()
+                self._update_coordinator()
+            self._send_due.clear()
+            responded = await self._call_coordinator(0.0)
+            if self._outbox.pending() or (heartbeat_needed and not responded):
+                await asyncio.sleep(_CALL_DELAY_S)
+                self._send_due.set()
 
     async def _poll(self) -> None:
         """Waits at the home for decisions while requests wait here."""
         while True:
-            if not self._waits():
-                self._waiting.clear()
-                await self._waiting.wait()
+            if not self._any_queued():
+                self._has_queued.clear()
+                await self._has_queued.wait()
             # Most requests are placed by the answer to the call that brought
             # them; only those that aren't are worth another call.
-            await asyncio.sleep(_PAUSE_S)
-            if self._waits():
-                await self._call(_HOLD_S)
+            await asyncio.sleep(_CALL_DELAY_S)
+            if self._any_queued():
+                await self._call_coordinator(_LONG_POLL_S)
 
-    async def _call(self, wait_s: float) -> bool:
+    async def _call_coordinator(self, wait_s: float) -> bool:
         """Calls the home once; returns whether it answered."""
         if self._choice.home is None:
-            self._look_up_home()
-        home, epoch = self._choice.home, self._epoch
-        if home is None:
+            self._update_coordinator()
+        coordinator, epoch = self._choice.home, self._epoch
+        if coordinator is None:
             return False
         # A held call carries no events: those go out by calls of their own,
         # which nothing holds up.
         events = () if wait_s else self._outbox.pending()
-        request = wire.CellRequest(
+        request = wire.SchedulingRequest(
             entry=self._entry,
             pool=self._pool,
             epoch=epoch,
@@ -223,63 +231,65 @@
             avoids=self._choice.avoided(clock.now()),
         )
         try:
-            answer = await self._post(home, request, _CALL_S + wait_s)
+            response = await self._post(
+                coordinator, request, _CALL_TIMEOUT_S + wait_s
+            )
         except errors.CowsliprillError as error:
-            self._note_failure(home, error)
+            self._record_failure(coordinator, error)
             return False
         self._choice.answered()
         if epoch != self._epoch:
             return True
-        if answer.home is not None:
-            named = wire.read_home(answer.home)
-            if self._choice.follow(home, named, clock.now()):
-                self._turned()
+        if response.home is not None:
+            redirect = wire.coordinator_from_wire(response.home)
+            if self._choice.follow(coordinator, redirect, clock.now()):
+                self._coordinator_changed()
             return True
-        if not answer.known:
-            self._begin_anew()
+        if not response.known:
+            self._reset_channel()
             return True
         # A home that has just begun doesn't know; what the one before it said
         # holds until then, or engines would be told to change back and forth.
-        self.prompt_part = answer.prompt_part or self.prompt_part
-        self._outbox.acknowledge(answer.acknowledged)
-        self._take(answer)
+        self.prefill_fraction = response.prompt_part or self.prefill_fraction
+        self._outbox.acknowledge(response.acknowledged)
+        self._apply(response)
         return True
 
-    def _take(self, answer: wire.CellAnswer) -> None:
+    def _apply(self, response: wire.SchedulingResponse) -> None:
         decisions = [
             decision
             for _, decision in sorted(
-                (*answer.starts, *answer.refusals), key=lambda pair: pair[0]
+                (*response.starts, *response.refusals), key=lambda pair: pair[0]
             )
         ]
         now = clock.now()
-        for decision in self._inbox.take(answer.first, decisions):
-            placed = self.placed_by_number.get(decision.request_id)
-            if placed is None:
+        for decision in self._inbox.take(response.first, decisions):
+            tracked = self.tracked_by_id.get(decision.request_id)
+            if tracked is None:
                 continue
             match decision:
                 case messages.Start():
                     start = dataclasses.replace(decision, decided_at=now)
-                    placed.start = start
-                    placed.stage = messages.Stage.PREFILL
-                    placed.decisions.put_nowait(start)
+                    tracked.start = start
+                    tracked.stage = messages.Stage.PREFILL
+                    tracked.decisions.put_nowait(start)
                 case messages.Refuse():
-                    del self.placed_by_number[decision.request_id]
-                    placed.decisions.put_nowait(decision)
+                    del self.tracked_by_id[decision.request_id]
+                    tracked.decisions.put_nowait(decision)
 
-    def _note_failure(self, home: model.Vm, error: Exception) -> None:
-        failures = self._choice.failed(home, clock.now())
+    def _record_failure(self, coordinator: model.Vm, error: Exception) -> None:
+        failures = self._choice.failed(coordinator, clock.now())
         if not failures:
             return
         self._log.warning(
             "home_failed",
             pool=self._pool,
-            vm=home.id,
+            vm=coordinator.id,
             failures=failures,
             reason=str(error),
         )
         if failures >= home_choice.FAILURES_MAX:
-            self._look_up_home()
+            self._update_coordinator()
 
 
 class CellScheduling:
@@ -296,15 +306,15 @@
         self,
         entry: str,
         post: Post,
-        world: world_lib.World,
+        cluster_state: world_lib.World,
         log: log_lib.Log,
     ) -> None:
         self._entry = entry
         self._post = post
-        self._world = world
+        self._cluster_state = cluster_state
         self._log = log
         self._channels_by_pool: dict[str, _Channel] = {}
-        self._pools_by_number: dict[int, str] = {}
+        self._pools_by_id: dict[int, str] = {}
 
     def submit(
         self, submit: messages.Submit
@@ -318,51 +328,51 @@
           The queue by which decisions about it come, until `forget`.
         """
         pool = submit.service.pool
-        known = self._channel(pool)
+        pool_channel = self._channel(pool)
         decisions: asyncio.Queue[cell_lib.Decision] = asyncio.Queue()
-        self._pools_by_number[submit.request_id] = pool
-        known.submit(_Placed(submit, decisions))
+        self._pools_by_id[submit.request_id] = pool
+        pool_channel.submit(_TrackedRequest(submit, decisions))
         return decisions
 
     def post(self, event: messages.Event) -> None:
         """Sends an event of a request to its home."""
         if isinstance(event, messages.WorldChanged):
-            self._world_changed()
+            self._apply_cluster_state()
             return
-        number = event.request_id
-        pool = self._pools_by_number.get(number)
+        request_id = event.request_id
+        pool = self._pools_by_id.get(request_id)
         if pool is None:
             return
         if isinstance(event, messages.Finished | messages.Cancel):
-            del self._pools_by_number[number]
-        self._channels_by_pool[pool].add(event, number)
+            del self._pools_by_id[request_id]
+        self._channels_by_pool[pool].add(event, request_id)
 
-    def prompt_part(self, pool: str) -> float | None:
+    def prefill_fraction(self, pool: str) -> float | None:
         """Returns the part of a pool's work that prompts are, if known."""
-        known = self._channels_by_pool.get(pool)
-        return (known.prompt_part or None) if known else None
+        pool_channel = self._channels_by_pool.get(pool)
+        return (pool_channel.prefill_fraction or None) if pool_channel else None
 
-    def follow(self, pool: str, wanted: bool) -> None:
+    def set_polling(self, pool: str, enabled: bool) -> None:
         """Has a pool's home asked for `prompt_part` now and then, or not."""
-        if wanted or pool in self._channels_by_pool:
-            self._channel(pool).be_attentive(wanted)
+        if enabled or pool in self._channels_by_pool:
+            self._channel(pool).set_polling(enabled)
 
-    def _world_changed(self) -> None:
-        for known in self._channels_by_pool.values():
-            known.world_changed()
+    def _apply_cluster_state(self) -> None:
+        for pool_channel in self._channels_by_pool.values():
+            pool_channel.cluster_state_changed()
 
     def _channel(self, pool: str) -> _Channel:
-        known = self._channels_by_pool.get(pool)
-        if known is None:
-            known = _Channel(
+        pool_channel = self._channels_by_pool.get(pool)
+        if pool_channel is None:
+            pool_channel = _Channel(
                 pool,
                 self._entry,
                 self._post,
-                self._world,
+                self._cluster_state,
                 self._log,
             )
-            self._channels_by_pool[pool] = known
-        return known
+            self._channels_by_pool[pool] = pool_channel
+        return pool_channel
 
     def forget(self, request_id: int) -> None:
         """Does nothing: a request's end is an event of its own."""
@@ -372,5 +382,5 @@
         try:
             await asyncio.Event().wait()
         finally:
-            for known in self._channels_by_pool.values():
-                known.close()
+            for pool_channel in self._channels_by_pool.values():
+                pool_channel.close()
--- a/src/cowsliprill/cells/homes.py
+++ b/src/cowsliprill/cells/homes.py
@@ -15,19 +15,19 @@
 
 # An answer is held back no longer, so that an entry whose connection was lost
 # without a sign asks anew while its requests can still be in time.
-MAX_WAIT_S = 0.4
+LONG_POLL_MAX_S = 0.4
 
 _MIN_SLEEP_S = 0.002
 _SEED_BITS = 32
 
 # Engines are counted in whole numbers, so nothing needs the part to be finer.
-_PART_DIGITS = 3
+_FRACTION_DIGITS = 3
 
 
 @dataclasses.dataclass(slots=True)
-class _Homed:
-    cell: cell_lib.Cell
-    news_by_entry: dict[str, asyncio.Event] = dataclasses.field(
+class _HostedPool:
+    scheduler: cell_lib.Cell
+    long_polls_by_entry: dict[str, asyncio.Event] = dataclasses.field(
         default_factory=dict
     )
 
@@ -60,7 +60,7 @@
         self._log = log
         self._snapshot = model.Snapshot()
         self._fleet = model.Fleet()
-        self._homed_by_pool: dict[str, _Homed] = {}
+        self._hosted_by_pool: dict[str, _HostedPool] = {}
         self._ranking = ownership.HomeRanking()
         self._wake = asyncio.Event()
 
@@ -69,12 +69,14 @@
         self._snapshot = snapshot
         self._fleet = fleet
         now = clock.now()
-        for pool, homed in self._homed_by_pool.items():
-            homed.cell.update(snapshot, fleet, now)
-            homed.cell.set_home(self._is_home(pool), now)
-            self._notify(homed)
-
-    async def answer(self, request: wire.CellRequest) -> wire.CellAnswer:
+        for pool, hosted in self._hosted_by_pool.items():
+            hosted.scheduler.update(snapshot, fleet, now)
+            hosted.scheduler.set_home(self._is_coordinator(pool), now)
+            self._wake_long_polls(hosted)
+
+    async def handle(
+        self, request: wire.SchedulingRequest
+    ) -> wire.SchedulingResponse:
         """Takes an entry's events and returns the decisions for it.
 
         Args:
@@ -83,46 +85,50 @@
         Returns:
           The decisions; without any, the answer waits for one.
         """
-        home = self._home_for(request)
-        if home is not None:
-            return wire.CellAnswer(known=False, home=wire.write_home(home))
-        homed = self._homed(request.pool)
+        coordinator = self._coordinator_for(request)
+        if coordinator is not None:
+            return wire.SchedulingResponse(
+                known=False, home=wire.coordinator_to_wire(coordinator)
+            )
+        hosted = self._hosted(request.pool)
         now = clock.now()
-        knows = homed.cell.knows(request.entry, request.epoch)
-        begins = request.first == 1
-        old = homed.cell.is_old(request.entry, request.epoch)
-        if old or not (knows or begins):
-            return wire.CellAnswer(known=False)
-        events = tuple(wire.read_event(event, now) for event in request.events)
-        homed.cell.receive(
+        is_current = hosted.scheduler.knows(request.entry, request.epoch)
+        starts_channel = request.first == 1
+        superseded = hosted.scheduler.is_old(request.entry, request.epoch)
+        if superseded or not (is_current or starts_channel):
+            return wire.SchedulingResponse(known=False)
+        events = tuple(
+            wire.event_from_wire(event, now) for event in request.events
+        )
+        hosted.scheduler.receive(
             request.entry, request.epoch, request.first, events, now
         )
-        homed.cell.acknowledge(request.entry, request.acknowledged)
-        if not knows:
+        hosted.scheduler.acknowledge(request.entry, request.acknowledged)
+        if not is_current:
             self._log.event(
                 "cell_joined",
                 pool=request.pool,
                 entry=request.entry,
-                requests=homed.cell.running(request.entry),
-                engines=homed.cell.engines(request.pool),
+                requests=hosted.scheduler.running(request.entry),
+                engines=hosted.scheduler.engines(request.pool),
             )
         self._wake.set()
-        self._notify(homed)
+        self._wake_long_polls(hosted)
         if request.wait_s:
-            await self._wait(homed, request)
-        return self._written(homed, request)
+            await self._wait_for_decisions(hosted, request)
+        return self._response(hosted, request)
 
     async def run(self) -> None:
         """Lets time pass for the cells; ends by cancellation."""
         while True:
             self._wake.clear()
             now = clock.now()
-            for homed in self._homed_by_pool.values():
-                homed.cell.tick(now)
-                self._notify(homed)
+            for hosted in self._hosted_by_pool.values():
+                hosted.scheduler.tick(now)
+                self._wake_long_polls(hosted)
             wakeups = [
-                homed.cell.next_wakeup(now)
-                for homed in self._homed_by_pool.values()
+                hosted.scheduler.next_wakeup(now)
+                for hosted in self._hosted_by_pool.values()
             ]
             if not wakeups:
                 await self._wake.wait()
@@ -134,20 +140,22 @@
             except TimeoutError:
                 pass
 
-    def standings(self) -> dict[str, pools.Standing]:
+    def loads(self) -> dict[str, pools.Standing]:
         """Returns how full the pools are that entries ask for here."""
-        found = {}
-        for pool, homed in self._homed_by_pool.items():
-            standing = homed.cell.standing(pool)
-            if standing is not None:
-                found[pool] = standing
-        return found
-
-    def status(self) -> list[str]:
+        loads = {}
+        for pool, hosted in self._hosted_by_pool.items():
+            load = hosted.scheduler.standing(pool)
+            if load is not None:
+                loads[pool] = load
+        return loads
+
+    def hosted_pools(self) -> list[str]:
         """Returns the pools that entries ask for here."""
-        return list(self._homed_by_pool)
+        return list(self._hosted_by_pool)
 
-    def _home_for(self, request: wire.CellRequest) -> model.Vm | None:
+    def _coordinator_for(
+        self, request: wire.SchedulingRequest
+    ) -> model.Vm | None:
         """Returns the home that an entry should ask, None if it is here."""
         for vm in self._ranked(request.pool):
             if vm.id == self._vm_id:
@@ -156,55 +164,59 @@
                 return vm
         return None
 
-    def _is_home(self, pool: str) -> bool:
+    def _is_coordinator(self, pool: str) -> bool:
         ranked = self._ranked(pool)
         return bool(ranked) and ranked[0].id == self._vm_id
 
     def _ranked(self, pool: str) -> list[model.Vm]:
         return self._ranking.of(pool, self._fleet.vms_by_id)
 
-    def _homed(self, pool: str) -> _Homed:
-        homed = self._homed_by_pool.get(pool)
-        if homed is None:
+    def _hosted(self, pool: str) -> _HostedPool:
+        hosted = self._hosted_by_pool.get(pool)
+        if hosted is None:
             seed = self._random.getrandbits(_SEED_BITS)
-            homed = _Homed(cell_lib.Cell(self._availability_zone, seed))
+            hosted = _HostedPool(cell_lib.Cell(self._availability_zone, seed))
             now = clock.now()
-            homed.cell.update(self._snapshot, self._fleet, now)
-            homed.cell.set_home(self._is_home(pool), now)
-            self._homed_by_pool[pool] = homed
+            hosted.scheduler.update(self._snapshot, self._fleet, now)
+            hosted.scheduler.set_home(self._is_coordinator(pool), now)
+            self._hosted_by_pool[pool] = hosted
             self._log.event("cell_begun", pool=pool)
-        return homed
+        return hosted
 
-    async def _wait(self, homed: _Homed, request: wire.CellRequest) -> None:
-        older = homed.news_by_entry.pop(request.entry, None)
-        if older is not None:
-            older.set()
-        if homed.cell.has_news(request.entry):
+    async def _wait_for_decisions(
+        self, hosted: _HostedPool, request: wire.SchedulingRequest
+    ) -> None:
+        previous = hosted.long_polls_by_entry.pop(request.entry, None)
+        if previous is not None:
+            previous.set()
+        if hosted.scheduler.has_news(request.entry):
             return
-        news = asyncio.Event()
-        homed.news_by_entry[request.entry] = news
+        long_poll = asyncio.Event()
+        hosted.long_polls_by_entry[request.entry] = long_poll
         try:
-            async with asyncio.timeout(min(request.wait_s, MAX_WAIT_S)):
-                await news.wait()
+            async with asyncio.timeout(min(request.wait_s, LONG_POLL_MAX_S)):
+                await long_poll.wait()
         except TimeoutError:
             pass
         finally:
-            if homed.news_by_entry.get(request.entry) is news:
-                del homed.news_by_entry[request.entry]
-
-    def _notify(self, homed: _Homed) -> None:
-        for entry, news in homed.news_by_entry.items():
-            if homed.cell.has_news(entry):
-                news.set()
-
-    def _written(
-        self, homed: _Homed, request: wire.CellRequest
-    ) -> wire.CellAnswer:
-        if not homed.cell.knows(request.entry, request.epoch):
-            return wire.CellAnswer(known=False)
-        first, decisions, taken = homed.cell.decisions(request.entry)
+            if hosted.long_polls_by_entry.get(request.entry) is long_poll:
+                del hosted.long_polls_by_entry[request.entry]
+
+    def _wake_long_polls(self, hosted: _HostedPool) -> None:
+        for entry, long_poll in hosted.long_polls_by_entry.items():
+            if hosted.scheduler.has_news(entry):
+                long_poll.set()
+
+    def _response(
+        self, hosted: _HostedPool, request: wire.SchedulingRequest
+    ) -> wire.SchedulingResponse:
+        if not hosted.scheduler.knows(request.entry, request.epoch):
+            return wire.SchedulingResponse(known=False)
+        first, decisions, last_received = hosted.scheduler.decisions(
+            request.entry
+        )
         numbered = [*enumerate(decisions, first)]
-        return wire.CellAnswer(
+        return wire.SchedulingResponse(
             first=first,
             starts=tuple(
                 (number, decision)
@@ -216,8 +228,9 @@
                 for number, decision in numbered
                 if isinstance(decision, messages.Refuse)
             ),
-            acknowledged=taken,
+            acknowledged=last_received,
             prompt_part=round(
-                homed.cell.prompt_part(request.pool) or 0.0, _PART_DIGITS
+                hosted.scheduler.prompt_part(request.pool) or 0.0,
+                _FRACTION_DIGITS,
             ),
         )
--- a/src/cowsliprill/cells/wire.py
+++ b/src/cowsliprill/cells/wire.py
@@ -89,7 +89,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Count:
+class TokenCount:
     """A request has come to a number of tokens, or has ended with it."""
 
     kind: Literal["progress", "finished"]
@@ -115,13 +115,13 @@
 
 
 Event = Annotated[
-    Submit | Adopt | Step | Count | Failed,
+    Submit | Adopt | Step | TokenCount | Failed,
     pydantic.Field(discriminator="kind"),
 ]
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CellRequest:
+class SchedulingRequest:
     """Body of `POST /v1/cells`.
 
     Attributes:
@@ -147,7 +147,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Home:
+class Coordinator:
     """A VM that another holds for a pool's home.
 
     Attributes:
@@ -164,7 +164,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CellAnswer:
+class SchedulingResponse:
     """Answer of `POST /v1/cells`.
 
     Attributes:
@@ -185,12 +185,12 @@
     refusals: tuple[tuple[int, messages.Refuse], ...] = ()
     acknowledged: int = 0
     prompt_part: float = 0.0
-    home: Home | None = None
+    home: Coordinator | None = None
 
 
-def write_home(vm: model.Vm) -> Home:
+def coordinator_to_wire(vm: model.Vm) -> Coordinator:
     """Writes a VM that is a home."""
-    return Home(
+    return Coordinator(
         id=vm.id,
         host=vm.host,
         port=vm.dispatch_port,
@@ -198,19 +198,19 @@
     )
 
 
-def read_home(home: Home) -> model.Vm:
-    """Reads a VM that is a home."""
+def coordinator_from_wire(coordinator: Coordinator) -> model.Vm:
+    """Reads a VM that is a coordinator."""
     return model.Vm(
-        id=home.id,
-        host=home.host,
-        availability_zone=home.availability_zone,
+        id=coordinator.id,
+        host=coordinator.host,
+        availability_zone=coordinator.availability_zone,
         role=model.VmRole.ENTRY,
-        dispatch_port=home.port,
-        entry_ports=(home.port,),
+        dispatch_port=coordinator.port,
+        entry_ports=(coordinator.port,),
     )
 
 
-def write_request(submit: messages.Submit, now: float) -> Request:
+def request_to_wire(submit: messages.Submit, now: float) -> Request:
     """Writes a request for its home.
 
     Args:
@@ -243,7 +243,7 @@
     )
 
 
-def read_request(request: Request, now: float) -> messages.Submit:
+def request_from_wire(request: Request, now: float) -> messages.Submit:
     """Reads a request at its home.
 
     Args:
@@ -288,7 +288,7 @@
     )
 
 
-def read_event(event: Event, now: float) -> messages.Event:
+def event_from_wire(event: Event, now: float) -> messages.Event:
     """Reads an event at the home.
 
     Args:
@@ -300,10 +300,10 @@
     """
     match event:
         case Submit(request=request):
-            return read_request(request, now)
+            return request_from_wire(request, now)
         case Adopt(request=request):
             return messages.Adopt(
-                submit=read_request(request, now),
+                submit=request_from_wire(request, now),
                 start=messages.Start(
                     request_id=request.number,
                     attempt=event.attempt,
@@ -319,9 +319,9 @@
             return messages.FirstToken(number)
         case Step(number=number):
             return messages.Cancel(number)
-        case Count(kind="progress", number=number, tokens=tokens):
+        case TokenCount(kind="progress", number=number, tokens=tokens):
             return messages.Progress(number, tokens)
-        case Count(number=number, tokens=tokens):
+        case TokenCount(number=number, tokens=tokens):
             return messages.Finished(number, tokens)
         case Failed():
             return messages.AttemptFailed(
@@ -338,7 +338,7 @@
             )
 
 
-def write_event(event: messages.Event) -> Event:
+def event_to_wire(event: messages.Event) -> Event:
     """Writes an event that follows a submitted request.
 
     Args:
@@ -355,9 +355,9 @@
         case messages.Cancel(number):
             return Step(kind="cancel", number=number)
         case messages.Progress(number, tokens):
-            return Count(kind="progress", number=number, tokens=tokens)
+            return TokenCount(kind="progress", number=number, tokens=tokens)
         case messages.Finished(number, tokens):
-            return Count(kind="finished", number=number, tokens=tokens)
+            return TokenCount(kind="finished", number=number, tokens=tokens)
         case messages.AttemptFailed():
             return Failed(
                 kind="failed",
--- a/src/cowsliprill/quotas/owner.py
+++ b/src/cowsliprill/quotas/owner.py
@@ -9,21 +9,21 @@
 from cowsliprill.quotas import wire
 
 
-class Owner:
+class UsageReportHandler:
     """Answers reports for the customers that VMs name here.
 
     Args:
       tolerance: By how much quotas may be exceeded.
-      heard_part: Returns the part of the known VMs that are heard here.
+      reachable_fraction: Returns the part of the known VMs that are heard here.
     """
 
     def __init__(
         self,
         tolerance: quota_owner.Tolerance,
-        heard_part: Callable[[], float],
+        reachable_fraction: Callable[[], float],
     ) -> None:
         self._accounts = quota_owner.QuotaOwner(tolerance)
-        self._heard_part = heard_part
+        self._reachable_fraction = reachable_fraction
         self._quotas_by_customer: Mapping[str, model.Quota] = {}
 
     def set_quotas(self, quotas_by_customer: Mapping[str, model.Quota]) -> None:
@@ -31,13 +31,13 @@
         self._quotas_by_customer = quotas_by_customer
         self._accounts.keep_only(self._quotas_by_customer)
 
-    def answer(self, report: wire.Report) -> wire.Answer:
+    def handle(self, report: wire.UsageReport) -> wire.UsageResponse:
         """Takes a VM's report."""
         verdicts = self._accounts.report(
             report.reporter,
             report.usages,
             self._quotas_by_customer,
-            self._heard_part(),
+            self._reachable_fraction(),
             clock.now(),
         )
-        return wire.Answer(verdicts=tuple(verdicts))
+        return wire.UsageResponse(verdicts=tuple(verdicts))
--- a/src/cowsliprill/quotas/reporter.py
+++ b/src/cowsliprill/quotas/reporter.py
@@ -19,15 +19,15 @@
 
 # Owners hear this often of customers that ask for something, and no more often
 # than the other of those whose use has grown much since.
-_REPORT_S = 0.3
-_URGENT_S = 0.1
+_REPORT_INTERVAL_S = 0.3
+_URGENT_REPORT_INTERVAL_S = 0.1
 
-_CALL_S = 0.35
+_CALL_TIMEOUT_S = 0.35
 
 _Usages = list[quota_owner.Usage]
 
 
-class Reporter:
+class UsageReporter:
     """Admits requests by quota and reports them.
 
     Args:
@@ -43,14 +43,14 @@
         self,
         vm_id: str,
         process_id: str,
-        own: owner_lib.Owner,
+        local_handler: owner_lib.UsageReportHandler,
         client: home_client.HomeClient,
         log: log_lib.Log,
         rng: random.Random,
     ) -> None:
         self._vm_id = vm_id
         self._process_id = process_id
-        self._own = own
+        self._local_handler = local_handler
         self._client = client
         self._log = log
         self._gate = quota_gate.QuotaGate(rng)
@@ -59,8 +59,8 @@
         self._customers_by_id: Mapping[str, model.Customer] = {}
         self._choices_by_customer: dict[str, home_choice.HomeChoice] = {}
         self._calls: set[asyncio.Task] = set()
-        self._asked = asyncio.Event()
-        self._urgent = asyncio.Event()
+        self._report_due = asyncio.Event()
+        self._urgent_report_due = asyncio.Event()
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
         """Takes new settings or a new VM list."""
@@ -74,10 +74,10 @@
             for customer in snapshot.customers_by_id.values()
             if customer.quota is not None
         }
-        self._own.set_quotas(quotas_by_customer)
+        self._local_handler.set_quotas(quotas_by_customer)
         self._gate.keep_only(quotas_by_customer.keys())
-        gone = self._choices_by_customer.keys() - quotas_by_customer.keys()
-        for customer_id in gone:
+        removed = self._choices_by_customer.keys() - quotas_by_customer.keys()
+        for customer_id in removed:
             del self._choices_by_customer[customer_id]
 
     async def admit(
@@ -85,14 +85,18 @@
     ) -> float | None:
         """Decides on a request; see `quota_gate.QuotaGate.admit`."""
         now = clock.now()
-        refused = self._gate.admit(customer_id, quota, cost, now)
-        self._asked.set()
-        if refused is not None and not self._gate.is_recent(customer_id, now):
-            await self._ask(customer_id)
-            refused = self._gate.decide(customer_id, quota, cost, clock.now())
+        retry_after_s = self._gate.admit(customer_id, quota, cost, now)
+        self._report_due.set()
+        if retry_after_s is not None and not self._gate.is_recent(
+            customer_id, now
+        ):
+            await self._report_one(customer_id)
+            retry_after_s = self._gate.decide(
+                customer_id, quota, cost, clock.now()
+            )
         if self._gate.is_urgent(customer_id, quota):
-            self._urgent.set()
-        return refused
+            self._urgent_report_due.set()
+        return retry_after_s
 
     def give_back(self, customer_id: str, cost: float) -> None:
         """Takes back an admitted request that has not run."""
@@ -101,31 +105,33 @@
     async def run(self) -> None:
         """Reports until cancelled."""
         while True:
-            await self._asked.wait()
-            await asyncio.sleep(_URGENT_S)
+            await self._report_due.wait()
+            await asyncio.sleep(_URGENT_REPORT_INTERVAL_S)
             try:
-                async with asyncio.timeout(_REPORT_S - _URGENT_S):
-                    await self._urgent.wait()
+                async with asyncio.timeout(
+                    _REPORT_INTERVAL_S - _URGENT_REPORT_INTERVAL_S
+                ):
+                    await self._urgent_report_due.wait()
             except TimeoutError:
                 pass
-            self._asked.clear()
-            self._urgent.clear()
-            self._report()
+            self._report_due.clear()
+            self._urgent_report_due.clear()
+            self._report_all()
 
-    async def _ask(self, customer_id: str) -> None:
+    async def _report_one(self, customer_id: str) -> None:
         """Reports one customer and waits for the answer."""
         vm = self._owner_of(customer_id)
         if vm is not None:
-            await self._call(vm, [self._gate.usage(customer_id)])
+            await self._send_report(vm, [self._gate.usage(customer_id)])
 
-    def _report(self) -> None:
+    def _report_all(self) -> None:
         by_vm: dict[str, tuple[model.Vm, _Usages]] = {}
         for usage in self._gate.usages():
             vm = self._owner_of(usage.customer)
             if vm is not None:
                 by_vm.setdefault(vm.id, (vm, []))[1].append(usage)
         for vm, usages in by_vm.values():
-            task = asyncio.create_task(self._call(vm, usages))
+            task = asyncio.create_task(self._send_report(vm, usages))
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
 
@@ -137,35 +143,41 @@
         choice.look_up(self._vms_by_id, clock.now())
         return choice.home
 
-    async def _call(self, vm: model.Vm, usages: _Usages) -> None:
-        report = wire.Report(reporter=self._process_id, usages=tuple(usages))
+    async def _send_report(self, vm: model.Vm, usages: _Usages) -> None:
+        report = wire.UsageReport(
+            reporter=self._process_id, usages=tuple(usages)
+        )
         try:
-            answer = await self._post(vm, report)
+            response = await self._call_owner(vm, report)
         except errors.CowsliprillError as error:
             self._log.warning(
                 "quota_owner_failed", vm=vm.id, reason=error.message
             )
-            self._note_failure(vm, usages)
+            self._record_failure(vm, usages)
             return
         now = clock.now()
         verdicts_by_customer = {
-            verdict.customer: verdict for verdict in answer.verdicts
+            verdict.customer: verdict for verdict in response.verdicts
         }
         for usage in usages:
             verdict = verdicts_by_customer.get(usage.customer)
             if verdict is not None:
                 self._gate.answered(usage, verdict, now)
 
-    def _note_failure(self, vm: model.Vm, usages: _Usages) -> None:
+    def _record_failure(self, vm: model.Vm, usages: _Usages) -> None:
         for usage in usages:
             choice = self._choices_by_customer.get(usage.customer)
             if choice is not None:
                 choice.failed(vm, clock.now())
         # What wasn't taken is reported anew, though nobody asks meanwhile.
-        self._asked.set()
+        self._report_due.set()
 
-    async def _post(self, vm: model.Vm, report: wire.Report) -> wire.Answer:
+    async def _call_owner(
+        self, vm: model.Vm, report: wire.UsageReport
+    ) -> wire.UsageResponse:
         if vm.id == self._vm_id:
-            return self._own.answer(report)
-        text = await self._client.post(vm, peers.QUOTAS_PATH, report, _CALL_S)
-        return codec.decode(wire.Answer, text)
+            return self._local_handler.handle(report)
+        text = await self._client.post(
+            vm, peers.QUOTAS_PATH, report, _CALL_TIMEOUT_S
+        )
+        return codec.decode(wire.UsageResponse, text)
--- a/src/cowsliprill/quotas/wire.py
+++ b/src/cowsliprill/quotas/wire.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Report:
+class UsageReport:
     """Body of `POST /v1/quotas`.
 
     Attributes:
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Answer:
+class UsageResponse:
     """Answer of `POST /v1/quotas`.
 
     Attributes:
--- a/src/cowsliprill/router/core.py
+++ b/src/cowsliprill/router/core.py
@@ -12,7 +12,7 @@
 from cowsliprill import peer_auth
 from cowsliprill import peer_handler
 from cowsliprill import peers
-from cowsliprill.cells import caller as homes_caller
+from cowsliprill.cells import caller as coordinator_caller
 from cowsliprill.cells import client as cells_client
 from cowsliprill.cells import homes as homes_lib
 from cowsliprill.cells import wire as cells_wire
@@ -42,73 +42,77 @@
 from cowsliprill.router import roles as roles_lib
 
 # At its end a process waits so long for a reader of its log.
-_LAST_LINES_S = 0.2
+_LOG_DRAIN_TIMEOUT_S = 0.2
 
 # How often the process's own file is looked at: it may change without a signal.
-_RELOAD_CHECK_S = 1.0
+_CONFIG_CHECK_INTERVAL_S = 1.0
 
 
 class Router:
     """One router process.
 
     Args:
-      node: What it was told about itself.
+      config: Startup configuration of the process.
       log: Its log.
       output: What writes the log, None in tests.
     """
 
     def __init__(
         self,
-        node: node_lib.Node,
+        config: node_lib.Node,
         log: log_lib.Log,
         output: writer.Writer | None = None,
     ) -> None:
-        self._node = node
+        self._config = config
         self._log = log
         self._output = output
         self._metrics = metrics_lib.Metrics()
         rng = random.Random()
-        host, port = node.public[0], node.peer_ports[0]
+        host, port = config.public[0], config.peer_ports[0]
         own = member_records.Record(
-            id=node.vm,
+            id=config.vm,
             host=host,
             port=port,
-            availability_zone=node.availability_zone,
+            availability_zone=config.availability_zone,
             incarnation=time.time_ns() // 1_000_000,
-            cores=node.cores(),
+            cores=config.cores(),
         )
-        self._members = membership.Membership(own, self._seeds(node), rng)
+        self._members = membership.Membership(own, self._seeds(config), rng)
         self._source = source_lib.Source(
-            store_lib.MetadataStore(http_client.HttpClient(), *node.store),
-            catalog.Catalog(node.retry_budget_ratio, node.retry_budget_slack),
+            store_lib.MetadataStore(http_client.HttpClient(), *config.store),
+            catalog.Catalog(
+                config.retry_budget_ratio, config.retry_budget_slack
+            ),
             self._members,
             log,
             rng,
-            node.mechanisms_off,
-            freshness.Freshness(node.key_revocation_s()),
+            config.mechanisms_off,
+            freshness.Freshness(config.key_revocation_s()),
         )
         self._agent = agent_lib.Agent(self._members, self._source.newest, log)
         self._scheduling: cells_client.CellScheduling
-        self._homes = homes_lib.Homes(node.vm, node.availability_zone, rng, log)
-        self._quota_owner = quota_owner.Owner(
-            node.quota_tolerance(), self._members.heard_part
+        self._pool_schedulers = homes_lib.Homes(
+            config.vm, config.availability_zone, rng, log
+        )
+        self._usage_handler = quota_owner.UsageReportHandler(
+            config.quota_tolerance(), self._members.heard_part
         )
-        self._quotas = quota_reporter.Reporter(
-            node.vm,
-            f"{node.vm}.{own.incarnation}",
-            self._quota_owner,
+        self._quotas = quota_reporter.UsageReporter(
+            config.vm,
+            f"{config.vm}.{own.incarnation}",
+            self._usage_handler,
             home_client.HomeClient(
-                http_client.HttpClient(), peer_auth.PeerAuth(node.peer_secret)
+                http_client.HttpClient(), peer_auth.PeerAuth(config.peer_secret)
             ),
             log,
             rng,
         )
         self._entry = entry_core.Entry(
-            node.environment(),
+            config.environment(),
             log,
             self._source,
             dialect.PlatformDialect,
-            self._place_by_cells,
+            self._create_placement,
             self._metrics,
             self._quotas,
         )
@@ -123,46 +127,50 @@
             log,
         )
 
-        self._gauges = gauges.Gauges(
+        self._gauges = gauges.GaugeSampler(
             self._metrics,
             self._members,
             self._source,
-            self._homes,
+            self._pool_schedulers,
             log,
             output,
         )
 
     async def run(self) -> None:
         """Serves until a signal, then drains and returns."""
-        self._agent.subscribe(self._take_members)
-        self._source.subscribe(self._take_world)
+        self._agent.subscribe(self._on_members_changed)
+        self._source.subscribe(self._on_cluster_state_changed)
         self._source.subscribe_newest(self._agent.tell_newest)
-        self._entry.shell.listen_ready(*self._node.ready)
-        tasks = [asyncio.create_task(work) for work in self._work()]
-        ended = asyncio.create_task(self._entry.run())
-        await asyncio.wait([ended, *tasks], return_when=asyncio.FIRST_COMPLETED)
+        self._entry.shell.listen_ready(*self._config.ready)
+        tasks = [
+            asyncio.create_task(coroutine) for coroutine in self._coroutines()
+        ]
+        entry_task = asyncio.create_task(self._entry.run())
+        await asyncio.wait(
+            [entry_task, *tasks], return_when=asyncio.FIRST_COMPLETED
+        )
         # A task that ends by itself is a fault of ours; see `Entry.run`.
         for task in tasks:
             if task.done():
                 task.result()
-        await ended
+        await entry_task
 
-    def _work(self) -> list[Awaitable[None]]:
-        work = [
+    def _coroutines(self) -> list[Awaitable[None]]:
+        coroutine = [
             self._agent.run(),
-            self._homes.run(),
+            self._pool_schedulers.run(),
             self._gauges.run(),
             self._quotas.run(),
-            self._follow_file(),
+            self._watch_config_file(),
         ]
-        off = self._node.mechanisms_off
-        if mechanisms.Mechanism.ROLE_ORDERS not in off:
-            work.append(self._roles.run())
-        return work
+        disabled = self._config.mechanisms_off
+        if mechanisms.Mechanism.ROLE_ORDERS not in disabled:
+            coroutine.append(self._roles.run())
+        return coroutine
 
-    async def _follow_file(self) -> None:
+    async def _watch_config_file(self) -> None:
         """Takes changes of the process's own file, with a signal or without."""
-        path = self._node.path
+        path = self._config.path
         if path is None:
             return await asyncio.Event().wait()
         hangup = asyncio.Event()
@@ -171,35 +179,35 @@
         text = path.read_bytes()
         while True:
             try:
-                async with asyncio.timeout(_RELOAD_CHECK_S):
+                async with asyncio.timeout(_CONFIG_CHECK_INTERVAL_S):
                     await hangup.wait()
             except TimeoutError:
                 pass
             hangup.clear()
             try:
-                newest = path.read_bytes()
+                latest = path.read_bytes()
             except OSError as error:
                 self._log.warning("file_unreadable", reason=str(error))
                 continue
-            if newest != text:
-                text = newest
+            if latest != text:
+                text = latest
                 self._reload()
 
     def _reload(self) -> None:
         # What the process listens on can't change while it runs; seeds can,
         # and by them a VM that lost all others finds them again.
         try:
-            node = node_lib.load(self._node.path)
+            config = node_lib.load(self._config.path)
         except errors.CowsliprillError as error:
             self._log.warning("file_unreadable", reason=error.message)
             return
-        self._node = node
-        self._members.seeds = tuple(self._seeds(node))
-        self._log.event("file_reloaded", seeds=len(node.seeds))
+        self._config = config
+        self._members.seeds = tuple(self._seeds(config))
+        self._log.event("file_reloaded", seeds=len(config.seeds))
 
     @staticmethod
-    def _seeds(node: node_lib.Node) -> list[member_records.Address]:
-        return [(host, node.peer_ports[0]) for host, _ in node.seeds]
+    def _seeds(config: node_lib.Node) -> list[member_records.Address]:
+        return [(host, config.peer_ports[0]) for host, _ in config.seeds]
 
     @property
     def public_port(self) -> int:
@@ -214,7 +222,7 @@
         """Returns what `GET /v1/status` answers."""
         return {
             "alive": len(self._members.alive()) + 1,
-            "homed_pools": self._homes.status(),
+            "homed_pools": self._pool_schedulers.hosted_pools(),
             "log_lines_dropped": self._output.dropped if self._output else 0,
             "registry_newest": self._source.newest(),
             **self._entry.shell.status(),
@@ -225,16 +233,16 @@
         self._entry.shell.stop()
 
     def _peer_routes(self) -> list[tuple]:
-        auth = peer_auth.PeerAuth(self._node.peer_secret)
+        auth = peer_auth.PeerAuth(self._config.peer_secret)
         cells = {
             "auth": auth,
-            "kind": cells_wire.CellRequest,
-            "respond": self._homes.answer,
+            "kind": cells_wire.SchedulingRequest,
+            "respond": self._pool_schedulers.handle,
         }
         quotas = {
             "auth": auth,
-            "kind": quotas_wire.Report,
-            "respond": self._quota_owner.answer,
+            "kind": quotas_wire.UsageReport,
+            "respond": self._usage_handler.handle,
         }
         views = {
             "views_by_prefix": self._source.views_by_prefix,
@@ -246,33 +254,33 @@
             (peers.REGISTRY_PATH, registry_peers.NewsHandler, views),
         ]
 
-    def _take_members(self) -> None:
+    def _on_members_changed(self) -> None:
         self._source.take_members()
         self._agent.tell(blind=self._source.is_blind())
 
-    def _take_world(self) -> None:
-        self._homes.update(self._source.snapshot, self._source.fleet)
+    def _on_cluster_state_changed(self) -> None:
+        self._pool_schedulers.update(self._source.snapshot, self._source.fleet)
         self._quotas.update(self._source.snapshot, self._source.fleet)
         if self._source.is_ready():
             self._agent.tell(ready=True)
         self._agent.tell_newest()
 
-    def _place_by_cells(self, tools: placing.Tools) -> placing.ByCells:
-        caller = homes_caller.HomesCaller(
-            self._node.vm, self._homes, tools.homes
+    def _create_placement(self, tools: placing.Tools) -> placing.ByCells:
+        caller = coordinator_caller.CoordinatorCaller(
+            self._config.vm, self._pool_schedulers, tools.homes
         )
         by_cells = placing.ByCells(tools, caller.post)
         self._scheduling = by_cells.scheduling
         return by_cells
 
 
-async def serve(node: node_lib.Node) -> None:
+async def serve(config: node_lib.Node) -> None:
     """Runs the router until it is told to stop.
 
     Args:
-      node: What the process was told about itself.
+      config: Startup configuration of the process.
     """
-    log, output = log_lib.open_output(f"router.{node.vm}", sys.stdout)
-    router = Router(node, log, output)
+    log, output = log_lib.open_output(f"router.{config.vm}", sys.stdout)
+    router = Router(config, log, output)
     await router.run()
-    output.drain(_LAST_LINES_S)
+    output.drain(_LOG_DRAIN_TIMEOUT_S)
--- a/src/cowsliprill/router/gauges.py
+++ b/src/cowsliprill/router/gauges.py
@@ -13,10 +13,10 @@
 from cowsliprill.registry import source as source_lib
 
 # Metrics are read every few seconds at the most often.
-_SAMPLE_S = 1.0
+_SAMPLE_INTERVAL_S = 1.0
 
 
-class Gauges:
+class GaugeSampler:
     """Reads the other tasks' standing and sets the gauges.
 
     Args:
@@ -34,14 +34,14 @@
         metrics: metrics_lib.Metrics,
         members: membership.Membership,
         source: source_lib.Source,
-        homes: homes_lib.Homes,
+        pool_schedulers: homes_lib.Homes,
         log: log_lib.Log,
         output: writer.Writer | None,
     ) -> None:
         self._metrics = metrics
         self._members = members
         self._source = source
-        self._homes = homes
+        self._pool_schedulers = pool_schedulers
         self._log = log
         self._output = output
 
@@ -49,7 +49,7 @@
         """Samples until cancelled."""
         while True:
             self.sample()
-            await asyncio.sleep(_SAMPLE_S)
+            await asyncio.sleep(_SAMPLE_INTERVAL_S)
 
     def sample(self) -> None:
         """Sets all gauges, and tells how full the pools are."""
@@ -58,16 +58,16 @@
         dropped = self._output.dropped if self._output else 0
         metrics.log_lines_dropped.set({}, dropped)
         self._sample_registry()
-        for pool, standing in self._homes.standings().items():
+        for pool, load in self._pool_schedulers.loads().items():
             for state, slots in (
-                ("promised", standing.promised),
-                ("all", standing.slots),
+                ("promised", load.promised),
+                ("all", load.slots),
             ):
                 metrics.pool_slots.set({"pool": pool, "state": state}, slots)
-            metrics.pool_waiting.set({"pool": pool}, standing.waiting)
-            if standing.running or standing.waiting:
+            metrics.pool_waiting.set({"pool": pool}, load.waiting)
+            if load.running or load.waiting:
                 self._log.event(
-                    "pool_standing", pool=pool, **dataclasses.asdict(standing)
+                    "pool_standing", pool=pool, **dataclasses.asdict(load)
                 )
 
     def _sample_registry(self) -> None:
@@ -75,14 +75,14 @@
         now = clock.now()
         for follower in self._source.followers():
             prefix = {"prefix": follower.view.prefix}
-            away_since = follower.away_since or now
+            unreachable_since = follower.away_since or now
             metrics.registry_position.set(prefix, follower.view.position)
-            metrics.registry_away_s.set(prefix, now - away_since)
+            metrics.registry_away_s.set(prefix, now - unreachable_since)
             if follower.reading and math.isfinite(follower.view.confirmed_at):
                 age_s = now - follower.view.confirmed_at
                 metrics.registry_view_age_s.set(prefix, age_s)
-            for result, calls in (
+            for result, reads in (
                 ("answered", follower.answered),
                 ("failed", follower.failed),
             ):
-                metrics.registry_reads.set({**prefix, "result": result}, calls)
+                metrics.registry_reads.set({**prefix, "result": result}, reads)
--- a/src/cowsliprill/router/node.py
+++ b/src/cowsliprill/router/node.py
@@ -10,16 +10,16 @@
 from cowsliprill.decisions import quota_owner
 
 # Time between the end of the last request and that of the process.
-_LAST_STEPS_S = 0.7
+_SHUTDOWN_RESERVE_S = 0.7
 
 _MS_PER_S = 1_000
 
 # Part of what quotas may be exceeded by that customers get. The rest is for
 # what VMs admit before they hear of each other.
-_TOLERANCE_USED = 0.5
+_TOLERANCE_FRACTION = 0.5
 
 
-def _split(address: object) -> object:
+def _parse_address(address: object) -> object:
     if not isinstance(address, str):
         return address
     host, _, port = address.rpartition(":")
@@ -28,7 +28,7 @@
     return host, int(port)
 
 
-Address = Annotated[tuple[str, int], pydantic.BeforeValidator(_split)]
+Address = Annotated[tuple[str, int], pydantic.BeforeValidator(_parse_address)]
 
 
 class Node(pydantic.BaseModel):
@@ -97,8 +97,8 @@
     def quota_tolerance(self) -> quota_owner.Tolerance:
         """Returns by how much customers may exceed their quotas."""
         return quota_owner.Tolerance(
-            part=(self.quota_overage or 0.0) * _TOLERANCE_USED,
-            tokens=(self.quota_slack or 0.0) * _TOLERANCE_USED,
+            part=(self.quota_overage or 0.0) * _TOLERANCE_FRACTION,
+            tokens=(self.quota_slack or 0.0) * _TOLERANCE_FRACTION,
         )
 
     def environment(self) -> environment.Environment:
@@ -112,7 +112,7 @@
             port=self.peer_ports[0],
             drain_notice_s=self.drain_notice_s,
             drain_limit_s=max(
-                self.grace_s - _LAST_STEPS_S, self.drain_notice_s
+                self.grace_s - _SHUTDOWN_RESERVE_S, self.drain_notice_s
             ),
             peer_secret=self.peer_secret,
             mechanisms_off=self.mechanisms_off,
--- a/src/cowsliprill/router/roles.py
+++ b/src/cowsliprill/router/roles.py
@@ -16,12 +16,12 @@
 
 # Several looks fit into the time after which a process counts as having stood
 # still.
-_LOOK_S = 0.25
+_CHECK_INTERVAL_S = 0.25
 
 _NS_PER_MS = 1_000_000
 
 
-class Orders(Protocol):
+class EngineOrders(Protocol):
     """Orders to engines, as the platform takes them."""
 
     async def change_role(
@@ -34,13 +34,13 @@
         """Orders an engine; returns its word, raises `errors.CallError`."""
 
 
-class Work(Protocol):
+class PoolWorkload(Protocol):
     """What is known of the pools' work."""
 
-    def prompt_part(self, pool: str) -> float | None:
+    def prefill_fraction(self, pool: str) -> float | None:
         """Returns the part of it that prompts are, None if unknown."""
 
-    def follow(self, pool: str, wanted: bool) -> None:
+    def set_polling(self, pool: str, enabled: bool) -> None:
         """Has `prompt_part` kept up to date, or not."""
 
 
@@ -60,16 +60,16 @@
         self,
         source: source_lib.Source,
         members: membership.Membership,
-        tell: Callable[..., None],
-        orders: Orders,
-        work: Work,
+        publish: Callable[..., None],
+        orders: EngineOrders,
+        workload: PoolWorkload,
         log: log_lib.Log,
     ) -> None:
         self._source = source
         self._members = members
-        self._tell_others = tell
+        self._publish = publish
         self._orders = orders
-        self._work = work
+        self._workload = workload
         self._log = log
         self._leadership = leadership.Leadership()
         self._tokens = leadership.FencingTokens(members.own.id)
@@ -78,32 +78,32 @@
     async def run(self) -> None:
         """Looks until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
-            electorate = self._members.electorate()
-            self._leadership.look(electorate, clock.now())
+            await asyncio.sleep(_CHECK_INTERVAL_S)
+            membership_view = self._members.electorate()
+            self._leadership.look(membership_view, clock.now())
             pools = self._source.engine_pools()
             # Orders need the store's own word on the engines.
             led = {
                 pool
                 for pool in pools
-                if electorate.first(pool) == electorate.own
+                if membership_view.first(pool) == membership_view.own
             }
             self._source.require_reading(bool(led))
             for pool in pools:
-                self._work.follow(pool, pool in led)
-                await self._look_at(pool)
-            self._tell()
+                self._workload.set_polling(pool, pool in led)
+                await self._check_pool(pool)
+            self._publish_changing()
 
-    def _tell(self) -> None:
+    def _publish_changing(self) -> None:
         """Tells the others which engines change, until the registry does."""
         changing: list[tuple[str, str]] = []
         for pool, plan in self._roles_by_pool.items():
             changing += plan.changing(self._source.staying_endpoints(pool))
         if tuple(changing) != self._members.own.changing:
-            self._tell_others(changing=tuple(changing))
+            self._publish(changing=tuple(changing))
             self._source.take_members()
 
-    async def _look_at(self, pool: str) -> None:
+    async def _check_pool(self, pool: str) -> None:
         now = clock.now()
         if not self._source.is_settled(now):
             return
@@ -111,7 +111,7 @@
         order = plan.next_order(
             self._source.staying_endpoints(pool),
             now,
-            self._work.prompt_part(pool),
+            self._workload.prefill_fraction(pool),
         )
         # A VM that doesn't lead looks as well: whoever comes to lead knows then
         # how long a lack has lasted.
@@ -128,7 +128,7 @@
 
     async def _send(self, order: roles.Order) -> bool:
         """Sends an order; returns whether the engine has answered."""
-        answered = True
+        acknowledged = True
         holder = self._members.own.id
         token = self._tokens.next(time.time_ns() // _NS_PER_MS)
         try:
@@ -139,14 +139,14 @@
             # It may have arrived. The registry will tell, and another order is
             # not sent before it has had the time to.
             outcome = error.message
-            answered = False
+            acknowledged = False
         self._log.event(
             "role_ordered",
             endpoint=order.endpoint.id,
             pool=order.endpoint.pool,
             kind=order.kind.value,
-            prompt_part=self._work.prompt_part(order.endpoint.pool),
+            prompt_part=self._workload.prefill_fraction(order.endpoint.pool),
             fencing_token=token,
             outcome=outcome,
         )
-        return answered
+        return acknowledged
--- a/tests/test_cell_wire.py
+++ b/tests/test_cell_wire.py
@@ -23,19 +23,19 @@
     return kind(**fields)
 
 
-def _sent(event: messages.Event) -> messages.Event:
+def _round_trip(event: messages.Event) -> messages.Event:
     """Returns an event as the home reads it."""
-    request = wire.CellRequest(
+    request = wire.SchedulingRequest(
         entry="vm-1.router.a",
         pool="writers",
         epoch=3,
         first=1,
-        events=(wire.write_event(event),),
+        events=(wire.event_to_wire(event),),
         acknowledged=0,
         wait_s=0.0,
     )
-    read = codec.decode(wire.CellRequest, codec.encode_short(request))
-    return wire.read_event(read.events[0], now=0.0)
+    received = codec.decode(wire.SchedulingRequest, codec.encode_short(request))
+    return wire.event_from_wire(received.events[0], now=0.0)
 
 
 class TestEvents:
@@ -58,14 +58,14 @@
     )
     def test_every_field_arrives(self, kind):
         event = _filled(kind)
-        assert _sent(event) == event
+        assert _round_trip(event) == event
 
     def test_defaults_arrive_as_such(self):
         event = messages.AttemptFailed(
             request_id=1, stage=messages.Stage.PREFILL, endpoint_id="e"
         )
-        assert _sent(event) == event
+        assert _round_trip(event) == event
 
     def test_news_of_the_world_is_no_message(self):
         with pytest.raises(TypeError):
-            wire.write_event(messages.Tick())
+            wire.event_to_wire(messages.Tick())
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -45,7 +45,7 @@
 
 
 def _engines() -> dict[str, model.Endpoint]:
-    facts = {
+    fields = {
         "host": "10.1.0.1",
         "port": 80,
         "availability_zone": "a",
@@ -61,7 +61,7 @@
         "d": model.EndpointKind.DECODE,
     }
     return {
-        name: model.Endpoint(id=name, kind=kind, **facts)
+        name: model.Endpoint(id=name, kind=kind, **fields)
         for name, kind in kinds.items()
     }
 
@@ -70,29 +70,29 @@
     return model.Fleet(version=1, vms_by_id={vm.id: vm for vm in vms})
 
 
-class _Site:
+class _Cluster:
     """Homes that know different VMs, and one entry that knows some."""
 
     def __init__(self, vms, known_by_vm, known_to_entry) -> None:
-        self.asked: list[str] = []
-        self.down: set[str] = set()
+        self.called: list[str] = []
+        self.unreachable: set[str] = set()
         log = log_lib.open_log("test", io.StringIO())
-        self.homes_by_vm = {}
+        self.pool_schedulers_by_vm = {}
         snapshot = model.Snapshot(revision=1, endpoints_by_id=_engines())
         for vm in vms:
-            home = homes.Homes(vm.id, "a", random.Random(1), log)
-            home.update(snapshot, _fleet(known_by_vm[vm.id]))
-            self.homes_by_vm[vm.id] = home
+            pool_scheduler = homes.Homes(vm.id, "a", random.Random(1), log)
+            pool_scheduler.update(snapshot, _fleet(known_by_vm[vm.id]))
+            self.pool_schedulers_by_vm[vm.id] = pool_scheduler
         world = world_lib.World(snapshot, _fleet(known_to_entry))
         self.scheduling = client.CellScheduling(
             "entry-1", self._post, world, log
         )
 
     async def _post(self, vm, request, timeout_s):
-        self.asked.append(vm.id)
-        if vm.id in self.down:
+        self.called.append(vm.id)
+        if vm.id in self.unreachable:
             raise errors.CowsliprillError("down")
-        return await self.homes_by_vm[vm.id].answer(request)
+        return await self.pool_schedulers_by_vm[vm.id].handle(request)
 
     async def place(self, number: int = 1) -> messages.Start:
         submit = messages.Submit(
@@ -106,19 +106,23 @@
             useful_until=1e12,
         )
         decisions = self.scheduling.submit(submit)
-        ticking = [
-            asyncio.create_task(home.run())
-            for home in self.homes_by_vm.values()
+        running = [
+            asyncio.create_task(pool_scheduler.run())
+            for pool_scheduler in self.pool_schedulers_by_vm.values()
         ]
         async with asyncio.timeout(_WAIT_S):
             decision = await decisions.get()
-        for task in ticking:
+        for task in running:
             task.cancel()
         return decision
 
-    def kept(self) -> list[str]:
+    def hosts(self) -> list[str]:
         """Returns the VMs that hold requests of the pool."""
-        return [vm for vm, home in self.homes_by_vm.items() if home.status()]
+        return [
+            vm
+            for vm, pool_scheduler in self.pool_schedulers_by_vm.items()
+            if pool_scheduler.hosted_pools()
+        ]
 
 
 def _ranked(vms) -> list[model.Vm]:
@@ -136,11 +140,11 @@
         """
         vms = _ranked([_vm(number) for number in range(5)])
         last = vms[-1]
-        site = _Site(vms, {vm.id: vms for vm in vms}, [last])
-        start = asyncio.run(site.place())
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, [last])
+        start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert site.asked[:2] == [last.id, vms[0].id]
-        assert site.kept() == [vms[0].id]
+        assert cluster.called[:2] == [last.id, vms[0].id]
+        assert cluster.hosts() == [vms[0].id]
 
     def test_from_one_to_the_next_each_knows_a_better_one(self):
         vms = _ranked([_vm(number) for number in range(4)])
@@ -148,18 +152,18 @@
             vm.id: vms[max(index - 1, 0) : index + 1]
             for index, vm in enumerate(vms)
         }
-        site = _Site(vms, known, [vms[-1]])
-        asyncio.run(site.place())
-        assert site.kept() == [vms[0].id]
+        cluster = _Cluster(vms, known, [vms[-1]])
+        asyncio.run(cluster.place())
+        assert cluster.hosts() == [vms[0].id]
 
     def test_one_that_cant_reach_the_home_is_served_by_the_next(self):
         """A home has lost its power, and the others don't know yet."""
         vms = _ranked([_vm(number) for number in range(4)])
-        site = _Site(vms, {vm.id: vms for vm in vms}, vms)
-        site.down = {vms[0].id}
-        start = asyncio.run(site.place())
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
+        cluster.unreachable = {vms[0].id}
+        start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert site.kept() == [vms[1].id]
+        assert cluster.hosts() == [vms[1].id]
 
     def test_two_that_name_each_other_dont_send_it_to_and_fro(self):
         """Each of two VMs holds the other for the home.
@@ -175,10 +179,10 @@
             vms[0].id: [leaving[0], vms[1]],
             vms[1].id: [vms[0], leaving[1]],
         }
-        site = _Site(vms, known, vms)
-        start = asyncio.run(site.place())
+        cluster = _Cluster(vms, known, vms)
+        start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert len(site.asked) <= 4
+        assert len(cluster.called) <= 4
 
 
 class TestIdleEntries:
@@ -186,16 +190,16 @@
 
     def test_one_that_never_had_any_says_nothing(self):
         vms = _ranked([_vm(number) for number in range(3)])
-        site = _Site(vms, {vm.id: vms for vm in vms}, vms)
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
 
         async def scenario():
             event = messages.WorldChanged(model.Snapshot(), _fleet(vms))
             for _ in range(5):
-                site.scheduling.post(event)
+                cluster.scheduling.post(event)
                 await asyncio.sleep(0)
 
         asyncio.run(scenario())
-        assert site.asked == []
+        assert cluster.called == []
 
 
 class TestLeadersWithoutRequests:
@@ -207,16 +211,16 @@
         Knowing nothing of the work it would divide the engines by a guess.
         """
         vms = _ranked([_vm(number) for number in range(3)])
-        site = _Site(vms, {vm.id: vms for vm in vms}, vms)
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
 
         async def scenario():
-            site.scheduling.follow(_POOL, wanted=True)
+            cluster.scheduling.set_polling(_POOL, enabled=True)
             async with asyncio.timeout(_WAIT_S):
-                while not site.asked:  # noqa: ASYNC110 the site tells no events
+                while not cluster.called:  # noqa: ASYNC110 the site tells no events
                     await asyncio.sleep(0.001)
 
         asyncio.run(scenario())
-        assert site.asked[0] == vms[0].id
+        assert cluster.called[0] == vms[0].id
 
 
 class TestStrongVms:
