--- a/src/cowsliprill/cells/__init__.py
+++ b/src/cowsliprill/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Placement of requests at the homes of pools."""
+"""Protocol by which pool coordinators schedule requests for entry processes."""
--- a/src/cowsliprill/cells/caller.py
+++ b/src/cowsliprill/cells/caller.py
@@ -1,4 +1,4 @@
-"""Calls to the homes of pools, in this process or over the network."""
+"""Calls to pool coordinators, in this process or over the network."""
 
 import dataclasses
 
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoordinatorCaller:
-    """Calls homes.
+    """Sends scheduling messages to coordinators.
 
     Attributes:
       vm_id: Id of this VM.
-      local: The cells that this process is home to.
-      client: Calls the other VMs.
+      local: The pool schedulers hosted by this process.
+      client: Sends messages to other VMs.
     """
 
     vm_id: str
@@ -27,18 +27,18 @@
     async def post(
         self, vm: model.Vm, request: wire.SchedulingRequest, timeout_s: float
     ) -> wire.SchedulingResponse:
-        """Sends a message to a home.
+        """Sends a message to a coordinator.
 
         Args:
-          vm: The home.
+          vm: VM of the coordinator.
           request: The message.
-          timeout_s: Time for the whole call.
+          timeout_s: Timeout of the whole call in seconds.
 
         Returns:
-          Its answer.
+          The coordinator's response.
 
         Raises:
-          errors.CowsliprillError: There was no usable answer.
+          errors.CowsliprillError: The call failed or its response is invalid.
         """
         if vm.id == self.vm_id:
             return await self.local.handle(request)
--- a/src/cowsliprill/cells/client.py
+++ b/src/cowsliprill/cells/client.py
@@ -1,7 +1,9 @@
-"""The entry's side of cells: sends events to homes and takes decisions.
+"""Client side of pool scheduling, run by each entry process.
 
-It stands where `entry.scheduling.Scheduling` does for a scheduler of the
-entry's own.
+Sends the events of this process's requests to the coordinators of their pools
+and receives scheduling decisions. Implements the same interface as
+`entry.scheduling.Scheduling`, which schedules requests inside the entry
+process.
 """
 
 import asyncio
@@ -20,11 +22,12 @@
 from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 
-# A home hears of an entry that has requests at least this often.
+# Longest time between two calls to a coordinator while requests are open.
 HEARTBEAT_INTERVAL_S = 0.8
 
-# A call to a home takes some milliseconds; one that takes this long beyond
-# what it may be held back is lost. Callers wait meanwhile.
+# A call to a coordinator normally takes a few milliseconds. One that exceeds
+# its long-poll time by more than this is treated as lost, because callers wait
+# in the meantime.
 _CALL_TIMEOUT_S = 0.35
 _LONG_POLL_S = 0.4
 
@@ -38,13 +41,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _TrackedRequest:
-    """What this entry knows of one of its requests.
+    """State of one request of this entry process.
 
     Attributes:
-      submit: The request.
-      decisions: Where decisions about it go.
-      start: Where it runs, None while it waits.
-      stage: Where it is on its way.
+      submit: The request as submitted.
+      decisions: Queue that receives the decisions about the request.
+      start: The decision that placed the request, None while it is queued.
+      stage: Current stage of the request.
     """
 
     submit: messages.Submit
@@ -54,13 +57,13 @@
 
 
 class _Channel:
-    """The messages between this entry and the home of one pool.
+    """Message channel between this entry process and one pool's coordinator.
 
     Args:
-      pool: The pool.
+      pool: Name of the pool.
       entry: Id of this process.
-      post: Calls a home.
-      world: The VM list.
+      post: Sends a message to a coordinator.
+      cluster_state: Supplies the VM list.
       log: The process's log.
     """
 
@@ -92,9 +95,10 @@
         ]
 
     def submit(self, tracked: _TrackedRequest) -> None:
-        """Takes a new request."""
-        # Looked up first: a change of home states all that is placed, and this
-        # request would be stated twice.
+        """Adds a new request and sends it to the coordinator."""
+        # The coordinator is updated first: a change of coordinator resubmits
+        # all tracked requests, and a request that is already tracked would be
+        # submitted twice.
         self._update_coordinator()
         self.tracked_by_id[tracked.submit.request_id] = tracked
         self._has_queued.set()
@@ -102,7 +106,7 @@
         self._add(wire.Submit(kind="submit", request=request))
 
     def add(self, event: messages.Event, request_id: int) -> None:
-        """Takes an event of a request that was submitted."""
+        """Records an event of a submitted request and sends it."""
         tracked = self.tracked_by_id.get(request_id)
         if tracked is None:
             return
@@ -120,17 +124,17 @@
         self._add(wire.event_to_wire(event))
 
     def cluster_state_changed(self) -> None:
-        """Turns to another home if the VM list names one."""
+        """Switches to another coordinator if the VM list requires it."""
         self._update_coordinator()
 
     def set_polling(self, enabled: bool) -> None:
-        """Has the home asked now and then though there are no requests."""
+        """Enables or disables heartbeats while there are no requests."""
         if enabled and not self.polling:
             self._send_due.set()
         self.polling = enabled
 
     def close(self) -> None:
-        """Ends the tasks."""
+        """Cancels the channel's tasks."""
         for task in self._tasks:
             task.cancel()
 
@@ -153,7 +157,12 @@
         self._reset_channel()
 
     def _reset_channel(self) -> None:
-        """States all requests to a home that doesn't know of them."""
+        """Starts a new epoch and sends the full state of all requests.
+
+        Called when the coordinator has no state of this channel: after a change
+        of coordinator, or when the coordinator has dropped the channel. Queued
+        requests are submitted again, running ones are sent for adoption.
+        """
         self._epoch += 1
         self._outbox = channel.Outbox()
         self._inbox = channel.Inbox()
@@ -182,7 +191,7 @@
         )
 
     async def _send(self) -> None:
-        """Sends what is new at once, else a sign of life if there is need."""
+        """Sends new events at once, and heartbeats while they are needed."""
         while True:
             heartbeat_needed = self.polling or bool(self.tracked_by_id)
             try:
@@ -199,26 +208,33 @@
                 self._send_due.set()
 
     async def _poll(self) -> None:
-        """Waits at the home for decisions while requests wait here."""
+        """Long-polls the coordinator while requests are queued."""
         while True:
             if not self._any_queued():
                 self._has_queued.clear()
                 await self._has_queued.wait()
-            # Most requests are placed by the answer to the call that brought
-            # them; only those that aren't are worth another call.
+            # Most requests are placed by the response to the call that
+            # submitted them; only the remaining ones justify another call.
             await asyncio.sleep(_CALL_DELAY_S)
             if self._any_queued():
                 await self._call_coordinator(_LONG_POLL_S)
 
     async def _call_coordinator(self, wait_s: float) -> bool:
-        """Calls the home once; returns whether it answered."""
+        """Calls the coordinator once.
+
+        Args:
+          wait_s: Long-poll time in seconds, 0 for an immediate response.
+
+        Returns:
+          Whether the coordinator responded.
+        """
         if self._choice.home is None:
             self._update_coordinator()
         coordinator, epoch = self._choice.home, self._epoch
         if coordinator is None:
             return False
-        # A held call carries no events: those go out by calls of their own,
-        # which nothing holds up.
+        # Long polls carry no events: those are sent by separate calls, which
+        # the coordinator does not hold back.
         events = () if wait_s else self._outbox.pending()
         request = wire.SchedulingRequest(
             entry=self._entry,
@@ -248,8 +264,9 @@
         if not response.known:
             self._reset_channel()
             return True
-        # A home that has just begun doesn't know; what the one before it said
-        # holds until then, or engines would be told to change back and forth.
+        # A coordinator that has just started reports 0. The value of the
+        # previous coordinator is kept until then; otherwise engines would be
+        # ordered to change roles back and forth.
         self.prefill_fraction = response.prompt_part or self.prefill_fraction
         self._outbox.acknowledge(response.acknowledged)
         self._apply(response)
@@ -293,12 +310,12 @@
 
 
 class CellScheduling:
-    """Decisions about this entry's requests, made at the homes of pools.
+    """Obtains decisions about this process's requests from coordinators.
 
     Args:
       entry: Id of this process.
-      post: Calls a home.
-      world: The settings and the VM list.
+      post: Sends a message to a coordinator.
+      cluster_state: Supplies the settings snapshot and the VM list.
       log: The process's log.
     """
 
@@ -319,13 +336,13 @@
     def submit(
         self, submit: messages.Submit
     ) -> asyncio.Queue[cell_lib.Decision]:
-        """Sends a request to its home.
+        """Sends a request to the coordinator of its pool.
 
         Args:
           submit: The request.
 
         Returns:
-          The queue by which decisions about it come, until `forget`.
+          The queue that receives the decisions about the request.
         """
         pool = submit.service.pool
         pool_channel = self._channel(pool)
@@ -335,7 +352,11 @@
         return decisions
 
     def post(self, event: messages.Event) -> None:
-        """Sends an event of a request to its home."""
+        """Sends an event of a request to the coordinator of its pool.
+
+        Events of requests that have ended are ignored. `messages.WorldChanged`
+        is not sent; it updates the choice of coordinators.
+        """
         if isinstance(event, messages.WorldChanged):
             self._apply_cluster_state()
             return
@@ -348,12 +369,27 @@
         self._channels_by_pool[pool].add(event, request_id)
 
     def prefill_fraction(self, pool: str) -> float | None:
-        """Returns the part of a pool's work that prompts are, if known."""
+        """Returns the fraction of a pool's work that is prefill.
+
+        Args:
+          pool: Name of the pool.
+
+        Returns:
+          A value from 0 to 1, None if unknown.
+        """
         pool_channel = self._channels_by_pool.get(pool)
         return (pool_channel.prefill_fraction or None) if pool_channel else None
 
     def set_polling(self, pool: str, enabled: bool) -> None:
-        """Has a pool's home asked for `prompt_part` now and then, or not."""
+        """Enables or disables heartbeats to a pool's coordinator.
+
+        While enabled, `prefill_fraction` is kept up to date even if this
+        process has no requests of the pool.
+
+        Args:
+          pool: Name of the pool.
+          enabled: Whether heartbeats are sent without requests.
+        """
         if enabled or pool in self._channels_by_pool:
             self._channel(pool).set_polling(enabled)
 
@@ -375,10 +411,10 @@
         return pool_channel
 
     def forget(self, request_id: int) -> None:
-        """Does nothing: a request's end is an event of its own."""
+        """Does nothing: the end of a request is sent as an event."""
 
     async def run(self) -> None:
-        """Keeps the channels until cancelled."""
+        """Waits until cancelled, then closes all channels."""
         try:
             await asyncio.Event().wait()
         finally:
--- a/src/cowsliprill/cells/homes.py
+++ b/src/cowsliprill/cells/homes.py
@@ -1,4 +1,4 @@
-"""The cells that this process is home to, and their answers to entries."""
+"""Server side of pool scheduling: pool schedulers hosted by this process."""
 
 import asyncio
 import dataclasses
@@ -13,14 +13,16 @@
 from cowsliprill.decisions import pool as pools
 from cowsliprill.observability import log as log_lib
 
-# An answer is held back no longer, so that an entry whose connection was lost
-# without a sign asks anew while its requests can still be in time.
+# Upper limit of a long poll. An entry process whose connection was lost without
+# notice calls again soon enough that its requests can still meet their
+# deadlines.
 LONG_POLL_MAX_S = 0.4
 
 _MIN_SLEEP_S = 0.002
 _SEED_BITS = 32
 
-# Engines are counted in whole numbers, so nothing needs the part to be finer.
+# The fraction only decides how many engines serve each stage, which is a whole
+# number; more digits would not change the result.
 _FRACTION_DIGITS = 3
 
 
@@ -33,17 +35,19 @@
 
 
 class Homes:
-    """Answers entries for the pools that they ask for here.
+    """Hosts pool schedulers and answers the calls of entry processes.
 
-    An entry that asks the wrong VM is told the right one: while VMs differ in
-    whom they know, a pool would else have many homes, each with a sliver of its
-    engines. One that can't reach the home says so and is served here; this VM
-    then uses no more than a part of the engines.
+    An entry process that calls a VM other than the pool's coordinator is
+    redirected. Otherwise a pool would have several pool schedulers while the
+    VMs' member lists differ, each placing requests on a few of the engines. An
+    entry process that cannot reach the coordinator reports this and is served
+    by the next reachable VM as acting coordinator, which uses only a fraction
+    of the engines' capacity.
 
     Args:
       vm_id: Id of this VM.
-      availability_zone: Where this process runs.
-      rng: Random numbers.
+      availability_zone: Availability zone of this process.
+      rng: Source of random numbers.
       log: The process's log.
     """
 
@@ -65,7 +69,7 @@
         self._wake = asyncio.Event()
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
-        """Takes new settings or a new VM list."""
+        """Applies new settings or a new VM list."""
         self._snapshot = snapshot
         self._fleet = fleet
         now = clock.now()
@@ -77,13 +81,16 @@
     async def handle(
         self, request: wire.SchedulingRequest
     ) -> wire.SchedulingResponse:
-        """Takes an entry's events and returns the decisions for it.
+        """Applies an entry process's events and returns its pending decisions.
 
         Args:
-          request: The entry's message.
+          request: The message of the entry process.
 
         Returns:
-          The decisions; without any, the answer waits for one.
+          The pending decisions, a redirect to the coordinator, or `known=False`
+          if the entry process must reset the channel. If there are no
+          decisions, the response is delayed by up to the requested time until
+          there is one.
         """
         coordinator = self._coordinator_for(request)
         if coordinator is not None:
@@ -119,7 +126,7 @@
         return self._response(hosted, request)
 
     async def run(self) -> None:
-        """Lets time pass for the cells; ends by cancellation."""
+        """Drives the timers of the pool schedulers until cancelled."""
         while True:
             self._wake.clear()
             now = clock.now()
@@ -141,7 +148,7 @@
                 pass
 
     def loads(self) -> dict[str, pools.Standing]:
-        """Returns how full the pools are that entries ask for here."""
+        """Returns the load of each hosted pool by its name."""
         loads = {}
         for pool, hosted in self._hosted_by_pool.items():
             load = hosted.scheduler.standing(pool)
@@ -150,13 +157,13 @@
         return loads
 
     def hosted_pools(self) -> list[str]:
-        """Returns the pools that entries ask for here."""
+        """Returns the names of the pools hosted by this process."""
         return list(self._hosted_by_pool)
 
     def _coordinator_for(
         self, request: wire.SchedulingRequest
     ) -> model.Vm | None:
-        """Returns the home that an entry should ask, None if it is here."""
+        """Returns the VM to redirect an entry process to, None for this VM."""
         for vm in self._ranked(request.pool):
             if vm.id == self._vm_id:
                 return None
--- a/src/cowsliprill/cells/wire.py
+++ b/src/cowsliprill/cells/wire.py
@@ -1,4 +1,4 @@
-"""Messages between entries and the homes of pools."""
+"""Messages between entry processes and the coordinators of pools."""
 
 import dataclasses
 from typing import Annotated
@@ -12,30 +12,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """A model request as a home needs it.
+    """A model request as sent to a coordinator.
 
-    Times are seconds from when it is sent: two VMs' clocks count from
-    different boots. What the service says goes along, since the home may not
-    have the same settings yet.
+    Times are relative to when the message is sent, because the monotonic clocks
+    of two VMs have different origins. The message carries the settings of the
+    service, because the coordinator may not have the same settings version yet.
 
     Attributes:
-      number: The entry's own number of it.
+      number: Id of the request within the entry process.
       service: Id of the service.
-      pool: Its pool.
-      prompt_tokens: Tokens of the prompt.
-      output_tokens: Limit of the answer.
-      expected_tokens: The caller's guess of its length, 0 for none.
-      priority: Larger goes first.
-      deadline_in_s: Time left for the first token to be in time.
-      useful_in_s: Time left for it to be of any use.
-      repeatable: Whether it may run more than once.
-      attempts: Attempts at most.
-      retry_ratio: Retries earned by each request.
-      retry_burst: Retries that may be saved up, at each entry.
-      retry_group: Services that share a budget of retries.
-      may_wait_s: Longest time in a queue.
-      ttft_target_s: Target for the time to first token.
-      worth_by_size: Part of its worth that goes by its tokens.
+      pool: Name of the service's pool.
+      prompt_tokens: Number of prompt tokens.
+      output_tokens: Maximum number of output tokens.
+      expected_tokens: The caller's estimate of the number of output tokens, 0
+        for none.
+      priority: Requests of higher priority are scheduled first.
+      deadline_in_s: Seconds until the target time of the first token.
+      useful_in_s: Seconds until the first token is of no use to the caller; 0
+        if that is the deadline.
+      repeatable: Whether the request is idempotent and may be executed more
+        than once.
+      attempts: Maximum number of attempts.
+      retry_ratio: Retries added to the retry budget by each request.
+      retry_burst: Maximum balance of the retry budget, per entry process.
+      retry_group: Id of the group of services that share a retry budget.
+      may_wait_s: Maximum time in a queue in seconds.
+      ttft_target_s: Target of the time to first token (TTFT) in seconds.
+      worth_by_size: Fraction of the request's value that is proportional to its
+        tokens.
       customer: Id of the calling customer, empty for none.
     """
 
@@ -61,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Submit:
-    """A request that waits for a decision."""
+    """A new request that has no decision yet."""
 
     kind: Literal["submit"]
     request: Request
@@ -69,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Adopt:
-    """A request that runs where an earlier home placed it."""
+    """A running request that an earlier coordinator has placed."""
 
     kind: Literal["adopt"]
     request: Request
@@ -82,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """A request came a step further; see the `messages` of the same names."""
+    """A change of a request's stage; see the `messages` of the same names."""
 
     kind: Literal["prefill_finished", "first_token", "cancel"]
     number: int
@@ -90,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TokenCount:
-    """A request has come to a number of tokens, or has ended with it."""
+    """The output tokens of a request so far, or of a finished one."""
 
     kind: Literal["progress", "finished"]
     number: int
@@ -99,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Failed:
-    """An attempt came to nothing; see `messages.AttemptFailed`."""
+    """A failed attempt; see `messages.AttemptFailed`."""
 
     kind: Literal["failed"]
     number: int
@@ -125,15 +129,17 @@
     """Body of `POST /v1/cells`.
 
     Attributes:
-      entry: Id of the asking process.
-      pool: The pool.
-      epoch: Tells channels of one entry apart.
-      first: Number of the first event.
-      events: Events that aren't acknowledged.
-      acknowledged: Number of the newest decision that was taken.
-      wait_s: How long the answer may be held back while there is no decision.
-      avoids: Ids of VMs that the entry can't reach just now; none of them is
-        named to it as the home.
+      entry: Id of the sending entry process.
+      pool: Name of the pool.
+      epoch: Incarnation of the channel; rises each time the entry process
+        resets it.
+      first: Sequence number of the first event.
+      events: Events that have not been acknowledged.
+      acknowledged: Sequence number of the newest decision received.
+      wait_s: Maximum delay of the response in seconds while there is no
+        decision (long poll).
+      avoids: Ids of VMs that the entry process currently can't reach; it is not
+        redirected to any of them.
     """
 
     entry: str
@@ -148,13 +154,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Coordinator:
-    """A VM that another holds for a pool's home.
+    """The VM that another VM considers the coordinator of a pool.
 
     Attributes:
-      id: Its id.
-      host: IP number.
-      port: Port for peers.
-      availability_zone: Where it is.
+      id: Id of the VM.
+      host: IP address.
+      port: Port for calls between VMs.
+      availability_zone: Availability zone of the VM.
     """
 
     id: str
@@ -165,18 +171,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SchedulingResponse:
-    """Answer of `POST /v1/cells`.
+    """Response to `POST /v1/cells`.
 
     Attributes:
-      known: Whether the home knows the channel; the entry else begins anew.
-      first: Number of the first decision.
-      starts: Decisions to start, with their numbers.
-      refusals: Decisions to refuse, with their numbers.
-      acknowledged: Number of the newest event that was taken.
-      prompt_part: Part of the pool's work that prompts are, from 0 to 1; 0
-        while the home doesn't know.
-      home: Who is the home, where the one that was asked is not; it has then
-        taken no event.
+      known: Whether the coordinator has state of the channel; if not, the entry
+        process resets it.
+      first: Sequence number of the first decision.
+      starts: Decisions to start, with their sequence numbers.
+      refusals: Decisions to refuse, with their sequence numbers.
+      acknowledged: Sequence number of the newest event received.
+      prompt_part: Fraction of the pool's work that is prefill, from 0 to 1; 0
+        while unknown.
+      home: The coordinator to call instead, if the called VM is not the
+        coordinator; the call's events were not applied.
     """
 
     known: bool = True
@@ -189,7 +196,7 @@
 
 
 def coordinator_to_wire(vm: model.Vm) -> Coordinator:
-    """Writes a VM that is a home."""
+    """Converts the VM of a coordinator to its message."""
     return Coordinator(
         id=vm.id,
         host=vm.host,
@@ -199,7 +206,7 @@
 
 
 def coordinator_from_wire(coordinator: Coordinator) -> model.Vm:
-    """Reads a VM that is a coordinator."""
+    """Converts the message of a coordinator to its VM."""
     return model.Vm(
         id=coordinator.id,
         host=coordinator.host,
@@ -211,11 +218,11 @@
 
 
 def request_to_wire(submit: messages.Submit, now: float) -> Request:
-    """Writes a request for its home.
+    """Converts a request to its message.
 
     Args:
       submit: The request.
-      now: Time, seconds.
+      now: Current time in seconds.
 
     Returns:
       The message.
@@ -244,14 +251,14 @@
 
 
 def request_from_wire(request: Request, now: float) -> messages.Submit:
-    """Reads a request at its home.
+    """Converts the message of a request to a scheduler event.
 
     Args:
       request: The message.
-      now: Time, seconds.
+      now: Current time in seconds.
 
     Returns:
-      The request.
+      The event that submits the request.
     """
     idempotency = (
         model.Idempotency.REPEATABLE
@@ -289,14 +296,14 @@
 
 
 def event_from_wire(event: Event, now: float) -> messages.Event:
-    """Reads an event at the home.
+    """Converts the message of an event to a scheduler event.
 
     Args:
       event: The message.
-      now: Time, seconds.
+      now: Current time in seconds.
 
     Returns:
-      The event.
+      The scheduler event.
     """
     match event:
         case Submit(request=request):
@@ -339,13 +346,16 @@
 
 
 def event_to_wire(event: messages.Event) -> Event:
-    """Writes an event that follows a submitted request.
+    """Converts an event of a submitted request to its message.
 
     Args:
-      event: Any but `Submit` and those of the world.
+      event: Any event of a request except `Submit` and `Adopt`.
 
     Returns:
       The message.
+
+    Raises:
+      TypeError: The event has no message.
     """
     match event:
         case messages.PrefillFinished(number):
--- a/src/cowsliprill/quotas/__init__.py
+++ b/src/cowsliprill/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas of customers across all VMs: reports to owners, and their answers."""
+"""Quotas of customers across all VMs: usage reports and verdicts."""
--- a/src/cowsliprill/quotas/owner.py
+++ b/src/cowsliprill/quotas/owner.py
@@ -1,4 +1,4 @@
-"""The quotas that this process owns, and their answers to the other VMs."""
+"""Answers the usage reports of customers whose quotas this VM owns."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -10,11 +10,15 @@
 
 
 class UsageReportHandler:
-    """Answers reports for the customers that VMs name here.
+    """Answers usage reports of other VMs and of this one.
+
+    A customer's quota is owned by the VM that the reporting VMs pick by
+    rendezvous hashing. The owner adds up what all VMs admit.
 
     Args:
       tolerance: By how much quotas may be exceeded.
-      reachable_fraction: Returns the part of the known VMs that are heard here.
+      reachable_fraction: Returns the fraction of the known VMs that this VM
+        receives heartbeats from.
     """
 
     def __init__(
@@ -27,12 +31,12 @@
         self._quotas_by_customer: Mapping[str, model.Quota] = {}
 
     def set_quotas(self, quotas_by_customer: Mapping[str, model.Quota]) -> None:
-        """Sets the quotas in force."""
+        """Sets the quotas in force by customer id."""
         self._quotas_by_customer = quotas_by_customer
         self._accounts.keep_only(self._quotas_by_customer)
 
     def handle(self, report: wire.UsageReport) -> wire.UsageResponse:
-        """Takes a VM's report."""
+        """Records a VM's usage report and returns its verdicts."""
         verdicts = self._accounts.report(
             report.reporter,
             report.usages,
--- a/src/cowsliprill/quotas/reporter.py
+++ b/src/cowsliprill/quotas/reporter.py
@@ -1,4 +1,4 @@
-"""The task that reports what customers use to the owners of their quotas."""
+"""Admission of requests by quota, with usage reports to the quota owners."""
 
 import asyncio
 import random
@@ -17,8 +17,8 @@
 from cowsliprill.quotas import owner as owner_lib
 from cowsliprill.quotas import wire
 
-# Owners hear this often of customers that ask for something, and no more often
-# than the other of those whose use has grown much since.
+# Interval between usage reports while customers send requests, and the shorter
+# interval while a customer has much unreported usage.
 _REPORT_INTERVAL_S = 0.3
 _URGENT_REPORT_INTERVAL_S = 0.1
 
@@ -28,15 +28,15 @@
 
 
 class UsageReporter:
-    """Admits requests by quota and reports them.
+    """Admits requests by quota and reports their usage to the quota owners.
 
     Args:
       vm_id: Id of this VM.
-      process_id: Id of this process; each start has another.
-      own: The quotas that this process owns.
-      client: Calls other VMs.
+      process_id: Id of this process, different after each restart.
+      local_handler: Answers reports for quotas that this VM owns.
+      client: Sends messages to other VMs.
       log: The process's log.
-      rng: Random numbers.
+      rng: Source of random numbers.
     """
 
     def __init__(
@@ -55,7 +55,8 @@
         self._log = log
         self._gate = quota_gate.QuotaGate(rng)
         self._vms_by_id: dict[str, model.Vm] = {}
-        # Endpoints change far more often than the customers, who may be many.
+        # Skips the rebuild if the customers are the same: endpoints change far
+        # more often than customers, of whom there may be many.
         self._customers_by_id: Mapping[str, model.Customer] = {}
         self._choices_by_customer: dict[str, home_choice.HomeChoice] = {}
         self._calls: set[asyncio.Task] = set()
@@ -63,7 +64,7 @@
         self._urgent_report_due = asyncio.Event()
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
-        """Takes new settings or a new VM list."""
+        """Applies new settings or a new VM list."""
         self._vms_by_id = fleet.vms_by_id
         self._gate.set_members(len(fleet.vms_by_id))
         if snapshot.customers_by_id is self._customers_by_id:
@@ -83,7 +84,20 @@
     async def admit(
         self, customer_id: str, quota: model.Quota, cost: float
     ) -> float | None:
-        """Decides on a request; see `quota_gate.QuotaGate.admit`."""
+        """Decides whether to admit a request.
+
+        If the customer's latest verdict is too old to refuse a request, its
+        usage is reported first and the decision is made with the new verdict.
+
+        Args:
+          customer_id: Id of the customer.
+          quota: The customer's quota.
+          cost: Cost of the request in the quota's units.
+
+        Returns:
+          None if the request is admitted, else seconds until the caller should
+          retry.
+        """
         now = clock.now()
         retry_after_s = self._gate.admit(customer_id, quota, cost, now)
         self._report_due.set()
@@ -99,11 +113,11 @@
         return retry_after_s
 
     def give_back(self, customer_id: str, cost: float) -> None:
-        """Takes back an admitted request that has not run."""
+        """Refunds the cost of an admitted request that was not executed."""
         self._gate.give_back(customer_id, cost)
 
     async def run(self) -> None:
-        """Reports until cancelled."""
+        """Sends usage reports until cancelled."""
         while True:
             await self._report_due.wait()
             await asyncio.sleep(_URGENT_REPORT_INTERVAL_S)
@@ -119,7 +133,7 @@
             self._report_all()
 
     async def _report_one(self, customer_id: str) -> None:
-        """Reports one customer and waits for the answer."""
+        """Reports one customer's usage and waits for the verdict."""
         vm = self._owner_of(customer_id)
         if vm is not None:
             await self._send_report(vm, [self._gate.usage(customer_id)])
@@ -169,7 +183,8 @@
             choice = self._choices_by_customer.get(usage.customer)
             if choice is not None:
                 choice.failed(vm, clock.now())
-        # What wasn't taken is reported anew, though nobody asks meanwhile.
+        # The usage that was not delivered is reported again even if no further
+        # requests arrive.
         self._report_due.set()
 
     async def _call_owner(
--- a/src/cowsliprill/quotas/wire.py
+++ b/src/cowsliprill/quotas/wire.py
@@ -10,8 +10,8 @@
     """Body of `POST /v1/quotas`.
 
     Attributes:
-      reporter: Id of the reporting process; each start has another.
-      usages: Its reports, one a customer.
+      reporter: Id of the reporting process, different after each restart.
+      usages: Usage reports, one per customer.
     """
 
     reporter: str
@@ -20,10 +20,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class UsageResponse:
-    """Answer of `POST /v1/quotas`.
+    """Response to `POST /v1/quotas`.
 
     Attributes:
-      verdicts: What may be admitted of each customer that was named.
+      verdicts: How much of its requests each reported customer may have
+        admitted.
     """
 
     verdicts: tuple[quota_owner.Verdict, ...]
--- a/src/cowsliprill/router/__init__.py
+++ b/src/cowsliprill/router/__init__.py
@@ -1,1 +1,1 @@
-"""One process that is a whole VM: entry, home of engines and settings."""
+"""Router process: entry process, coordinator and settings of one VM in one."""
--- a/src/cowsliprill/router/core.py
+++ b/src/cowsliprill/router/core.py
@@ -1,4 +1,4 @@
-"""The router process as a whole: its tasks, its start and its end."""
+"""Composition of the router process: construction, startup and shutdown."""
 
 import asyncio
 import random
@@ -41,10 +41,12 @@
 from cowsliprill.router import node as node_lib
 from cowsliprill.router import roles as roles_lib
 
-# At its end a process waits so long for a reader of its log.
+# Maximum time in seconds that shutdown waits until the log's reader has taken
+# the remaining lines.
 _LOG_DRAIN_TIMEOUT_S = 0.2
 
-# How often the process's own file is looked at: it may change without a signal.
+# Interval at which the configuration file is checked; it may change without a
+# SIGHUP.
 _CONFIG_CHECK_INTERVAL_S = 1.0
 
 
@@ -53,8 +55,8 @@
 
     Args:
       config: Startup configuration of the process.
-      log: Its log.
-      output: What writes the log, None in tests.
+      log: The process's log.
+      output: Writer of the log, None in tests.
     """
 
     def __init__(
@@ -137,7 +139,7 @@
         )
 
     async def run(self) -> None:
-        """Serves until a signal, then drains and returns."""
+        """Serves until a stop signal, then drains and returns."""
         self._agent.subscribe(self._on_members_changed)
         self._source.subscribe(self._on_cluster_state_changed)
         self._source.subscribe_newest(self._agent.tell_newest)
@@ -149,14 +151,16 @@
         await asyncio.wait(
             [entry_task, *tasks], return_when=asyncio.FIRST_COMPLETED
         )
-        # A task that ends by itself is a fault of ours; see `Entry.run`.
+        # No background task ends by itself without a fault. Its exception is
+        # raised here, because without the task the process would look alive but
+        # not serve; see `Entry.run`.
         for task in tasks:
             if task.done():
                 task.result()
         await entry_task
 
     def _coroutines(self) -> list[Awaitable[None]]:
-        coroutine = [
+        coroutines = [
             self._agent.run(),
             self._pool_schedulers.run(),
             self._gauges.run(),
@@ -165,11 +169,11 @@
         ]
         disabled = self._config.mechanisms_off
         if mechanisms.Mechanism.ROLE_ORDERS not in disabled:
-            coroutine.append(self._roles.run())
-        return coroutine
+            coroutines.append(self._roles.run())
+        return coroutines
 
     async def _watch_config_file(self) -> None:
-        """Takes changes of the process's own file, with a signal or without."""
+        """Reloads the configuration file on SIGHUP or when it changes."""
         path = self._config.path
         if path is None:
             return await asyncio.Event().wait()
@@ -194,8 +198,9 @@
                 self._reload()
 
     def _reload(self) -> None:
-        # What the process listens on can't change while it runs; seeds can,
-        # and by them a VM that lost all others finds them again.
+        # Only the seeds are applied: listening addresses can't change while the
+        # process runs, while seeds let a VM that lost contact with all others
+        # find them again.
         try:
             config = node_lib.load(self._config.path)
         except errors.CowsliprillError as error:
@@ -211,15 +216,15 @@
 
     @property
     def public_port(self) -> int:
-        """Port for callers, known once it runs."""
+        """Port for callers, known once the process serves."""
         return self._entry.shell.public_port
 
     def honours_keys(self) -> bool:
-        """Returns whether API keys are honoured here now."""
+        """Returns whether API keys are currently accepted."""
         return self._source.honours_keys()
 
     def status(self) -> dict[str, Any]:
-        """Returns what `GET /v1/status` answers."""
+        """Returns the body of `GET /v1/status`."""
         return {
             "alive": len(self._members.alive()) + 1,
             "homed_pools": self._pool_schedulers.hosted_pools(),
@@ -229,7 +234,7 @@
         }
 
     def stop(self) -> None:
-        """Begins to drain, as the first SIGTERM does."""
+        """Starts to drain, as the first SIGTERM does."""
         self._entry.shell.stop()
 
     def _peer_routes(self) -> list[tuple]:
@@ -275,7 +280,7 @@
 
 
 async def serve(config: node_lib.Node) -> None:
-    """Runs the router until it is told to stop.
+    """Runs the router until it is stopped by a signal.
 
     Args:
       config: Startup configuration of the process.
--- a/src/cowsliprill/router/gauges.py
+++ b/src/cowsliprill/router/gauges.py
@@ -1,4 +1,4 @@
-"""The task that keeps a router's gauges up to date."""
+"""Background task that updates the gauges of a router process."""
 
 import asyncio
 import dataclasses
@@ -12,21 +12,23 @@
 from cowsliprill.observability import writer
 from cowsliprill.registry import source as source_lib
 
-# Metrics are read every few seconds at the most often.
+# A shorter interval is of no use: metrics are scraped every few seconds at
+# most.
 _SAMPLE_INTERVAL_S = 1.0
 
 
 class GaugeSampler:
-    """Reads the other tasks' standing and sets the gauges.
+    """Sets the gauges from the state of the other tasks.
+
+    Also logs the load of each pool that has requests, once per interval.
 
     Args:
       metrics: The process's metrics.
-      members: The VMs.
-      source: What follows the store.
-      homes: The pools that are homed here.
-      log: The process's log; tells each second how full a pool is that has
-        work.
-      output: What writes the log, None in tests.
+      members: Membership of the VMs.
+      source: Follower of the registry's store.
+      pool_schedulers: The pool schedulers hosted by this process.
+      log: The process's log.
+      output: Writer of the log, None in tests.
     """
 
     def __init__(
@@ -52,7 +54,7 @@
             await asyncio.sleep(_SAMPLE_INTERVAL_S)
 
     def sample(self) -> None:
-        """Sets all gauges, and tells how full the pools are."""
+        """Sets all gauges and logs the load of the pools."""
         metrics = self._metrics
         metrics.members.set({}, len(self._members.alive()) + 1)
         dropped = self._output.dropped if self._output else 0
--- a/src/cowsliprill/router/node.py
+++ b/src/cowsliprill/router/node.py
@@ -1,4 +1,4 @@
-"""What a router process is told about itself, in its own JSON file."""
+"""Startup configuration of a router process, read from a JSON file."""
 
 import pathlib
 from typing import Annotated
@@ -9,13 +9,14 @@
 from cowsliprill.decisions import mechanisms
 from cowsliprill.decisions import quota_owner
 
-# Time between the end of the last request and that of the process.
+# Time in seconds reserved between the end of the last request and the end of
+# the process.
 _SHUTDOWN_RESERVE_S = 0.7
 
 _MS_PER_S = 1_000
 
-# Part of what quotas may be exceeded by that customers get. The rest is for
-# what VMs admit before they hear of each other.
+# Fraction of the permitted quota overage that customers may use. The rest
+# covers requests that VMs admit before they receive each other's usage.
 _TOLERANCE_FRACTION = 0.5
 
 
@@ -24,7 +25,7 @@
         return address
     host, _, port = address.rpartition(":")
     if not (host and port.isdigit()):
-        raise ValueError(f"{address!r} isn't HOST:PORT")
+        raise ValueError(f"{address!r} is not of the form HOST:PORT")
     return host, int(port)
 
 
@@ -32,34 +33,37 @@
 
 
 class Node(pydantic.BaseModel):
-    """A router's own file; fields it doesn't know are passed over.
+    """Contents of a router's configuration file; unknown fields are ignored.
 
     Attributes:
       vm: Id of this VM.
-      availability_zone: Where it is.
+      availability_zone: Availability zone of this VM.
       public: Address for callers.
-      ready: Address on which the balancer asks whether to send callers here.
-      peer_ports: First and last port for traffic between VMs; the first one
-        is used, for heartbeats over UDP and calls over TCP.
-      seeds: Addresses of a few VMs to greet at first; their hosts count.
+      ready: Address of the readiness check, called by the load balancer.
+      peer_ports: First and last port for traffic between VMs; only the first is
+        used, for heartbeats over UDP and calls over TCP.
+      seeds: Addresses of some VMs to contact at startup; only their hosts are
+        used.
       store: Address of the registry's store.
-      processor_share: Part of its processor that the process may use.
-      processor_speed: How many times as fast as the slowest class's that
-        processor is.
-      retry_budget_ratio: Repeats allowed for each request.
-      retry_budget_slack: Repeats allowed beyond, for all VMs together.
-      drain_notice_s: How long the balancer may need to see that the process
-        isn't ready: it asks each second and turns away after two refusals.
-      key_revocation_ms: Time after which a key that the operator has taken
-        away must not be honoured, in touch or not; None for no such bound.
-      quota_overage: Part by which customers' quotas may be exceeded, None
-        where none is stated.
-      quota_slack: Tokens by which they may be exceeded beyond, None likewise.
-      grace_s: Time between the order to stop and the end.
-      peer_secret: Secret that our processes share; empty accepts all.
-      mechanisms_off: Parts of the decisions that are switched off for an
+      processor_share: Fraction of the VM's processor that the process may use.
+      processor_speed: Speed of the processor relative to the slowest VM class.
+      retry_budget_ratio: Retries allowed per request.
+      retry_budget_slack: Retries allowed in addition, for all VMs together.
+      drain_notice_s: Seconds until the load balancer detects that the process
+        is not ready: it checks every second and removes the process after two
+        failed checks.
+      key_revocation_ms: Milliseconds after which a revoked API key must not be
+        accepted, even if the store is unreachable; None for no limit.
+      quota_overage: Fraction by which customers' quotas may be exceeded, None
+        if not configured.
+      quota_slack: Tokens by which quotas may be exceeded in addition, None if
+        not configured.
+      grace_s: Seconds between the stop signal and the end of the process.
+      peer_secret: Secret shared by the processes; if empty, messages are not
+        authenticated.
+      mechanisms_off: Mechanisms of the decision code that are disabled for an
         experiment.
-      path: The file itself, None where there is none.
+      path: Path of the file, None if the configuration was not read from one.
     """
 
     model_config = pydantic.ConfigDict(frozen=True)
@@ -85,11 +89,11 @@
     path: pathlib.Path | None = None
 
     def cores(self) -> float:
-        """Returns how much work it can do, in cores of the slowest class."""
+        """Returns the process's capacity in cores of the slowest VM class."""
         return round(self.processor_share * self.processor_speed, 3)
 
     def key_revocation_s(self) -> float | None:
-        """Returns the bound for keys that are taken away, in seconds."""
+        """Returns the time limit for revoked API keys in seconds, if any."""
         if self.key_revocation_ms is None:
             return None
         return self.key_revocation_ms / _MS_PER_S
@@ -102,7 +106,7 @@
         )
 
     def environment(self) -> environment.Environment:
-        """Returns the same as the entry process's environment."""
+        """Returns the equivalent environment of an entry process."""
         return environment.Environment(
             vm=self.vm,
             availability_zone=self.availability_zone,
@@ -120,16 +124,16 @@
 
 
 def load(path: pathlib.Path) -> Node:
-    """Reads a router's own file.
+    """Reads a router's configuration file.
 
     Args:
-      path: The JSON file.
+      path: Path of the JSON file.
 
     Returns:
-      What it says.
+      The configuration.
 
     Raises:
-      environment.EnvironmentFileError: It can't be read or has wrong fields.
+      environment.EnvironmentFileError: The file can't be read or is invalid.
     """
     try:
         node = Node.model_validate_json(path.read_bytes())
--- a/src/cowsliprill/router/roles.py
+++ b/src/cowsliprill/router/roles.py
@@ -1,4 +1,8 @@
-"""The task that has a pool's surplus prefill engines write answers."""
+"""Background task that changes the roles of a pool's engines.
+
+It orders engines of the role that is in surplus to take the role that is in
+shortage, such as prefill engines to become decode engines.
+"""
 
 import asyncio
 import time
@@ -14,15 +18,15 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.registry import source as source_lib
 
-# Several looks fit into the time after which a process counts as having stood
-# still.
+# Several checks must fit into `leadership.STOOD_STILL_S`: after a longer gap
+# between checks the process counts as paused and gives no orders.
 _CHECK_INTERVAL_S = 0.25
 
 _NS_PER_MS = 1_000_000
 
 
 class EngineOrders(Protocol):
-    """Orders to engines, as the platform takes them."""
+    """Sends orders to engines through the platform."""
 
     async def change_role(
         self,
@@ -31,28 +35,41 @@
         holder: str,
         fencing_token: int,
     ) -> str:
-        """Orders an engine; returns its word, raises `errors.CallError`."""
+        """Orders an engine to change its role.
+
+        Args:
+          endpoint: The engine.
+          kind: Its new role.
+          holder: Id of the VM that gives the order.
+          fencing_token: Fencing token of the order.
+
+        Returns:
+          The engine's response to the order.
+
+        Raises:
+          errors.CallError: The call failed.
+        """
 
 
 class PoolWorkload(Protocol):
-    """What is known of the pools' work."""
+    """Supplies the mix of work of each pool."""
 
     def prefill_fraction(self, pool: str) -> float | None:
-        """Returns the part of it that prompts are, None if unknown."""
+        """Returns the fraction of a pool's work that is prefill, if known."""
 
     def set_polling(self, pool: str, enabled: bool) -> None:
-        """Has `prompt_part` kept up to date, or not."""
+        """Enables or disables regular updates of `prefill_fraction`."""
 
 
 class RoleController:
-    """Looks at the pools and orders engines, where this VM leads.
+    """Checks all pools and orders role changes where this VM is the leader.
 
     Args:
       source: Settings and endpoints.
-      members: The VMs.
-      tell: Tells the other VMs something else of this one.
-      orders: Reaches the engines.
-      work: What is known of the pools' work.
+      members: Membership of the VMs.
+      publish: Publishes changed fields of this VM's member record.
+      orders: Sends orders to engines.
+      workload: Supplies the mix of work of each pool.
       log: The process's log.
     """
 
@@ -76,13 +93,14 @@
         self._roles_by_pool: dict[str, roles.Roles] = {}
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Checks the pools until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_S)
             membership_view = self._members.electorate()
             self._leadership.look(membership_view, clock.now())
             pools = self._source.engine_pools()
-            # Orders need the store's own word on the engines.
+            # Orders must be based on engines read from the store itself, not
+            # from peers.
             led = {
                 pool
                 for pool in pools
@@ -95,7 +113,7 @@
             self._publish_changing()
 
     def _publish_changing(self) -> None:
-        """Tells the others which engines change, until the registry does."""
+        """Publishes the engines that change until the registry lists them."""
         changing: list[tuple[str, str]] = []
         for pool, plan in self._roles_by_pool.items():
             changing += plan.changing(self._source.staying_endpoints(pool))
@@ -113,8 +131,8 @@
             now,
             self._workload.prefill_fraction(pool),
         )
-        # A VM that doesn't lead looks as well: whoever comes to lead knows then
-        # how long a lack has lasted.
+        # A VM that isn't the leader plans as well, so that it knows how long a
+        # shortage has lasted when it becomes the leader.
         if order is None or not self._may_order(pool, now):
             return
         plan.ordered(order, now)
@@ -122,12 +140,13 @@
             plan.answered(order)
 
     def _may_order(self, pool: str, now: float) -> bool:
-        # Engines that are gone would count, and one too many be ordered.
+        # While the endpoint list is not settled, removed engines would be
+        # counted and one engine too many would be ordered.
         settled = self._source.is_settled(now)
         return settled and self._leadership.leads(pool, now)
 
     async def _send(self, order: roles.Order) -> bool:
-        """Sends an order; returns whether the engine has answered."""
+        """Sends an order; returns whether the engine has acknowledged it."""
         acknowledged = True
         holder = self._members.own.id
         token = self._tokens.next(time.time_ns() // _NS_PER_MS)
@@ -136,8 +155,8 @@
                 order.endpoint, order.kind, holder, token
             )
         except errors.CallError as error:
-            # It may have arrived. The registry will tell, and another order is
-            # not sent before it has had the time to.
+            # The order may have arrived. The registry will show whether it did,
+            # and no other order is sent before the registry has had time to.
             outcome = error.message
             acknowledged = False
         self._log.event(
