--- a/tests/test_cell_wire.py
+++ b/tests/test_cell_wire.py
@@ -1,4 +1,4 @@
-"""Messages between entries and homes say the same at both ends."""
+"""Tests of the messages between entry processes and coordinators."""
 
 import dataclasses
 import typing
@@ -10,8 +10,8 @@
 from cowsliprill.decisions import messages
 
 
-def _filled(kind: type) -> object:
-    """Makes an event whose fields all differ from their defaults."""
+def _with_all_fields_set(kind: type) -> object:
+    """Returns an event whose fields all differ from their defaults."""
     values = {bool: True, int: 7, float: 0.25, str: "e-1"}
     hints = typing.get_type_hints(kind)
     fields = {}
@@ -24,7 +24,7 @@
 
 
 def _round_trip(event: messages.Event) -> messages.Event:
-    """Returns an event as the home reads it."""
+    """Returns an event after it was encoded and decoded."""
     request = wire.SchedulingRequest(
         entry="vm-1.router.a",
         pool="writers",
@@ -38,11 +38,12 @@
     return wire.event_from_wire(received.events[0], now=0.0)
 
 
-class TestEvents:
-    """A field that is lost on the way changes a decision without a sign.
+class TestEventRoundTrip:
+    """Guards against fields that are lost in a message.
 
-    A home that isn't told that an attempt reached no engine counts it, and
-    refuses the request's last try.
+    A lost field changes a scheduling decision without an error. For example, a
+    coordinator that isn't informed that an attempt reached no engine counts the
+    attempt and refuses the request's last retry.
     """
 
     @pytest.mark.parametrize(
@@ -56,16 +57,16 @@
             messages.AttemptFailed,
         ],
     )
-    def test_every_field_arrives(self, kind):
-        event = _filled(kind)
+    def test_every_field_survives_the_round_trip(self, kind):
+        event = _with_all_fields_set(kind)
         assert _round_trip(event) == event
 
-    def test_defaults_arrive_as_such(self):
+    def test_omitted_defaults_are_restored(self):
         event = messages.AttemptFailed(
             request_id=1, stage=messages.Stage.PREFILL, endpoint_id="e"
         )
         assert _round_trip(event) == event
 
-    def test_news_of_the_world_is_no_message(self):
+    def test_event_without_a_message_is_rejected(self):
         with pytest.raises(TypeError):
             wire.event_to_wire(messages.Tick())
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""Tests of customers' API keys on the platform."""
+"""Tests of customers' API keys and quotas on the platform."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 _SAFE = platform_site.SAFE_PATH
 _MODEL = platform_site.MODEL_PATH
-_BOUND_MS = 1_500
+_REVOCATION_LIMIT_MS = 1_500
 
 
 def _tenant(name: str, *keys: str, **more: Any) -> dict[str, Any]:
@@ -26,7 +26,7 @@
     return config
 
 
-def _on_site(scenario, *tenants: dict, public: bool = False, **fields):
+def _run_on_site(scenario, *tenants: dict, public: bool = False, **fields):
     async def run():
         async with platform_site.running(**fields) as site:
             await _publish(site, _config(2, *tenants, public=public))
@@ -43,107 +43,111 @@
     )
 
 
-def _key(key: str) -> dict[str, str]:
+def _auth_header(key: str) -> dict[str, str]:
     return {"Authorization": f"Bearer {key}"}
 
 
-def _arrived(site: platform_site.Site) -> list:
+def _received_requests(site: platform_site.Site) -> list:
     return [
         item for engine in site.engines.values() for item in engine.requests
     ]
 
 
 class TestKeys:
-    """A key names the customer; nothing but its name goes on."""
+    """A key identifies the customer; engines receive only the name."""
 
     @pytest.mark.parametrize("path", [_SAFE, _MODEL])
-    def test_engines_get_the_customers_name_and_no_key(self, path):
-        """Guards against an engine that learns a key, or a forged name."""
+    def test_engines_get_customer_name_and_no_key(self, path):
+        """Guards against keys sent to engines, and forged customer names."""
 
         async def scenario(site):
-            headers = {**_key("k1"), "Tenant": "rival"}
+            headers = {**_auth_header("k1"), "Tenant": "rival"}
             status, _, _ = await site.call(path, headers=headers)
-            return status, _arrived(site)
+            return status, _received_requests(site)
 
-        status, requests = _on_site(scenario, _tenant("firm", "k1"))
+        status, requests = _run_on_site(scenario, _tenant("firm", "k1"))
         assert status == 200
         for request in requests:
             assert request.headers.get_list("Tenant") == ["firm"]
             assert "Authorization" not in request.headers
 
-    @pytest.mark.parametrize("headers", [{}, _key("other"), _key("")])
-    def test_without_a_known_key(self, headers):
+    @pytest.mark.parametrize(
+        "headers", [{}, _auth_header("other"), _auth_header("")]
+    )
+    def test_unknown_key_is_rejected(self, headers):
         async def scenario(site):
             status, _, _ = await site.call(_SAFE, headers=headers)
             return status, site.runs()
 
-        assert _on_site(scenario, _tenant("firm", "k1")) == (401, [])
+        assert _run_on_site(scenario, _tenant("firm", "k1")) == (401, [])
 
     def test_a_public_route_needs_no_key(self):
         async def scenario(site):
             status, _, _ = await site.call(_SAFE, headers={"Tenant": "firm"})
-            return status, _arrived(site)
+            return status, _received_requests(site)
 
-        status, (request,) = _on_site(
+        status, (request,) = _run_on_site(
             scenario, _tenant("firm", "k1"), public=True
         )
         assert status == 200
         assert "Tenant" not in request.headers
 
-    def test_without_customers_headers_pass(self):
+    def test_headers_pass_if_there_are_no_customers(self):
         async def scenario(site):
-            status, _, _ = await site.call(_SAFE, headers=_key("own"))
-            return status, _arrived(site)
+            status, _, _ = await site.call(_SAFE, headers=_auth_header("own"))
+            return status, _received_requests(site)
 
-        status, (request,) = _on_site(scenario)
+        status, (request,) = _run_on_site(scenario)
         assert status == 200
         assert request.headers["Authorization"] == "Bearer own"
 
-    def test_a_new_key_is_known_and_an_old_one_forgotten(self):
+    def test_settings_change_replaces_keys(self):
         async def scenario(site):
             await _publish(site, _config(3, _tenant("firm", "k2")))
-            old = await site.call(_SAFE, headers=_key("k1"))
-            new = await site.call(_SAFE, headers=_key("k2"))
-            return old[0], new[0]
+            with_old_key = await site.call(_SAFE, headers=_auth_header("k1"))
+            with_new_key = await site.call(_SAFE, headers=_auth_header("k2"))
+            return with_old_key[0], with_new_key[0]
 
-        assert _on_site(scenario, _tenant("firm", "k1")) == (401, 200)
+        assert _run_on_site(scenario, _tenant("firm", "k1")) == (401, 200)
 
     def test_a_key_is_never_logged(self):
         async def scenario(site):
-            await site.call(_SAFE, headers=_key("secret-key"))
-            await site.call(_SAFE, headers=_key("other-secret"))
+            await site.call(_SAFE, headers=_auth_header("secret-key"))
+            await site.call(_SAFE, headers=_auth_header("other-secret"))
             return "".join(log.getvalue() for log in site.logs)
 
-        logged = _on_site(scenario, _tenant("firm", "secret-key"))
+        logged = _run_on_site(scenario, _tenant("firm", "secret-key"))
         assert "secret" not in logged
 
 
 class TestRevocation:
-    """A VM that can't reach the store stops honouring keys in time."""
+    """A VM that can't reach the store stops accepting keys in time."""
 
-    def test_keys_are_refused_while_the_store_is_away(self):
-        """Guards against a revoked key that works at a VM out of touch."""
+    def test_keys_are_refused_during_a_store_outage(self):
+        """Guards against revoked keys accepted by a VM without the store."""
 
         async def scenario(site):
-            before = await site.call(_SAFE, headers=_key("k1"))
+            before = await site.call(_SAFE, headers=_auth_header("k1"))
             await site.store.fail(503)
             router = site.routers[0]
             await platform_site.until(lambda: not router.honours_keys())
-            refused = await site.call(_SAFE, headers=_key("k1"))
+            refused = await site.call(_SAFE, headers=_auth_header("k1"))
             runs = site.runs()
             site.store.status = 0
             await platform_site.until(router.honours_keys)
-            after = await site.call(_SAFE, headers=_key("k1"))
+            after = await site.call(_SAFE, headers=_auth_header("k1"))
             return before[0], refused, runs, after[0]
 
-        before, refused, runs, after = _on_site(
-            scenario, _tenant("firm", "k1"), key_revocation_ms=_BOUND_MS
+        before, refused, runs, after = _run_on_site(
+            scenario,
+            _tenant("firm", "k1"),
+            key_revocation_ms=_REVOCATION_LIMIT_MS,
         )
         assert (before, refused[0], after) == (200, 503, 200)
         assert float(refused[1]["Retry-After"]) > 0
         assert runs == ["a1"]
 
-    def test_public_routes_go_on(self):
+    def test_public_routes_work_during_a_store_outage(self):
         async def scenario(site):
             await site.store.fail(503)
             router = site.routers[0]
@@ -152,51 +156,52 @@
             site.store.status = 0
             return status
 
-        status = _on_site(
+        status = _run_on_site(
             scenario,
             _tenant("firm", "k1"),
             public=True,
-            key_revocation_ms=_BOUND_MS,
+            key_revocation_ms=_REVOCATION_LIMIT_MS,
         )
         assert status == 200
 
-    def test_a_vm_that_the_store_turns_away_hears_from_the_others(self):
-        """Guards against refusals where a peer can show that keys hold."""
+    def test_keys_work_at_a_partitioned_vm_with_peers(self):
+        """Guards against refusals while a peer can confirm the keys."""
 
         async def scenario(site):
-            door = platform_site.Door(site.store)
-            cut = site.add_router(store=door.site.address)
-            await platform_site.until(lambda: site.ready(cut))
-            door.status = 503
-            # Twice the bound: what was known before has long expired.
-            await asyncio.sleep(2 * _BOUND_MS / 1_000)
+            proxy = platform_site.Door(site.store)
+            partitioned = site.add_router(store=proxy.site.address)
+            await platform_site.until(lambda: site.ready(partitioned))
+            proxy.status = 503
+            # Twice the revocation limit: the last confirmation by the store
+            # itself has expired.
+            await asyncio.sleep(2 * _REVOCATION_LIMIT_MS / 1_000)
             status, _, _ = await site.call(
-                _SAFE, headers=_key("k1"), router=cut
+                _SAFE, headers=_auth_header("k1"), router=partitioned
             )
-            await door.site.close()
+            await proxy.site.close()
             return status
 
-        status = _on_site(
+        status = _run_on_site(
             scenario,
             _tenant("firm", "k1"),
             routers=2,
-            key_revocation_ms=_BOUND_MS,
+            key_revocation_ms=_REVOCATION_LIMIT_MS,
         )
         assert status == 200
 
 
 class TestQuotas:
-    """A customer above its quota is told when to come back."""
+    """A customer above its quota is refused with a time to retry after."""
 
-    def test_what_is_over_is_refused_at_every_vm(self):
-        """Guards against a quota for each VM instead of for all."""
+    def test_quota_is_shared_by_all_vms(self):
+        """Guards against a quota that is applied per VM."""
 
         async def scenario(site):
             refused = None
             admitted = 0
             while refused is None:
                 status, headers, _ = await site.call(
-                    _SAFE, headers=_key("k1"), router=admitted % 2
+                    _SAFE, headers=_auth_header("k1"), router=admitted % 2
                 )
                 if status == 429:
                     refused = headers
@@ -205,7 +210,7 @@
                     await asyncio.sleep(0.05)
             return refused, admitted, len(site.runs())
 
-        refused, admitted, runs = _on_site(
+        refused, admitted, runs = _run_on_site(
             scenario,
             _tenant(
                 "firm",
@@ -219,25 +224,26 @@
         )
         assert float(refused["Retry-After"]) > 0
         assert runs == admitted
-        # Two VMs with a bucket each would admit at least four.
+        # Two VMs with separate token buckets would admit at least four
+        # requests.
         assert 2 <= admitted <= 20
 
-    def test_tokens_count_as_stated(self):
+    def test_quota_counts_tokens(self):
         async def scenario(site):
             statuses = []
             while 429 not in statuses and len(statuses) < 50:
-                answer = await site.call(_MODEL, headers=_key("k1"))
-                statuses.append(answer[0])
+                response = await site.call(_MODEL, headers=_auth_header("k1"))
+                statuses.append(response[0])
             return statuses
 
         tenant = _tenant(
             "firm", "k1", unit="generation", ratePerS=1, burst=8_000
         )
-        assert 429 in _on_site(scenario, tenant)
+        assert 429 in _run_on_site(scenario, tenant)
 
 
 class TestConfiguration:
-    """What the operator says of customers, in the project's own types."""
+    """Translation of the operator's customer settings to internal types."""
 
     def test_customers_with_quotas(self):
         config = _config(
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""One home for a pool, though the VMs differ in whom they know."""
+"""Tests that a pool has one coordinator while member lists differ."""
 
 import asyncio
 import dataclasses
@@ -71,9 +71,9 @@
 
 
 class _Cluster:
-    """Homes that know different VMs, and one entry that knows some."""
+    """Pool schedulers with different member lists, and one entry process."""
 
-    def __init__(self, vms, known_by_vm, known_to_entry) -> None:
+    def __init__(self, vms, members_by_vm, entry_members) -> None:
         self.called: list[str] = []
         self.unreachable: set[str] = set()
         log = log_lib.open_log("test", io.StringIO())
@@ -81,9 +81,9 @@
         snapshot = model.Snapshot(revision=1, endpoints_by_id=_engines())
         for vm in vms:
             pool_scheduler = homes.Homes(vm.id, "a", random.Random(1), log)
-            pool_scheduler.update(snapshot, _fleet(known_by_vm[vm.id]))
+            pool_scheduler.update(snapshot, _fleet(members_by_vm[vm.id]))
             self.pool_schedulers_by_vm[vm.id] = pool_scheduler
-        world = world_lib.World(snapshot, _fleet(known_to_entry))
+        world = world_lib.World(snapshot, _fleet(entry_members))
         self.scheduling = client.CellScheduling(
             "entry-1", self._post, world, log
         )
@@ -116,8 +116,8 @@
             task.cancel()
         return decision
 
-    def hosts(self) -> list[str]:
-        """Returns the VMs that hold requests of the pool."""
+    def hosting_vms(self) -> list[str]:
+        """Returns the VMs whose pool scheduler has requests of the pool."""
         return [
             vm
             for vm, pool_scheduler in self.pool_schedulers_by_vm.items()
@@ -129,66 +129,68 @@
     return ownership.homes_in_order(_POOL, vms)
 
 
-class TestOneHome:
-    """VMs have just started and know only some of the others."""
+class TestCoordinatorAgreement:
+    """The VMs have just started and their member lists are incomplete."""
 
-    def test_an_entry_is_told_the_home_by_the_one_it_asks(self):
-        """An entry knows one VM, which knows all.
+    def test_entry_is_redirected_to_the_coordinator(self):
+        """Guards against a pool with several coordinators.
 
-        Served there, its requests would be placed on a sliver of the engines,
-        beside those that the true home places.
+        The entry process knows one VM, which knows all others. If that VM
+        served the entry's requests, it would place them on a few of the
+        engines, beside the requests that the coordinator places.
         """
         vms = _ranked([_vm(number) for number in range(5)])
-        last = vms[-1]
-        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, [last])
+        known_vm = vms[-1]
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, [known_vm])
         start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert cluster.called[:2] == [last.id, vms[0].id]
-        assert cluster.hosts() == [vms[0].id]
+        assert cluster.called[:2] == [known_vm.id, vms[0].id]
+        assert cluster.hosting_vms() == [vms[0].id]
 
-    def test_from_one_to_the_next_each_knows_a_better_one(self):
+    def test_entry_follows_a_chain_of_redirects(self):
         vms = _ranked([_vm(number) for number in range(4)])
-        known = {
+        members_by_vm = {
             vm.id: vms[max(index - 1, 0) : index + 1]
             for index, vm in enumerate(vms)
         }
-        cluster = _Cluster(vms, known, [vms[-1]])
+        cluster = _Cluster(vms, members_by_vm, [vms[-1]])
         asyncio.run(cluster.place())
-        assert cluster.hosts() == [vms[0].id]
+        assert cluster.hosting_vms() == [vms[0].id]
 
-    def test_one_that_cant_reach_the_home_is_served_by_the_next(self):
-        """A home has lost its power, and the others don't know yet."""
+    def test_entry_fails_over_to_the_next_vm(self):
+        """The coordinator's VM has crashed, and the other VMs still list it."""
         vms = _ranked([_vm(number) for number in range(4)])
         cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
         cluster.unreachable = {vms[0].id}
         start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert cluster.hosts() == [vms[1].id]
+        assert cluster.hosting_vms() == [vms[1].id]
 
-    def test_two_that_name_each_other_dont_send_it_to_and_fro(self):
-        """Each of two VMs holds the other for the home.
+    def test_mutual_redirects_do_not_loop(self):
+        """Guards against two VMs that redirect a request to each other.
 
-        One has been told to leave and the other doesn't know that it is
-        ready; both views are a moment old.
+        Each VM considers the other the coordinator: one was ordered to leave,
+        and the other does not know yet that it is ready itself. Both views are
+        slightly out of date.
         """
         vms = _ranked([_vm(0), _vm(1)])
         leaving = [
             dataclasses.replace(vm, state=model.VmState.LEAVING) for vm in vms
         ]
-        known = {
+        members_by_vm = {
             vms[0].id: [leaving[0], vms[1]],
             vms[1].id: [vms[0], leaving[1]],
         }
-        cluster = _Cluster(vms, known, vms)
+        cluster = _Cluster(vms, members_by_vm, vms)
         start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
         assert len(cluster.called) <= 4
 
 
-class TestIdleEntries:
-    """What an entry without requests costs a home."""
+class TestIdleEntryProcesses:
+    """Entry processes without requests put no load on coordinators."""
 
-    def test_one_that_never_had_any_says_nothing(self):
+    def test_entry_that_never_had_requests_makes_no_calls(self):
         vms = _ranked([_vm(number) for number in range(3)])
         cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
 
@@ -202,13 +204,14 @@
         assert cluster.called == []
 
 
-class TestLeadersWithoutRequests:
-    """Who orders a pool's engines needs to know what the pool's work is."""
+class TestPollingWithoutRequests:
+    """A VM that orders role changes needs to know each pool's workload."""
 
-    def test_one_asks_the_home_though_it_places_nothing(self):
-        """A VM that orders engines has no callers of the pool itself.
+    def test_polling_entry_calls_the_coordinator(self):
+        """Guards against role changes that are based on a default workload.
 
-        Knowing nothing of the work it would divide the engines by a guess.
+        A VM that leads a pool may have no requests of the pool itself, so only
+        polling informs it of the workload.
         """
         vms = _ranked([_vm(number) for number in range(3)])
         cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
@@ -223,15 +226,16 @@
         assert cluster.called[0] == vms[0].id
 
 
-class TestStrongVms:
-    """VMs differ in what they can carry."""
+class TestCoordinatorCapacity:
+    """VMs differ in compute capacity."""
 
     @pytest.mark.parametrize("pool", [f"pool-{n}" for n in range(10)])
-    def test_the_home_is_a_strong_one(self, pool):
-        """A pool's home works for all entries of the fleet.
+    def test_coordinator_is_a_vm_of_high_capacity(self, pool):
+        """Guards against an overloaded coordinator.
 
-        At a VM with half a core it falls behind, and every request of the
-        pool is late.
+        The coordinator serves all entry processes of the fleet. On a VM with
+        half a core it falls behind, and every request of the pool misses its
+        target.
         """
         vms = [
             _vm(number, cores=2.15 if number % 10 == 0 else 0.516)
@@ -239,7 +243,9 @@
         ]
         assert ownership.homes_in_order(pool, vms)[0].cores == 2.15
 
-    def test_weak_ones_still_carry_a_fleet_without_strong_ones(self):
+    def test_low_capacity_vms_coordinate_if_there_are_no_others(self):
         vms = [_vm(number, cores=0.516) for number in range(5)]
-        strong = _vm(9, cores=2.15, state=model.VmState.LEAVING)
-        assert ownership.homes_in_order(_POOL, [*vms, strong])[0].cores < 1
+        high_capacity = _vm(9, cores=2.15, state=model.VmState.LEAVING)
+        assert (
+            ownership.homes_in_order(_POOL, [*vms, high_capacity])[0].cores < 1
+        )
--- a/tests/test_role_orders.py
+++ b/tests/test_role_orders.py
@@ -1,4 +1,4 @@
-"""Orders of routers to engines, against stand-ins of the platform."""
+"""Tests of role change orders from routers to simulated engines."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from cowsliprill.decisions import leadership
 
 
-@pytest.fixture(name="_calm_at_once")
-def _calm_at_once_fixture(monkeypatch):
+@pytest.fixture(name="_short_stable_period")
+def _short_stable_period_fixture(monkeypatch):
     monkeypatch.setattr(leadership.Electorate, "calm_s", lambda self: 0.3)
 
 
@@ -22,26 +22,27 @@
     }
 
 
-async def _orders(site, count):
+async def _wait_for_orders(site, count):
     await platform_site.until(lambda: len(_ordered(site)) >= count)
     return _ordered(site)
 
 
-@pytest.mark.usefixtures("_calm_at_once")
+@pytest.mark.usefixtures("_short_stable_period")
 class TestRoleOrders:
-    """Surplus prefill engines are told to write answers."""
+    """Surplus prefill engines are ordered to become decode engines."""
 
-    def test_one_vm_orders_each_surplus_engine_once(self):
-        """Three VMs see that two of four prefill engines are needless.
+    def test_only_the_leader_orders_each_surplus_engine_once(self):
+        """Guards against orders from several VMs to one engine.
 
-        If each of them told the engines so, an engine would have orders of
-        several holders and could not tell which is in force.
+        Three VMs find that two of four prefill engines are surplus. If each VM
+        sent orders, an engine would have orders from several holders and could
+        not determine which one is in force.
         """
 
         async def scenario():
             async with platform_site.running(3, prefills=4) as site:
-                ordered = await _orders(site, 2)
-                # A fourth VM comes; it doesn't order them anew.
+                ordered = await _wait_for_orders(site, 2)
+                # A fourth VM joins; it must not order the engines again.
                 site.add_router()
                 await platform_site.until(lambda: site.ready(3))
                 return ordered, _ordered(site)
@@ -59,10 +60,10 @@
             holders.add(order["holder"])
         assert len(holders) == 1
 
-    def test_an_engine_that_has_changed_writes_answers(self):
+    def test_engine_decodes_after_its_role_change(self):
         async def scenario():
             async with platform_site.running(1, prefills=3) as site:
-                (name,) = await _orders(site, 1)
+                (name,) = await _wait_for_orders(site, 1)
                 engine = site.engines[name]
                 engine.stage = "decode"
                 await site.store.put(f"servers/{name}", engine.entry())
@@ -80,23 +81,25 @@
         assert status == 200
         assert headers["Instance-Signature"] == f"sig-{name}"
 
-    def test_a_changing_engine_gets_no_prompts(self):
-        """An engine was told to write answers and turns prompts away.
+    def test_changing_engine_gets_no_prefills(self):
+        """Guards against prefills sent to an engine that rejects them.
 
-        The registry lists it for prompts until its change is over. Callers
-        whose prompts were sent there would have had their only attempt.
+        The engine has been ordered to become a decode engine, but the registry
+        lists it as a prefill engine until the change is complete. A request
+        sent there would lose its only attempt.
         """
 
         async def scenario():
             async with platform_site.running(2, prefills=3) as site:
-                (name,) = await _orders(site, 1)
+                (name,) = await _wait_for_orders(site, 1)
                 await platform_site.until(
                     lambda: all(
                         name in router._source.fleet.changing_endpoint_ids
                         for router in site.routers
                     )
                 )
-                # As many at once as two prefill engines are sent.
+                # As many concurrent requests as are sent to two prefill
+                # engines.
                 calls = [
                     site.call(platform_site.MODEL_PATH, router=number % 2)
                     for number in range(6)
@@ -119,11 +122,13 @@
 
         assert asyncio.run(scenario()) == 0
 
-    def test_no_orders_while_the_store_is_away_or_has_just_returned(self):
-        """The store turns a VM away, and an engine dies meanwhile.
+    def test_no_orders_during_or_right_after_a_store_outage(self):
+        """Guards against orders that are based on an outdated endpoint list.
 
-        The VM counts the dead engine until the store's return has shown that
-        it is gone, and would order a live one that is needed where it is.
+        The store rejects the VM's calls, and an engine fails in the meantime.
+        The VM counts the failed engine until the store is reachable again and
+        shows that it was removed; an order before that would change a live
+        engine that is needed in its role.
         """
 
         async def scenario():
@@ -136,11 +141,11 @@
                 await platform_site.until(
                     lambda: "registry_away" in site.logs[0].getvalue()
                 )
-                away = controller._may_order("llm", clock.now())
+                during_outage = controller._may_order("llm", clock.now())
                 await site.store.fail(0)
                 await platform_site.until(
                     lambda: "registry_back" in site.logs[0].getvalue()
                 )
-                return away, controller._may_order("llm", clock.now())
+                return during_outage, controller._may_order("llm", clock.now())
 
         assert asyncio.run(scenario()) == (False, False)
--- a/tests/test_router_process.py
+++ b/tests/test_router_process.py
@@ -1,4 +1,4 @@
-"""Tests of `cowsliprill-router` as a process of its own."""
+"""Tests of `cowsliprill-router` as a separate process."""
 
 import asyncio
 import contextlib
@@ -13,8 +13,8 @@
 from cowsliprill.engines import http_client
 
 
-class _Process:
-    """A router in a process, and what it has written so far."""
+class _RouterProcess:
+    """A router process and the output received from it so far."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
@@ -22,8 +22,8 @@
         self._reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
-        while part := await self.process.stdout.read(65_536):
-            self.text += part.decode()
+        while chunk := await self.process.stdout.read(65_536):
+            self.text += chunk.decode()
 
     async def until(self, text: str) -> None:
         await platform_site.until(lambda: text in self.text)
@@ -35,17 +35,17 @@
         return code
 
 
-def _port(held: contextlib.ExitStack) -> int:
-    return held.enter_context(platform_site.hold_port()).getsockname()[1]
+def _free_port(ports: contextlib.ExitStack) -> int:
+    return ports.enter_context(platform_site.hold_port()).getsockname()[1]
 
 
-def _node(store: str, held: contextlib.ExitStack) -> dict:
+def _config(store: str, ports: contextlib.ExitStack) -> dict:
     return {
         "vm": "vm-0",
         "availability_zone": "gasabo",
-        "public": f"127.0.0.1:{_port(held)}",
-        "ready": f"127.0.0.1:{_port(held)}",
-        "peer_ports": [_port(held), 0],
+        "public": f"127.0.0.1:{_free_port(ports)}",
+        "ready": f"127.0.0.1:{_free_port(ports)}",
+        "peer_ports": [_free_port(ports), 0],
         "seeds": ["127.0.0.1:1"],
         "store": store,
         "drain_notice_s": 0.1,
@@ -54,22 +54,23 @@
     }
 
 
-def _unblock_stop_signals() -> None:
-    # Processes that end within this one, in other tests, block the signals to
-    # stop for good. A child inherits that and would never hear of its end.
+def _unblock_termination_signals() -> None:
+    # Other tests stop processes inside this one, which block the termination
+    # signals permanently. A child process inherits the signal mask and could
+    # not be terminated.
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGTERM, signal.SIGINT})
 
 
 @contextlib.asynccontextmanager
 async def _running(folder: pathlib.Path):
     store = platform_site.Store()
-    desk = platform_site.Engine("s0", "desk", None)
+    server = platform_site.Engine("s0", "desk", None)
     await store.put("op/config", platform_site.config())
-    await store.put("servers/s0", desk.entry())
+    await store.put("servers/s0", server.entry())
     file = folder / "vm-0.json"
-    held = contextlib.ExitStack()
-    file.write_text(json.dumps(_node(store.address, held)))
-    _unblock_stop_signals()
+    ports = contextlib.ExitStack()
+    file.write_text(json.dumps(_config(store.address, ports)))
+    _unblock_termination_signals()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -78,7 +79,7 @@
         stdout=asyncio.subprocess.PIPE,
         env={**os.environ, "PYTHONPATH": "src"},
     )
-    router = _Process(process)
+    router = _RouterProcess(process)
     try:
         await router.until("event=endpoint_listed")
         yield router, file
@@ -86,8 +87,8 @@
         if process.returncode is None:
             process.kill()
             await process.wait()
-        await desk.site.close()
-        held.close()
+        await server.site.close()
+        ports.close()
 
 
 async def _get(address: str, path: str, **headers: str) -> int:
@@ -100,16 +101,16 @@
 
 
 class TestRouterProcess:
-    """Start, readiness, a call, reload, end."""
+    """Startup, readiness, a request, configuration reload and shutdown."""
 
-    def test_serves_and_ends_in_good_order(self, tmp_path: pathlib.Path):
+    def test_serves_and_drains_on_sigterm(self, tmp_path: pathlib.Path):
         async def scenario():
             async with _running(tmp_path) as (router, file):
-                node = json.loads(file.read_text())
+                config = json.loads(file.read_text())
                 await router.until("event=ready")
-                ready = await _get(node["ready"], "/readyz")
+                ready = await _get(config["ready"], "/readyz")
                 served = await _get(
-                    node["public"],
+                    config["public"],
                     platform_site.SAFE_PATH,
                     **{"Host": "desk.example", "Attempt-Id": "c1"},
                 )
@@ -122,15 +123,15 @@
         assert "caller=c1" in text
         assert "event=stopped" in text
 
-    def test_takes_a_change_of_its_file(self, tmp_path: pathlib.Path):
-        """Its seeds were replaced; by the old ones it would find nobody."""
+    def test_reloads_its_configuration_file(self, tmp_path: pathlib.Path):
+        """Guards against a VM that can't rejoin after its seeds changed."""
 
         async def scenario():
             async with _running(tmp_path) as (router, file):
                 await router.until("event=ready")
-                node = json.loads(file.read_text())
-                node["seeds"] = ["127.0.0.1:1", "127.0.0.2:1"]
-                file.write_text(json.dumps(node))
+                config = json.loads(file.read_text())
+                config["seeds"] = ["127.0.0.1:1", "127.0.0.2:1"]
+                file.write_text(json.dumps(config))
                 router.process.send_signal(signal.SIGHUP)
                 await router.until("event=file_reloaded")
                 file.write_text("{")
@@ -139,7 +140,9 @@
 
         assert asyncio.run(scenario()) == 0
 
-    def test_a_wrong_file_is_told(self, tmp_path: pathlib.Path):
+    def test_invalid_configuration_file_is_reported(
+        self, tmp_path: pathlib.Path
+    ):
         async def scenario():
             file = tmp_path / "vm-0.json"
             file.write_text('{"vm": "vm-0", "public": "nowhere"}')
@@ -151,10 +154,10 @@
                 stderr=asyncio.subprocess.PIPE,
                 env={**os.environ, "PYTHONPATH": "src"},
             )
-            _, told = await process.communicate()
-            return process.returncode, told.decode()
+            _, stderr = await process.communicate()
+            return process.returncode, stderr.decode()
 
-        code, told = asyncio.run(scenario())
+        code, stderr = asyncio.run(scenario())
         assert code == 2
-        assert "environment_invalid" in told
-        assert "nowhere" in told
+        assert "environment_invalid" in stderr
+        assert "nowhere" in stderr
