--- a/src/cowsliprill/router/core.py
+++ b/src/cowsliprill/router/core.py
@@ -239,24 +239,24 @@
 
     def _peer_routes(self) -> list[tuple]:
         auth = peer_auth.PeerAuth(self._config.peer_secret)
-        cells = {
+        scheduling_args = {
             "auth": auth,
             "kind": cells_wire.SchedulingRequest,
             "respond": self._pool_schedulers.handle,
         }
-        quotas = {
+        quota_args = {
             "auth": auth,
             "kind": quotas_wire.UsageReport,
             "respond": self._usage_handler.handle,
         }
-        views = {
+        registry_args = {
             "views_by_prefix": self._source.views_by_prefix,
             "trouble_left_s": self._source.trouble_left_s,
         }
         return [
-            (peers.CELLS_PATH, peer_handler.MessageHandler, cells),
-            (peers.QUOTAS_PATH, peer_handler.MessageHandler, quotas),
-            (peers.REGISTRY_PATH, registry_peers.NewsHandler, views),
+            (peers.CELLS_PATH, peer_handler.MessageHandler, scheduling_args),
+            (peers.QUOTAS_PATH, peer_handler.MessageHandler, quota_args),
+            (peers.REGISTRY_PATH, registry_peers.NewsHandler, registry_args),
         ]
 
     def _on_members_changed(self) -> None:
@@ -274,9 +274,9 @@
         caller = coordinator_caller.CoordinatorCaller(
             self._config.vm, self._pool_schedulers, tools.homes
         )
-        by_cells = placing.ByCells(tools, caller.post)
-        self._scheduling = by_cells.scheduling
-        return by_cells
+        placement = placing.ByCells(tools, caller.post)
+        self._scheduling = placement.scheduling
+        return placement
 
 
 async def serve(config: node_lib.Node) -> None:
