--- a/src/cowsliprill/cells/client.py
+++ b/src/cowsliprill/cells/client.py
@@ -82,7 +82,7 @@
         self._log = log
         self.tracked_by_id: dict[int, _TrackedRequest] = {}
         self.prefill_fraction = 0.0
-        self.polling = False
+        self.heartbeats_enabled = False
         self._choice = home_choice.HomeChoice(pool)
         self._epoch = 0
         self._outbox: channel.Outbox[wire.Event] = channel.Outbox()
@@ -127,11 +127,11 @@
         """Switches to another coordinator if the VM list requires it."""
         self._update_coordinator()
 
-    def set_polling(self, enabled: bool) -> None:
+    def set_heartbeats(self, enabled: bool) -> None:
         """Enables or disables heartbeats while there are no requests."""
-        if enabled and not self.polling:
+        if enabled and not self.heartbeats_enabled:
             self._send_due.set()
-        self.polling = enabled
+        self.heartbeats_enabled = enabled
 
     def close(self) -> None:
         """Cancels the channel's tasks."""
@@ -193,7 +193,9 @@
     async def _send(self) -> None:
         """Sends new events at once, and heartbeats while they are needed."""
         while True:
-            heartbeat_needed = self.polling or bool(self.tracked_by_id)
+            heartbeat_needed = self.heartbeats_enabled or bool(
+                self.tracked_by_id
+            )
             try:
                 async with asyncio.timeout(
                     HEARTBEAT_INTERVAL_S if heartbeat_needed else None
@@ -380,7 +382,7 @@
         pool_channel = self._channels_by_pool.get(pool)
         return (pool_channel.prefill_fraction or None) if pool_channel else None
 
-    def set_polling(self, pool: str, enabled: bool) -> None:
+    def set_heartbeats(self, pool: str, enabled: bool) -> None:
         """Enables or disables heartbeats to a pool's coordinator.
 
         While enabled, `prefill_fraction` is kept up to date even if this
@@ -391,7 +393,7 @@
           enabled: Whether heartbeats are sent without requests.
         """
         if enabled or pool in self._channels_by_pool:
-            self._channel(pool).set_polling(enabled)
+            self._channel(pool).set_heartbeats(enabled)
 
     def _apply_cluster_state(self) -> None:
         for pool_channel in self._channels_by_pool.values():
--- a/src/cowsliprill/cells/wire.py
+++ b/src/cowsliprill/cells/wire.py
@@ -383,4 +383,4 @@
                 resumable=event.resumable,
             )
         case _:
-            raise TypeError(f"no message to a home: {event}")
+            raise TypeError(f"event has no message to a coordinator: {event}")
--- a/src/cowsliprill/router/__main__.py
+++ b/src/cowsliprill/router/__main__.py
@@ -15,7 +15,7 @@
     """
     return launcher.run(
         "cowsliprill-router",
-        "Runs entry, homes and settings of one VM in one process.",
+        "Runs a VM's entry, coordinator and settings in one process.",
         core.serve,
         load=node.load,
     )
--- a/src/cowsliprill/router/roles.py
+++ b/src/cowsliprill/router/roles.py
@@ -57,7 +57,7 @@
     def prefill_fraction(self, pool: str) -> float | None:
         """Returns the fraction of a pool's work that is prefill, if known."""
 
-    def set_polling(self, pool: str, enabled: bool) -> None:
+    def set_heartbeats(self, pool: str, enabled: bool) -> None:
         """Enables or disables regular updates of `prefill_fraction`."""
 
 
@@ -108,7 +108,7 @@
             }
             self._source.require_reading(bool(led))
             for pool in pools:
-                self._workload.set_polling(pool, pool in led)
+                self._workload.set_heartbeats(pool, pool in led)
                 await self._check_pool(pool)
             self._publish_changing()
 
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -83,9 +83,9 @@
             pool_scheduler = homes.Homes(vm.id, "a", random.Random(1), log)
             pool_scheduler.update(snapshot, _fleet(members_by_vm[vm.id]))
             self.pool_schedulers_by_vm[vm.id] = pool_scheduler
-        world = world_lib.World(snapshot, _fleet(entry_members))
+        cluster_state = world_lib.World(snapshot, _fleet(entry_members))
         self.scheduling = client.CellScheduling(
-            "entry-1", self._post, world, log
+            "entry-1", self._post, cluster_state, log
         )
 
     async def _post(self, vm, request, timeout_s):
@@ -204,22 +204,22 @@
         assert cluster.called == []
 
 
-class TestPollingWithoutRequests:
+class TestHeartbeatsWithoutRequests:
     """A VM that orders role changes needs to know each pool's workload."""
 
-    def test_polling_entry_calls_the_coordinator(self):
+    def test_heartbeats_reach_the_coordinator(self):
         """Guards against role changes that are based on a default workload.
 
         A VM that leads a pool may have no requests of the pool itself, so only
-        polling informs it of the workload.
+        heartbeats inform it of the workload.
         """
         vms = _ranked([_vm(number) for number in range(3)])
         cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
 
         async def scenario():
-            cluster.scheduling.set_polling(_POOL, enabled=True)
+            cluster.scheduling.set_heartbeats(_POOL, enabled=True)
             async with asyncio.timeout(_WAIT_S):
-                while not cluster.called:  # noqa: ASYNC110 the site tells no events
+                while not cluster.called:  # noqa: ASYNC110 the cluster emits no events
                     await asyncio.sleep(0.001)
 
         asyncio.run(scenario())
