--- a/src/cowsliprill/cells/caller.py
+++ b/src/cowsliprill/cells/caller.py
@@ -1,4 +1,4 @@
-"""Calls to the homes of pools, in this process or over the network."""
+"""Calls to pool coordinators, in this process or over the network."""
 
 import dataclasses
 
@@ -11,36 +11,36 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HomesCaller:
-    """Calls homes.
+class CoordinatorCaller:
+    """Sends scheduling messages to coordinators.
 
     Attributes:
       vm_id: Id of this VM.
-      own: The cells that this process is home to.
-      client: Calls the other VMs.
+      local: The pool schedulers hosted by this process.
+      client: Sends messages to other VMs.
     """
 
     vm_id: str
-    own: homes_lib.Homes
+    local: homes_lib.Homes
     client: home_client.HomeClient
 
     async def post(
-        self, vm: model.Vm, request: wire.CellRequest, timeout_s: float
-    ) -> wire.CellAnswer:
-        """Sends a message to a home.
+        self, vm: model.Vm, request: wire.SchedulingRequest, timeout_s: float
+    ) -> wire.SchedulingResponse:
+        """Sends a message to a coordinator.
 
         Args:
-          vm: The home.
+          vm: VM of the coordinator.
           request: The message.
-          timeout_s: Time for the whole call.
+          timeout_s: Timeout of the whole call in seconds.
 
         Returns:
-          Its answer.
+          The coordinator's response.
 
         Raises:
-          errors.CowsliprillError: There was no usable answer.
+          errors.CowsliprillError: The call failed or its response is invalid.
         """
         if vm.id == self.vm_id:
-            return await self.own.answer(request)
+            return await self.local.handle(request)
         text = await self.client.post(vm, peers.CELLS_PATH, request, timeout_s)
-        return codec.decode(wire.CellAnswer, text)
+        return codec.decode(wire.SchedulingResponse, text)
--- a/src/cowsliprill/cells/homes.py
+++ b/src/cowsliprill/cells/homes.py
@@ -1,4 +1,4 @@
-"""The cells that this process is home to, and their answers to entries."""
+"""Server side of pool scheduling: pool schedulers hosted by this process."""
 
 import asyncio
 import dataclasses
@@ -13,37 +13,41 @@
 from cowsliprill.decisions import rendezvous
 from cowsliprill.observability import log as log_lib
 
-# An answer is held back no longer, so that an entry whose connection was lost
-# without a sign asks anew while its requests can still be in time.
-MAX_WAIT_S = 0.4
+# Upper limit of a long poll. An entry process whose connection was lost without
+# notice calls again soon enough that its requests can still meet their
+# deadlines.
+LONG_POLL_MAX_S = 0.4
 
 _MIN_SLEEP_S = 0.002
 _SEED_BITS = 32
 
-# Engines are counted in whole numbers, so nothing needs the part to be finer.
-_PART_DIGITS = 3
+# The fraction only decides how many engines serve each stage, which is a whole
+# number; more digits would not change the result.
+_FRACTION_DIGITS = 3
 
 
 @dataclasses.dataclass(slots=True)
-class _Homed:
-    cell: pool_scheduler_lib.PoolScheduler
-    news_by_entry: dict[str, asyncio.Event] = dataclasses.field(
+class _HostedPool:
+    scheduler: pool_scheduler_lib.PoolScheduler
+    long_polls_by_entry: dict[str, asyncio.Event] = dataclasses.field(
         default_factory=dict
     )
 
 
 class Homes:
-    """Answers entries for the pools that they ask for here.
+    """Hosts pool schedulers and answers the calls of entry processes.
 
-    An entry that asks the wrong VM is told the right one: while VMs differ in
-    whom they know, a pool would else have many homes, each with a sliver of its
-    engines. One that can't reach the home says so and is served here; this VM
-    then uses no more than a part of the engines.
+    An entry process that calls a VM other than the pool's coordinator is
+    redirected. Otherwise a pool would have several pool schedulers while the
+    VMs' member lists differ, each placing requests on a few of the engines. An
+    entry process that cannot reach the coordinator reports this and is served
+    by the next reachable VM as acting coordinator, which uses only a fraction
+    of the engines' capacity.
 
     Args:
       vm_id: Id of this VM.
-      availability_zone: Where this process runs.
-      rng: Random numbers.
+      availability_zone: Availability zone of this process.
+      rng: Source of random numbers.
       log: The process's log.
     """
 
@@ -60,69 +64,80 @@
         self._log = log
         self._snapshot = model.Snapshot()
         self._fleet = model.Fleet()
-        self._homed_by_pool: dict[str, _Homed] = {}
+        self._hosted_by_pool: dict[str, _HostedPool] = {}
         self._ranking = rendezvous.VmRankingCache()
         self._wake = asyncio.Event()
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
-        """Takes new settings or a new VM list."""
+        """Applies new settings or a new VM list."""
         self._snapshot = snapshot
         self._fleet = fleet
         now = clock.now()
-        for pool, homed in self._homed_by_pool.items():
-            homed.cell.update(snapshot, fleet, now)
-            homed.cell.set_is_coordinator(self._is_home(pool), now)
-            self._notify(homed)
+        for pool, hosted in self._hosted_by_pool.items():
+            hosted.scheduler.update(snapshot, fleet, now)
+            hosted.scheduler.set_is_coordinator(self._is_coordinator(pool), now)
+            self._wake_long_polls(hosted)
 
-    async def answer(self, request: wire.CellRequest) -> wire.CellAnswer:
-        """Takes an entry's events and returns the decisions for it.
+    async def handle(
+        self, request: wire.SchedulingRequest
+    ) -> wire.SchedulingResponse:
+        """Applies an entry process's events and returns its pending decisions.
 
         Args:
-          request: The entry's message.
+          request: The message of the entry process.
 
         Returns:
-          The decisions; without any, the answer waits for one.
+          The pending decisions, a redirect to the coordinator, or `known=False`
+          if the entry process must reset the channel. If there are no
+          decisions, the response is delayed by up to the requested time until
+          there is one.
         """
-        home = self._home_for(request)
-        if home is not None:
-            return wire.CellAnswer(known=False, home=wire.write_home(home))
-        homed = self._homed(request.pool)
+        coordinator = self._coordinator_for(request)
+        if coordinator is not None:
+            return wire.SchedulingResponse(
+                known=False, home=wire.coordinator_to_wire(coordinator)
+            )
+        hosted = self._hosted(request.pool)
         now = clock.now()
-        has_session = homed.cell.has_session(request.entry, request.epoch)
-        begins = request.first == 1
-        old = homed.cell.is_superseded(request.entry, request.epoch)
-        if old or not (has_session or begins):
-            return wire.CellAnswer(known=False)
-        events = tuple(wire.read_event(event, now) for event in request.events)
-        homed.cell.receive(
+        is_current = hosted.scheduler.has_session(request.entry, request.epoch)
+        starts_channel = request.first == 1
+        superseded = hosted.scheduler.is_superseded(
+            request.entry, request.epoch
+        )
+        if superseded or not (is_current or starts_channel):
+            return wire.SchedulingResponse(known=False)
+        events = tuple(
+            wire.event_from_wire(event, now) for event in request.events
+        )
+        hosted.scheduler.receive(
             request.entry, request.epoch, request.first, events, now
         )
-        homed.cell.acknowledge(request.entry, request.acknowledged)
-        if not has_session:
+        hosted.scheduler.acknowledge(request.entry, request.acknowledged)
+        if not is_current:
             self._log.event(
                 "cell_joined",
                 pool=request.pool,
                 entry=request.entry,
-                requests=homed.cell.running(request.entry),
-                engines=homed.cell.engines(request.pool),
+                requests=hosted.scheduler.running(request.entry),
+                engines=hosted.scheduler.engines(request.pool),
             )
         self._wake.set()
-        self._notify(homed)
+        self._wake_long_polls(hosted)
         if request.wait_s:
-            await self._wait(homed, request)
-        return self._written(homed, request)
+            await self._wait_for_decisions(hosted, request)
+        return self._response(hosted, request)
 
     async def run(self) -> None:
-        """Lets time pass for the cells; ends by cancellation."""
+        """Drives the timers of the pool schedulers until cancelled."""
         while True:
             self._wake.clear()
             now = clock.now()
-            for homed in self._homed_by_pool.values():
-                homed.cell.tick(now)
-                self._notify(homed)
+            for hosted in self._hosted_by_pool.values():
+                hosted.scheduler.tick(now)
+                self._wake_long_polls(hosted)
             wakeups = [
-                homed.cell.next_wakeup(now)
-                for homed in self._homed_by_pool.values()
+                hosted.scheduler.next_wakeup(now)
+                for hosted in self._hosted_by_pool.values()
             ]
             if not wakeups:
                 await self._wake.wait()
@@ -134,21 +149,23 @@
             except TimeoutError:
                 pass
 
-    def pool_loads(self) -> dict[str, pools.PoolLoad]:
-        """Returns how full the pools are that entries ask for here."""
-        found = {}
-        for pool, homed in self._homed_by_pool.items():
-            pool_load = homed.cell.pool_load(pool)
-            if pool_load is not None:
-                found[pool] = pool_load
-        return found
-
-    def status(self) -> list[str]:
-        """Returns the pools that entries ask for here."""
-        return list(self._homed_by_pool)
-
-    def _home_for(self, request: wire.CellRequest) -> model.Vm | None:
-        """Returns the home that an entry should ask, None if it is here."""
+    def loads(self) -> dict[str, pools.PoolLoad]:
+        """Returns the load of each hosted pool by its name."""
+        loads = {}
+        for pool, hosted in self._hosted_by_pool.items():
+            load = hosted.scheduler.pool_load(pool)
+            if load is not None:
+                loads[pool] = load
+        return loads
+
+    def hosted_pools(self) -> list[str]:
+        """Returns the names of the pools hosted by this process."""
+        return list(self._hosted_by_pool)
+
+    def _coordinator_for(
+        self, request: wire.SchedulingRequest
+    ) -> model.Vm | None:
+        """Returns the VM to redirect an entry process to, None for this VM."""
         for vm in self._ranked(request.pool):
             if vm.id == self._vm_id:
                 return None
@@ -156,57 +173,61 @@
                 return vm
         return None
 
-    def _is_home(self, pool: str) -> bool:
+    def _is_coordinator(self, pool: str) -> bool:
         ranked = self._ranked(pool)
         return bool(ranked) and ranked[0].id == self._vm_id
 
     def _ranked(self, pool: str) -> list[model.Vm]:
         return self._ranking.ranked_vms(pool, self._fleet.vms_by_id)
 
-    def _homed(self, pool: str) -> _Homed:
-        homed = self._homed_by_pool.get(pool)
-        if homed is None:
+    def _hosted(self, pool: str) -> _HostedPool:
+        hosted = self._hosted_by_pool.get(pool)
+        if hosted is None:
             seed = self._random.getrandbits(_SEED_BITS)
-            homed = _Homed(
+            hosted = _HostedPool(
                 pool_scheduler_lib.PoolScheduler(self._availability_zone, seed)
             )
             now = clock.now()
-            homed.cell.update(self._snapshot, self._fleet, now)
-            homed.cell.set_is_coordinator(self._is_home(pool), now)
-            self._homed_by_pool[pool] = homed
+            hosted.scheduler.update(self._snapshot, self._fleet, now)
+            hosted.scheduler.set_is_coordinator(self._is_coordinator(pool), now)
+            self._hosted_by_pool[pool] = hosted
             self._log.event("cell_begun", pool=pool)
-        return homed
+        return hosted
 
-    async def _wait(self, homed: _Homed, request: wire.CellRequest) -> None:
-        older = homed.news_by_entry.pop(request.entry, None)
-        if older is not None:
-            older.set()
-        if homed.cell.has_pending_decisions(request.entry):
+    async def _wait_for_decisions(
+        self, hosted: _HostedPool, request: wire.SchedulingRequest
+    ) -> None:
+        previous = hosted.long_polls_by_entry.pop(request.entry, None)
+        if previous is not None:
+            previous.set()
+        if hosted.scheduler.has_pending_decisions(request.entry):
             return
-        news = asyncio.Event()
-        homed.news_by_entry[request.entry] = news
+        long_poll = asyncio.Event()
+        hosted.long_polls_by_entry[request.entry] = long_poll
         try:
-            async with asyncio.timeout(min(request.wait_s, MAX_WAIT_S)):
-                await news.wait()
+            async with asyncio.timeout(min(request.wait_s, LONG_POLL_MAX_S)):
+                await long_poll.wait()
         except TimeoutError:
             pass
         finally:
-            if homed.news_by_entry.get(request.entry) is news:
-                del homed.news_by_entry[request.entry]
-
-    def _notify(self, homed: _Homed) -> None:
-        for entry, news in homed.news_by_entry.items():
-            if homed.cell.has_pending_decisions(entry):
-                news.set()
-
-    def _written(
-        self, homed: _Homed, request: wire.CellRequest
-    ) -> wire.CellAnswer:
-        if not homed.cell.has_session(request.entry, request.epoch):
-            return wire.CellAnswer(known=False)
-        first, decisions, taken = homed.cell.decisions(request.entry)
+            if hosted.long_polls_by_entry.get(request.entry) is long_poll:
+                del hosted.long_polls_by_entry[request.entry]
+
+    def _wake_long_polls(self, hosted: _HostedPool) -> None:
+        for entry, long_poll in hosted.long_polls_by_entry.items():
+            if hosted.scheduler.has_pending_decisions(entry):
+                long_poll.set()
+
+    def _response(
+        self, hosted: _HostedPool, request: wire.SchedulingRequest
+    ) -> wire.SchedulingResponse:
+        if not hosted.scheduler.has_session(request.entry, request.epoch):
+            return wire.SchedulingResponse(known=False)
+        first, decisions, last_received = hosted.scheduler.decisions(
+            request.entry
+        )
         numbered = [*enumerate(decisions, first)]
-        return wire.CellAnswer(
+        return wire.SchedulingResponse(
             first=first,
             starts=tuple(
                 (number, decision)
@@ -218,8 +239,9 @@
                 for number, decision in numbered
                 if isinstance(decision, messages.Refuse)
             ),
-            acknowledged=taken,
+            acknowledged=last_received,
             prompt_part=round(
-                homed.cell.prompt_part(request.pool) or 0.0, _PART_DIGITS
+                hosted.scheduler.prompt_part(request.pool) or 0.0,
+                _FRACTION_DIGITS,
             ),
         )
--- a/src/cowsliprill/quotas/reporter.py
+++ b/src/cowsliprill/quotas/reporter.py
@@ -1,4 +1,4 @@
-"""The task that reports what customers use to the owners of their quotas."""
+"""Admission of requests by quota, with usage reports to the quota owners."""
 
 import asyncio
 import random
@@ -17,55 +17,56 @@
 from cowsliprill.quotas import owner as owner_lib
 from cowsliprill.quotas import wire
 
-# Owners hear this often of customers that ask for something, and no more often
-# than the other of those whose use has grown much since.
-_REPORT_S = 0.3
-_URGENT_S = 0.1
+# Interval between usage reports while customers send requests, and the shorter
+# interval while a customer has much unreported usage.
+_REPORT_INTERVAL_S = 0.3
+_URGENT_REPORT_INTERVAL_S = 0.1
 
-_CALL_S = 0.35
+_CALL_TIMEOUT_S = 0.35
 
 _Usages = list[quota_owner.Usage]
 
 
-class Reporter:
-    """Admits requests by quota and reports them.
+class UsageReporter:
+    """Admits requests by quota and reports their usage to the quota owners.
 
     Args:
       vm_id: Id of this VM.
-      process_id: Id of this process; each start has another.
-      own: The quotas that this process owns.
-      client: Calls other VMs.
+      process_id: Id of this process, different after each restart.
+      local_handler: Answers reports for quotas that this VM owns.
+      client: Sends messages to other VMs.
       log: The process's log.
-      rng: Random numbers.
+      rng: Source of random numbers.
     """
 
     def __init__(
         self,
         vm_id: str,
         process_id: str,
-        own: owner_lib.Owner,
+        local_handler: owner_lib.UsageReportHandler,
         client: home_client.HomeClient,
         log: log_lib.Log,
         rng: random.Random,
     ) -> None:
         self._vm_id = vm_id
         self._process_id = process_id
-        self._own = own
+        self._local_handler = local_handler
         self._client = client
         self._log = log
         self._gate = quota_gate.QuotaGate(rng)
         self._vms_by_id: dict[str, model.Vm] = {}
-        # Endpoints change far more often than the customers, who may be many.
+        # Skips the rebuild if the customers are the same: endpoints change far
+        # more often than customers, of whom there may be many.
         self._customers_by_id: Mapping[str, model.Customer] = {}
         self._choices_by_customer: dict[
             str, coordinator_choice.CoordinatorChoice
         ] = {}
         self._calls: set[asyncio.Task] = set()
-        self._asked = asyncio.Event()
-        self._urgent = asyncio.Event()
+        self._report_due = asyncio.Event()
+        self._urgent_report_due = asyncio.Event()
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
-        """Takes new settings or a new VM list."""
+        """Applies new settings or a new VM list."""
         self._vms_by_id = fleet.vms_by_id
         self._gate.set_vm_count(len(fleet.vms_by_id))
         if snapshot.customers_by_id is self._customers_by_id:
@@ -76,62 +77,77 @@
             for customer in snapshot.customers_by_id.values()
             if customer.quota is not None
         }
-        self._own.set_quotas(quotas_by_customer)
+        self._local_handler.set_quotas(quotas_by_customer)
         self._gate.keep_only(quotas_by_customer.keys())
-        gone = self._choices_by_customer.keys() - quotas_by_customer.keys()
-        for customer_id in gone:
+        removed = self._choices_by_customer.keys() - quotas_by_customer.keys()
+        for customer_id in removed:
             del self._choices_by_customer[customer_id]
 
     async def admit(
         self, customer_id: str, quota: model.Quota, cost: float
     ) -> float | None:
-        """Decides on a request; see `quota_gate.QuotaGate.admit`."""
+        """Decides whether to admit a request.
+
+        If the customer's latest verdict is too old to refuse a request, its
+        usage is reported first and the decision is made with the new verdict.
+
+        Args:
+          customer_id: Id of the customer.
+          quota: The customer's quota.
+          cost: Cost of the request in the quota's units.
+
+        Returns:
+          None if the request is admitted, else seconds until the caller should
+          retry.
+        """
         now = clock.now()
-        refused = self._gate.admit(customer_id, quota, cost, now)
-        self._asked.set()
-        if refused is not None and not self._gate.has_fresh_verdict(
+        retry_after_s = self._gate.admit(customer_id, quota, cost, now)
+        self._report_due.set()
+        if retry_after_s is not None and not self._gate.has_fresh_verdict(
             customer_id, now
         ):
-            await self._ask(customer_id)
-            refused = self._gate.decide_again(
+            await self._report_one(customer_id)
+            retry_after_s = self._gate.decide_again(
                 customer_id, quota, cost, clock.now()
             )
         if self._gate.needs_prompt_report(customer_id, quota):
-            self._urgent.set()
-        return refused
+            self._urgent_report_due.set()
+        return retry_after_s
 
     def refund(self, customer_id: str, cost: float) -> None:
-        """Takes back an admitted request that has not run."""
+        """Refunds the cost of an admitted request that was not executed."""
         self._gate.refund(customer_id, cost)
 
     async def run(self) -> None:
-        """Reports until cancelled."""
+        """Sends usage reports until cancelled."""
         while True:
-            await self._asked.wait()
-            await asyncio.sleep(_URGENT_S)
+            await self._report_due.wait()
+            await asyncio.sleep(_URGENT_REPORT_INTERVAL_S)
             try:
-                async with asyncio.timeout(_REPORT_S - _URGENT_S):
-                    await self._urgent.wait()
+                async with asyncio.timeout(
+                    _REPORT_INTERVAL_S - _URGENT_REPORT_INTERVAL_S
+                ):
+                    await self._urgent_report_due.wait()
             except TimeoutError:
                 pass
-            self._asked.clear()
-            self._urgent.clear()
-            self._report()
+            self._report_due.clear()
+            self._urgent_report_due.clear()
+            self._report_all()
 
-    async def _ask(self, customer_id: str) -> None:
-        """Reports one customer and waits for the answer."""
+    async def _report_one(self, customer_id: str) -> None:
+        """Reports one customer's usage and waits for the verdict."""
         vm = self._owner_of(customer_id)
         if vm is not None:
-            await self._call(vm, [self._gate.usage(customer_id)])
+            await self._send_report(vm, [self._gate.usage(customer_id)])
 
-    def _report(self) -> None:
+    def _report_all(self) -> None:
         by_vm: dict[str, tuple[model.Vm, _Usages]] = {}
         for usage in self._gate.usages():
             vm = self._owner_of(usage.customer)
             if vm is not None:
                 by_vm.setdefault(vm.id, (vm, []))[1].append(usage)
         for vm, usages in by_vm.values():
-            task = asyncio.create_task(self._call(vm, usages))
+            task = asyncio.create_task(self._send_report(vm, usages))
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
 
@@ -145,35 +161,42 @@
         choice.update(self._vms_by_id, clock.now())
         return choice.home
 
-    async def _call(self, vm: model.Vm, usages: _Usages) -> None:
-        report = wire.Report(reporter=self._process_id, usages=tuple(usages))
+    async def _send_report(self, vm: model.Vm, usages: _Usages) -> None:
+        report = wire.UsageReport(
+            reporter=self._process_id, usages=tuple(usages)
+        )
         try:
-            answer = await self._post(vm, report)
+            response = await self._call_owner(vm, report)
         except errors.CowsliprillError as error:
             self._log.warning(
                 "quota_owner_failed", vm=vm.id, reason=error.message
             )
-            self._note_failure(vm, usages)
+            self._record_failure(vm, usages)
             return
         now = clock.now()
         verdicts_by_customer = {
-            verdict.customer: verdict for verdict in answer.verdicts
+            verdict.customer: verdict for verdict in response.verdicts
         }
         for usage in usages:
             verdict = verdicts_by_customer.get(usage.customer)
             if verdict is not None:
                 self._gate.record_verdict(usage, verdict, now)
 
-    def _note_failure(self, vm: model.Vm, usages: _Usages) -> None:
+    def _record_failure(self, vm: model.Vm, usages: _Usages) -> None:
         for usage in usages:
             choice = self._choices_by_customer.get(usage.customer)
             if choice is not None:
                 choice.record_failure(vm, clock.now())
-        # What wasn't taken is reported anew, though nobody asks meanwhile.
-        self._asked.set()
+        # The usage that was not delivered is reported again even if no further
+        # requests arrive.
+        self._report_due.set()
 
-    async def _post(self, vm: model.Vm, report: wire.Report) -> wire.Answer:
+    async def _call_owner(
+        self, vm: model.Vm, report: wire.UsageReport
+    ) -> wire.UsageResponse:
         if vm.id == self._vm_id:
-            return self._own.answer(report)
-        text = await self._client.post(vm, peers.QUOTAS_PATH, report, _CALL_S)
-        return codec.decode(wire.Answer, text)
+            return self._local_handler.handle(report)
+        text = await self._client.post(
+            vm, peers.QUOTAS_PATH, report, _CALL_TIMEOUT_S
+        )
+        return codec.decode(wire.UsageResponse, text)
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""One home for a pool, though the VMs differ in whom they know."""
+"""Tests that a pool has one coordinator while member lists differ."""
 
 import asyncio
 import dataclasses
@@ -45,7 +45,7 @@
 
 
 def _engines() -> dict[str, model.Endpoint]:
-    facts = {
+    fields = {
         "host": "10.1.0.1",
         "port": 80,
         "availability_zone": "a",
@@ -61,7 +61,7 @@
         "d": model.EndpointKind.DECODE,
     }
     return {
-        name: model.Endpoint(id=name, kind=kind, **facts)
+        name: model.Endpoint(id=name, kind=kind, **fields)
         for name, kind in kinds.items()
     }
 
@@ -70,29 +70,29 @@
     return model.Fleet(version=1, vms_by_id={vm.id: vm for vm in vms})
 
 
-class _Site:
-    """Homes that know different VMs, and one entry that knows some."""
+class _Cluster:
+    """Pool schedulers with different member lists, and one entry process."""
 
-    def __init__(self, vms, known_by_vm, known_to_entry) -> None:
-        self.asked: list[str] = []
-        self.down: set[str] = set()
+    def __init__(self, vms, members_by_vm, entry_members) -> None:
+        self.called: list[str] = []
+        self.unreachable: set[str] = set()
         log = log_lib.open_log("test", io.StringIO())
-        self.homes_by_vm = {}
+        self.pool_schedulers_by_vm = {}
         snapshot = model.Snapshot(revision=1, endpoints_by_id=_engines())
         for vm in vms:
-            home = homes.Homes(vm.id, "a", random.Random(1), log)
-            home.update(snapshot, _fleet(known_by_vm[vm.id]))
-            self.homes_by_vm[vm.id] = home
-        world = world_lib.World(snapshot, _fleet(known_to_entry))
+            pool_scheduler = homes.Homes(vm.id, "a", random.Random(1), log)
+            pool_scheduler.update(snapshot, _fleet(members_by_vm[vm.id]))
+            self.pool_schedulers_by_vm[vm.id] = pool_scheduler
+        cluster_state = world_lib.World(snapshot, _fleet(entry_members))
         self.scheduling = client.CellScheduling(
-            "entry-1", self._post, world, log
+            "entry-1", self._post, cluster_state, log
         )
 
     async def _post(self, vm, request, timeout_s):
-        self.asked.append(vm.id)
-        if vm.id in self.down:
+        self.called.append(vm.id)
+        if vm.id in self.unreachable:
             raise errors.CowsliprillError("down")
-        return await self.homes_by_vm[vm.id].answer(request)
+        return await self.pool_schedulers_by_vm[vm.id].handle(request)
 
     async def place(self, number: int = 1) -> messages.Start:
         submit = messages.Submit(
@@ -106,128 +106,136 @@
             useful_until=1e12,
         )
         decisions = self.scheduling.submit(submit)
-        ticking = [
-            asyncio.create_task(home.run())
-            for home in self.homes_by_vm.values()
+        running = [
+            asyncio.create_task(pool_scheduler.run())
+            for pool_scheduler in self.pool_schedulers_by_vm.values()
         ]
         async with asyncio.timeout(_WAIT_S):
             decision = await decisions.get()
-        for task in ticking:
+        for task in running:
             task.cancel()
         return decision
 
-    def kept(self) -> list[str]:
-        """Returns the VMs that hold requests of the pool."""
-        return [vm for vm, home in self.homes_by_vm.items() if home.status()]
+    def hosting_vms(self) -> list[str]:
+        """Returns the VMs whose pool scheduler has requests of the pool."""
+        return [
+            vm
+            for vm, pool_scheduler in self.pool_schedulers_by_vm.items()
+            if pool_scheduler.hosted_pools()
+        ]
 
 
 def _ranked(vms) -> list[model.Vm]:
     return rendezvous.rank_vms(_POOL, vms)
 
 
-class TestOneHome:
-    """VMs have just started and know only some of the others."""
+class TestCoordinatorAgreement:
+    """The VMs have just started and their member lists are incomplete."""
 
-    def test_an_entry_is_told_the_home_by_the_one_it_asks(self):
-        """An entry knows one VM, which knows all.
+    def test_entry_is_redirected_to_the_coordinator(self):
+        """Guards against a pool with several coordinators.
 
-        Served there, its requests would be placed on a sliver of the engines,
-        beside those that the true home places.
+        The entry process knows one VM, which knows all others. If that VM
+        served the entry's requests, it would place them on a few of the
+        engines, beside the requests that the coordinator places.
         """
         vms = _ranked([_vm(number) for number in range(5)])
-        last = vms[-1]
-        site = _Site(vms, {vm.id: vms for vm in vms}, [last])
-        start = asyncio.run(site.place())
+        known_vm = vms[-1]
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, [known_vm])
+        start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert site.asked[:2] == [last.id, vms[0].id]
-        assert site.kept() == [vms[0].id]
+        assert cluster.called[:2] == [known_vm.id, vms[0].id]
+        assert cluster.hosting_vms() == [vms[0].id]
 
-    def test_from_one_to_the_next_each_knows_a_better_one(self):
+    def test_entry_follows_a_chain_of_redirects(self):
         vms = _ranked([_vm(number) for number in range(4)])
-        known = {
+        members_by_vm = {
             vm.id: vms[max(index - 1, 0) : index + 1]
             for index, vm in enumerate(vms)
         }
-        site = _Site(vms, known, [vms[-1]])
-        asyncio.run(site.place())
-        assert site.kept() == [vms[0].id]
+        cluster = _Cluster(vms, members_by_vm, [vms[-1]])
+        asyncio.run(cluster.place())
+        assert cluster.hosting_vms() == [vms[0].id]
 
-    def test_one_that_cant_reach_the_home_is_served_by_the_next(self):
-        """A home has lost its power, and the others don't know yet."""
+    def test_entry_fails_over_to_the_next_vm(self):
+        """The coordinator's VM has crashed, and the other VMs still list it."""
         vms = _ranked([_vm(number) for number in range(4)])
-        site = _Site(vms, {vm.id: vms for vm in vms}, vms)
-        site.down = {vms[0].id}
-        start = asyncio.run(site.place())
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
+        cluster.unreachable = {vms[0].id}
+        start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert site.kept() == [vms[1].id]
+        assert cluster.hosting_vms() == [vms[1].id]
 
-    def test_two_that_name_each_other_dont_send_it_to_and_fro(self):
-        """Each of two VMs holds the other for the home.
+    def test_mutual_redirects_do_not_loop(self):
+        """Guards against two VMs that redirect a request to each other.
 
-        One has been told to leave and the other doesn't know that it is
-        ready; both views are a moment old.
+        Each VM considers the other the coordinator: one was ordered to leave,
+        and the other does not know yet that it is ready itself. Both views are
+        slightly out of date.
         """
         vms = _ranked([_vm(0), _vm(1)])
         leaving = [
             dataclasses.replace(vm, state=model.VmState.LEAVING) for vm in vms
         ]
-        known = {
+        members_by_vm = {
             vms[0].id: [leaving[0], vms[1]],
             vms[1].id: [vms[0], leaving[1]],
         }
-        site = _Site(vms, known, vms)
-        start = asyncio.run(site.place())
+        cluster = _Cluster(vms, members_by_vm, vms)
+        start = asyncio.run(cluster.place())
         assert isinstance(start, messages.Start)
-        assert len(site.asked) <= 4
+        assert len(cluster.called) <= 4
 
 
-class TestIdleEntries:
-    """What an entry without requests costs a home."""
+class TestIdleEntryProcesses:
+    """Entry processes without requests put no load on coordinators."""
 
-    def test_one_that_never_had_any_says_nothing(self):
+    def test_entry_that_never_had_requests_makes_no_calls(self):
         vms = _ranked([_vm(number) for number in range(3)])
-        site = _Site(vms, {vm.id: vms for vm in vms}, vms)
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
 
         async def scenario():
             event = messages.ClusterStateChanged(model.Snapshot(), _fleet(vms))
             for _ in range(5):
-                site.scheduling.post(event)
+                cluster.scheduling.post(event)
                 await asyncio.sleep(0)
 
         asyncio.run(scenario())
-        assert site.asked == []
+        assert cluster.called == []
 
 
-class TestLeadersWithoutRequests:
-    """Who orders a pool's engines needs to know what the pool's work is."""
+class TestHeartbeatsWithoutRequests:
+    """A VM that orders role changes needs to know each pool's workload."""
 
-    def test_one_asks_the_home_though_it_places_nothing(self):
-        """A VM that orders engines has no callers of the pool itself.
+    def test_heartbeats_reach_the_coordinator(self):
+        """Guards against role changes that are based on a default workload.
 
-        Knowing nothing of the work it would divide the engines by a guess.
+        A VM that leads a pool may have no requests of the pool itself, so only
+        heartbeats inform it of the workload.
         """
         vms = _ranked([_vm(number) for number in range(3)])
-        site = _Site(vms, {vm.id: vms for vm in vms}, vms)
+        cluster = _Cluster(vms, {vm.id: vms for vm in vms}, vms)
 
         async def scenario():
-            site.scheduling.follow(_POOL, wanted=True)
+            cluster.scheduling.set_heartbeats(_POOL, enabled=True)
             async with asyncio.timeout(_WAIT_S):
-                while not site.asked:  # noqa: ASYNC110 the site tells no events
+                while not cluster.called:  # noqa: ASYNC110 the cluster emits no events
                     await asyncio.sleep(0.001)
 
         asyncio.run(scenario())
-        assert site.asked[0] == vms[0].id
+        assert cluster.called[0] == vms[0].id
 
 
-class TestStrongVms:
-    """VMs differ in what they can carry."""
+class TestCoordinatorCapacity:
+    """VMs differ in compute capacity."""
 
     @pytest.mark.parametrize("pool", [f"pool-{n}" for n in range(10)])
-    def test_the_home_is_a_strong_one(self, pool):
-        """A pool's home works for all entries of the fleet.
+    def test_coordinator_is_a_vm_of_high_capacity(self, pool):
+        """Guards against an overloaded coordinator.
 
-        At a VM with half a core it falls behind, and every request of the
-        pool is late.
+        The coordinator serves all entry processes of the fleet. On a VM with
+        half a core it falls behind, and every request of the pool misses its
+        target.
         """
         vms = [
             _vm(number, cores=2.15 if number % 10 == 0 else 0.516)
@@ -235,7 +243,7 @@
         ]
         assert rendezvous.rank_vms(pool, vms)[0].cores == 2.15
 
-    def test_weak_ones_still_carry_a_fleet_without_strong_ones(self):
+    def test_low_capacity_vms_coordinate_if_there_are_no_others(self):
         vms = [_vm(number, cores=0.516) for number in range(5)]
-        strong = _vm(9, cores=2.15, state=model.VmState.LEAVING)
-        assert rendezvous.rank_vms(_POOL, [*vms, strong])[0].cores < 1
+        high_capacity = _vm(9, cores=2.15, state=model.VmState.LEAVING)
+        assert rendezvous.rank_vms(_POOL, [*vms, high_capacity])[0].cores < 1
