--- a/src/cowsliprill/decisions/pool_scheduler.py
+++ b/src/cowsliprill/decisions/pool_scheduler.py
@@ -24,7 +24,8 @@
 
 # Heartbeat timeout of an entry process with requests. Its slots are then free,
 # as engines drop requests whose connection is lost. It is longer than the
-# heartbeat interval of a live entry process, `cells.client.PING_S`.
+# heartbeat interval of a live entry process,
+# `pool_scheduling.client.HEARTBEAT_INTERVAL_S`.
 ENTRY_TIMEOUT_S = 2.5
 
 # Entry processes with requests connect to a new coordinator within this time.
--- a/src/cowsliprill/entry/canceller.py
+++ b/src/cowsliprill/entry/canceller.py
@@ -18,8 +18,8 @@
 from cowsliprill.decisions import model
 from cowsliprill.dispatch import messages as dispatch_messages
 from cowsliprill.engines import engine_client
+from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import errors
-from cowsliprill.entry import home_client
 from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
@@ -70,7 +70,7 @@
     def __init__(
         self,
         client: engine_client.EngineClient,
-        homes: home_client.HomeClient,
+        homes: coordinator_client.CoordinatorClient,
         world: world_lib.World,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
@@ -180,7 +180,7 @@
         try:
             await self._homes.post(vm, peers.CANCELS_PATH, body, _HAND_OVER_S)
             taken = True
-        except errors.HomeError:
+        except errors.CoordinatorError:
             taken = False
         # Orders that the home didn't take are found by its sweep, once this
         # incarnation is known to be gone.
--- a/src/cowsliprill/entry/home_client.py
+++ b/src/cowsliprill/entry/coordinator_client.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HomeClient:
+class CoordinatorClient:
     """Sends signed messages to homes.
 
     Attributes:
@@ -59,7 +59,7 @@
             )
             text = await response.read(_MAX_ANSWER_BYTES)
         except engine_errors.CallError as error:
-            raise errors.HomeError(f"{vm.id}: {error}") from error
+            raise errors.CoordinatorError(f"{vm.id}: {error}") from error
         if response.status != _OK:
-            raise errors.HomeError(f"{vm.id}: status {response.status}")
+            raise errors.CoordinatorError(f"{vm.id}: status {response.status}")
         return text
--- a/src/cowsliprill/entry/core.py
+++ b/src/cowsliprill/entry/core.py
@@ -22,10 +22,10 @@
 from cowsliprill.engines import http_client
 from cowsliprill.entry import authorization
 from cowsliprill.entry import canceller
+from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import dialect as dialect_lib
 from cowsliprill.entry import forward
 from cowsliprill.entry import gate as gate_lib
-from cowsliprill.entry import home_client
 from cowsliprill.entry import model_relay
 from cowsliprill.entry import native
 from cowsliprill.entry import placing as placing_lib
@@ -112,7 +112,7 @@
             )
         )
         self._gate = gate_lib.Gate(self._incarnation, self._world)
-        homes = home_client.HomeClient(self._http, self._auth)
+        homes = coordinator_client.CoordinatorClient(self._http, self._auth)
         self._canceller = self._make_canceller(homes)
         self._placing = make_placing(
             placing_lib.Tools(
@@ -144,7 +144,7 @@
         self._reports: set[asyncio.Task] = set()
 
     def _make_canceller(
-        self, homes: home_client.HomeClient
+        self, homes: coordinator_client.CoordinatorClient
     ) -> canceller.Canceller | canceller.NoOrders:
         if self._dialect.engines.closing_ends_work:
             return canceller.NoOrders()
--- a/src/cowsliprill/entry/errors.py
+++ b/src/cowsliprill/entry/errors.py
@@ -74,7 +74,7 @@
 }
 
 
-class HomeError(errors.CowsliprillError):
+class CoordinatorError(errors.CowsliprillError):
     """Raised when the home of an endpoint refuses an ask."""
 
     code = "home_failed"
--- a/src/cowsliprill/entry/placing.py
+++ b/src/cowsliprill/entry/placing.py
@@ -12,19 +12,19 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from cowsliprill.cells import client as cells_client
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import scheduler as scheduler_lib
 from cowsliprill.entry import canceller as canceller_lib
-from cowsliprill.entry import home_client
+from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import leases as leases_lib
 from cowsliprill.entry import scheduling as scheduling_lib
 from cowsliprill.entry import slot_asker
 from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
+from cowsliprill.pool_scheduling import client as scheduling_client
 
 _SEED_BITS = 32
 
@@ -92,7 +92,7 @@
 
     incarnation: identity.Incarnation
     availability_zone: str
-    homes: home_client.HomeClient
+    homes: coordinator_client.CoordinatorClient
     world: world_lib.World
     canceller: canceller_lib.Canceller | canceller_lib.NoOrders
     metrics: metrics_lib.Metrics
@@ -156,7 +156,7 @@
         return now - decided_at < _DECISION_MAX_AGE_S
 
 
-class ByCells:
+class CoordinatorPlacement:
     """All requests of a pool are placed at its home.
 
     Args:
@@ -168,9 +168,11 @@
       permissions: Allows what was decided a short time ago.
     """
 
-    def __init__(self, tools: Tools, post: cells_client.Post) -> None:
+    def __init__(
+        self, tools: Tools, post: scheduling_client.SendToCoordinator
+    ) -> None:
         self.permissions = FreshDecisions()
-        self.scheduling = cells_client.CellScheduling(
+        self.scheduling = scheduling_client.PoolSchedulingClient(
             str(tools.incarnation),
             post,
             tools.world,
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_asker.py
@@ -15,7 +15,7 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.dispatch import messages as slot_messages
-from cowsliprill.entry import home_client
+from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import leases as leases_lib
 from cowsliprill.entry import scheduling as scheduling_lib
 from cowsliprill.entry import world as world_lib
@@ -60,7 +60,7 @@
     def __init__(
         self,
         incarnation: identity.Incarnation,
-        homes: home_client.HomeClient,
+        homes: coordinator_client.CoordinatorClient,
         scheduling: scheduling_lib.Scheduling,
         leases: leases_lib.Leases,
         world: world_lib.World,
--- a/src/cowsliprill/platform/orders.py
+++ b/src/cowsliprill/platform/orders.py
@@ -20,7 +20,7 @@
 
 
 class Orders:
-    """`router.roles.Orders` of the platform.
+    """`router.roles.EngineOrders` of the platform.
 
     Args:
       client: HTTP client.
--- a/src/cowsliprill/cells/caller.py
+++ b/src/cowsliprill/pool_scheduling/caller.py
@@ -4,10 +4,10 @@
 
 from cowsliprill import codec
 from cowsliprill import peers
-from cowsliprill.cells import homes as homes_lib
-from cowsliprill.cells import wire
 from cowsliprill.decisions import model
-from cowsliprill.entry import home_client
+from cowsliprill.entry import coordinator_client
+from cowsliprill.pool_scheduling import server as server_lib
+from cowsliprill.pool_scheduling import wire
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,8 +21,8 @@
     """
 
     vm_id: str
-    local: homes_lib.Homes
-    client: home_client.HomeClient
+    local: server_lib.PoolSchedulerServer
+    client: coordinator_client.CoordinatorClient
 
     async def post(
         self, vm: model.Vm, request: wire.SchedulingRequest, timeout_s: float
--- a/src/cowsliprill/cells/client.py
+++ b/src/cowsliprill/pool_scheduling/client.py
@@ -13,7 +13,6 @@
 
 from cowsliprill import clock
 from cowsliprill import errors
-from cowsliprill.cells import wire
 from cowsliprill.decisions import coordinator_choice
 from cowsliprill.decisions import message_channel
 from cowsliprill.decisions import messages
@@ -21,6 +20,7 @@
 from cowsliprill.decisions import pool_scheduler as pool_scheduler_lib
 from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
+from cowsliprill.pool_scheduling import wire
 
 # Longest time between two calls to a coordinator while requests are open.
 HEARTBEAT_INTERVAL_S = 0.8
@@ -33,7 +33,7 @@
 
 _CALL_DELAY_S = 0.02
 
-Post = Callable[
+SendToCoordinator = Callable[
     [model.Vm, wire.SchedulingRequest, float],
     Awaitable[wire.SchedulingResponse],
 ]
@@ -71,7 +71,7 @@
         self,
         pool: str,
         entry: str,
-        post: Post,
+        post: SendToCoordinator,
         cluster_state: world_lib.World,
         log: log_lib.Log,
     ) -> None:
@@ -313,7 +313,7 @@
             self._update_coordinator()
 
 
-class CellScheduling:
+class PoolSchedulingClient:
     """Obtains decisions about this process's requests from coordinators.
 
     Args:
@@ -326,7 +326,7 @@
     def __init__(
         self,
         entry: str,
-        post: Post,
+        post: SendToCoordinator,
         cluster_state: world_lib.World,
         log: log_lib.Log,
     ) -> None:
@@ -358,8 +358,9 @@
     def post(self, event: messages.Event) -> None:
         """Sends an event of a request to the coordinator of its pool.
 
-        Events of requests that have ended are ignored. `messages.ClusterStateChanged`
-        is not sent; it updates the choice of coordinators.
+        Events of requests that have ended are ignored.
+        `messages.ClusterStateChanged` is not sent; it updates the choice of
+        coordinators.
         """
         if isinstance(event, messages.ClusterStateChanged):
             self._apply_cluster_state()
--- a/src/cowsliprill/cells/homes.py
+++ b/src/cowsliprill/pool_scheduling/server.py
@@ -5,13 +5,13 @@
 import random
 
 from cowsliprill import clock
-from cowsliprill.cells import wire
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import pool as pools
 from cowsliprill.decisions import pool_scheduler as pool_scheduler_lib
 from cowsliprill.decisions import rendezvous
 from cowsliprill.observability import log as log_lib
+from cowsliprill.pool_scheduling import wire
 
 # Upper limit of a long poll. An entry process whose connection was lost without
 # notice calls again soon enough that its requests can still meet their
@@ -34,7 +34,7 @@
     )
 
 
-class Homes:
+class PoolSchedulerServer:
     """Hosts pool schedulers and answers the calls of entry processes.
 
     An entry process that calls a VM other than the pool's coordinator is
--- a/src/cowsliprill/quotas/reporter.py
+++ b/src/cowsliprill/quotas/usage_reporter.py
@@ -12,9 +12,9 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import quota_gate
 from cowsliprill.decisions import quota_owner
-from cowsliprill.entry import home_client
+from cowsliprill.entry import coordinator_client
 from cowsliprill.observability import log as log_lib
-from cowsliprill.quotas import owner as owner_lib
+from cowsliprill.quotas import usage_handler as owner_lib
 from cowsliprill.quotas import wire
 
 # Interval between usage reports while customers send requests, and the shorter
@@ -44,7 +44,7 @@
         vm_id: str,
         process_id: str,
         local_handler: owner_lib.UsageReportHandler,
-        client: home_client.HomeClient,
+        client: coordinator_client.CoordinatorClient,
         log: log_lib.Log,
         rng: random.Random,
     ) -> None:
--- a/src/cowsliprill/router/__main__.py
+++ b/src/cowsliprill/router/__main__.py
@@ -3,8 +3,8 @@
 import sys
 
 from cowsliprill import launcher
+from cowsliprill.router import config
 from cowsliprill.router import core
-from cowsliprill.router import node
 
 
 def main() -> int:
@@ -17,7 +17,7 @@
         "cowsliprill-router",
         "Runs a VM's entry, coordinator and settings in one process.",
         core.serve,
-        load=node.load,
+        load=config.load,
     )
 
 
--- a/src/cowsliprill/router/node.py
+++ b/src/cowsliprill/router/config.py
@@ -32,7 +32,7 @@
 Address = Annotated[tuple[str, int], pydantic.BeforeValidator(_parse_address)]
 
 
-class Node(pydantic.BaseModel):
+class RouterConfig(pydantic.BaseModel):
     """Contents of a router's configuration file; unknown fields are ignored.
 
     Attributes:
@@ -123,7 +123,7 @@
         )
 
 
-def load(path: pathlib.Path) -> Node:
+def load(path: pathlib.Path) -> RouterConfig:
     """Reads a router's configuration file.
 
     Args:
@@ -136,7 +136,7 @@
       environment.EnvironmentFileError: The file can't be read or is invalid.
     """
     try:
-        node = Node.model_validate_json(path.read_bytes())
+        node = RouterConfig.model_validate_json(path.read_bytes())
         return node.model_copy(update={"path": path})
     except (OSError, ValueError) as error:
         raise environment.EnvironmentFileError(f"{path}: {error}") from error
--- a/src/cowsliprill/router/core.py
+++ b/src/cowsliprill/router/core.py
@@ -12,17 +12,13 @@
 from cowsliprill import peer_auth
 from cowsliprill import peer_handler
 from cowsliprill import peers
-from cowsliprill.cells import caller as coordinator_caller
-from cowsliprill.cells import client as cells_client
-from cowsliprill.cells import homes as homes_lib
-from cowsliprill.cells import wire as cells_wire
 from cowsliprill.decisions import freshness
 from cowsliprill.decisions import mechanisms
 from cowsliprill.decisions import member_records
 from cowsliprill.decisions import membership
 from cowsliprill.engines import http_client
+from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import core as entry_core
-from cowsliprill.entry import home_client
 from cowsliprill.entry import placing
 from cowsliprill.membership import agent as agent_lib
 from cowsliprill.observability import log as log_lib
@@ -32,13 +28,17 @@
 from cowsliprill.platform import dialect
 from cowsliprill.platform import orders
 from cowsliprill.platform import store as store_lib
-from cowsliprill.quotas import owner as quota_owner
-from cowsliprill.quotas import reporter as quota_reporter
-from cowsliprill.quotas import wire as quotas_wire
+from cowsliprill.pool_scheduling import caller as coordinator_caller
+from cowsliprill.pool_scheduling import client as scheduling_client
+from cowsliprill.pool_scheduling import server as server_lib
+from cowsliprill.pool_scheduling import wire as scheduling_wire
+from cowsliprill.quotas import usage_handler as usage_handler_lib
+from cowsliprill.quotas import usage_reporter as usage_reporter_lib
+from cowsliprill.quotas import wire as quota_wire
 from cowsliprill.registry import peers as registry_peers
 from cowsliprill.registry import source as source_lib
+from cowsliprill.router import config as config_lib
 from cowsliprill.router import gauges
-from cowsliprill.router import node as node_lib
 from cowsliprill.router import roles as roles_lib
 
 # Maximum time in seconds that shutdown waits until the log's reader has taken
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        config: node_lib.Node,
+        config: config_lib.RouterConfig,
         log: log_lib.Log,
         output: writer.Writer | None = None,
     ) -> None:
@@ -92,18 +92,18 @@
             freshness.Freshness(config.key_revocation_s()),
         )
         self._agent = agent_lib.Agent(self._members, self._source.newest, log)
-        self._scheduling: cells_client.CellScheduling
-        self._pool_schedulers = homes_lib.Homes(
+        self._scheduling: scheduling_client.PoolSchedulingClient
+        self._pool_schedulers = server_lib.PoolSchedulerServer(
             config.vm, config.availability_zone, rng, log
         )
-        self._usage_handler = quota_owner.UsageReportHandler(
+        self._usage_handler = usage_handler_lib.UsageReportHandler(
             config.quota_tolerance(), self._members.reachable_fraction
         )
-        self._quotas = quota_reporter.UsageReporter(
+        self._quotas = usage_reporter_lib.UsageReporter(
             config.vm,
             f"{config.vm}.{own.incarnation}",
             self._usage_handler,
-            home_client.HomeClient(
+            coordinator_client.CoordinatorClient(
                 http_client.HttpClient(), peer_auth.PeerAuth(config.peer_secret)
             ),
             log,
@@ -202,7 +202,7 @@
         # process runs, while seeds let a VM that lost contact with all others
         # find them again.
         try:
-            config = node_lib.load(self._config.path)
+            config = config_lib.load(self._config.path)
         except errors.CowsliprillError as error:
             self._log.warning("file_unreadable", reason=error.message)
             return
@@ -211,7 +211,7 @@
         self._log.event("file_reloaded", seeds=len(config.seeds))
 
     @staticmethod
-    def _seeds(config: node_lib.Node) -> list[member_records.Address]:
+    def _seeds(config: config_lib.RouterConfig) -> list[member_records.Address]:
         return [(host, config.peer_ports[0]) for host, _ in config.seeds]
 
     @property
@@ -241,12 +241,12 @@
         auth = peer_auth.PeerAuth(self._config.peer_secret)
         scheduling_args = {
             "auth": auth,
-            "kind": cells_wire.SchedulingRequest,
+            "kind": scheduling_wire.SchedulingRequest,
             "respond": self._pool_schedulers.handle,
         }
         quota_args = {
             "auth": auth,
-            "kind": quotas_wire.UsageReport,
+            "kind": quota_wire.UsageReport,
             "respond": self._usage_handler.handle,
         }
         registry_args = {
@@ -270,16 +270,18 @@
             self._agent.publish(ready=True)
         self._agent.publish_newest()
 
-    def _create_placement(self, tools: placing.Tools) -> placing.ByCells:
+    def _create_placement(
+        self, tools: placing.Tools
+    ) -> placing.CoordinatorPlacement:
         caller = coordinator_caller.CoordinatorCaller(
             self._config.vm, self._pool_schedulers, tools.homes
         )
-        placement = placing.ByCells(tools, caller.post)
+        placement = placing.CoordinatorPlacement(tools, caller.post)
         self._scheduling = placement.scheduling
         return placement
 
 
-async def serve(config: node_lib.Node) -> None:
+async def serve(config: config_lib.RouterConfig) -> None:
     """Runs the router until it is stopped by a signal.
 
     Args:
--- a/src/cowsliprill/router/gauges.py
+++ b/src/cowsliprill/router/gauges.py
@@ -5,11 +5,11 @@
 import math
 
 from cowsliprill import clock
-from cowsliprill.cells import homes as homes_lib
 from cowsliprill.decisions import membership
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.observability import writer
+from cowsliprill.pool_scheduling import server as server_lib
 from cowsliprill.registry import source as source_lib
 
 # A shorter interval is of no use: metrics are scraped every few seconds at
@@ -36,7 +36,7 @@
         metrics: metrics_lib.Metrics,
         members: membership.Membership,
         source: source_lib.Source,
-        pool_schedulers: homes_lib.Homes,
+        pool_schedulers: server_lib.PoolSchedulerServer,
         log: log_lib.Log,
         output: writer.Writer | None,
     ) -> None:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -17,8 +17,8 @@
 from cowsliprill.engines import exchange
 from cowsliprill.engines import http_client
 from cowsliprill.observability import log as log_lib
+from cowsliprill.router import config as config_lib
 from cowsliprill.router import core
-from cowsliprill.router import node as node_lib
 
 HOST = "127.0.0.1"
 CALLERS_HOST = "desk.example"
@@ -478,7 +478,7 @@
     def add_router(self, store: str = "") -> int:
         number = len(self.routers)
         host = f"127.0.0.{number + 1}"
-        node = node_lib.Node(
+        node = config_lib.RouterConfig(
             vm=f"vm-{number}",
             availability_zone="gasabo",
             public=f"{host}:0",
--- a/tests/test_ablate.py
+++ b/tests/test_ablate.py
@@ -6,7 +6,7 @@
 from tools import ablate
 
 from cowsliprill.decisions import mechanisms
-from cowsliprill.router import node
+from cowsliprill.router import config
 
 _TEXT = """built in 1.0 s; 30676 lines in 266 files
 day         own/srv  score  worth served refused failed  weakest part
@@ -78,5 +78,5 @@
             + "\n"
         )
         ablate._switch_off(template, "peer_news")
-        loaded = node.load(template)
+        loaded = config.load(template)
         assert loaded.mechanisms_off == {mechanisms.Mechanism.PEER_UPDATES}
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -8,7 +8,7 @@
 from cowsliprill.decisions import mechanisms
 from cowsliprill.decisions import model
 from cowsliprill.decisions import outlier_detection
-from cowsliprill.router import node
+from cowsliprill.router import config
 
 _Mechanism = mechanisms.Mechanism
 
@@ -91,7 +91,7 @@
             "mechanisms_off": names,
         }
         path.write_text(json.dumps(fields))
-        return node.load(path)
+        return config.load(path)
 
     def test_known_names(self, tmp_path):
         loaded = self._load(tmp_path, ["role_orders", "peer_news"])
--- a/tests/test_homes.py
+++ b/tests/test_pool_scheduling.py
@@ -8,13 +8,13 @@
 import pytest
 
 from cowsliprill import errors
-from cowsliprill.cells import client
-from cowsliprill.cells import homes
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import rendezvous
 from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
+from cowsliprill.pool_scheduling import client
+from cowsliprill.pool_scheduling import server
 
 _POOL = "writers"
 _WAIT_S = 5.0
@@ -80,11 +80,13 @@
         self.pool_schedulers_by_vm = {}
         snapshot = model.Snapshot(revision=1, endpoints_by_id=_engines())
         for vm in vms:
-            pool_scheduler = homes.Homes(vm.id, "a", random.Random(1), log)
+            pool_scheduler = server.PoolSchedulerServer(
+                vm.id, "a", random.Random(1), log
+            )
             pool_scheduler.update(snapshot, _fleet(members_by_vm[vm.id]))
             self.pool_schedulers_by_vm[vm.id] = pool_scheduler
         cluster_state = world_lib.World(snapshot, _fleet(entry_members))
-        self.scheduling = client.CellScheduling(
+        self.scheduling = client.PoolSchedulingClient(
             "entry-1", self._post, cluster_state, log
         )
 
--- a/tests/test_cell_wire.py
+++ b/tests/test_pool_scheduling_wire.py
@@ -6,8 +6,8 @@
 import pytest
 
 from cowsliprill import codec
-from cowsliprill.cells import wire
 from cowsliprill.decisions import messages
+from cowsliprill.pool_scheduling import wire
 
 
 def _with_all_fields_set(kind: type) -> object:
