--- a/src/cowsliprill/membership/__init__.py
+++ b/src/cowsliprill/membership/__init__.py
@@ -1,1 +1,1 @@
-"""How processes of different VMs find each other."""
+"""Cluster membership: gossip over UDP between the processes of all VMs."""
--- a/src/cowsliprill/membership/agent.py
+++ b/src/cowsliprill/membership/agent.py
@@ -1,4 +1,4 @@
-"""The task that owns the membership and its UDP socket."""
+"""Task that sends and receives membership messages over UDP."""
 
 import asyncio
 import socket
@@ -12,28 +12,28 @@
 from cowsliprill.membership import wire
 from cowsliprill.observability import log as log_lib
 
-# News are told this soon after they came, together with what comes meanwhile.
-_FLUSH_S = 0.1
+# Membership updates are sent after this delay, batched with later ones.
+_FLUSH_DELAY_S = 0.1
 
-# So are news of the registry, which come seldom and which callers feel.
-_REGISTRY_FLUSH_S = 0.02
+# Registry updates are sent sooner: they are rare, and callers notice a delay.
+_REGISTRY_FLUSH_DELAY_S = 0.02
 
-# A process that leaves tells so often, since datagrams may be lost and it may
-# end before the next heartbeat.
-_ANNOUNCEMENTS = 3
-_ANNOUNCEMENT_GAP_S = 0.05
+# A leaving process announces this several times, since datagrams may be lost
+# and the process may end before the next heartbeat.
+_LEAVE_ANNOUNCEMENTS = 3
+_LEAVE_ANNOUNCEMENT_INTERVAL_S = 0.05
 
-# VMs named in one line of the log; the rest is counted.
-_NAMED = 6
+# VM names in one log line; further ones are only counted.
+_NAMES_MAX = 6
 
 
 class Agent(asyncio.DatagramProtocol):
-    """Sends and takes the membership's messages.
+    """UDP transport and timer of a `membership.Membership`.
 
     Args:
-      members: The membership.
-      newest: Returns the newest registry change known, for each prefix.
-      log: The process's log.
+      members: Membership protocol state; does no I/O itself.
+      newest: Returns the newest known registry revision for each prefix.
+      log: Log of the process.
     """
 
     def __init__(
@@ -47,16 +47,16 @@
         self._log = log
         self._callbacks: list[Callable[[], None]] = []
         self._transport: asyncio.DatagramTransport | None = None
-        self._present: dict[str, tuple[int, bool, bool]] = {}
+        self._logged_members: dict[str, tuple[int, bool, bool]] = {}
         self._logged_revision = (0, False)
-        self._flush_due: asyncio.TimerHandle | None = None
+        self._flush_timer: asyncio.TimerHandle | None = None
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Has a function called at each beat and soon after each change."""
+        """Registers a callback for each tick and soon after each change."""
         self._callbacks.append(callback)
 
     async def run(self) -> None:
-        """Lets time pass for the membership until cancelled."""
+        """Opens the socket and drives the protocol until cancelled."""
         own = self._members.own
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
@@ -68,40 +68,40 @@
             while True:
                 self._members.tell_newest(self._newest())
                 self._send(self._members.tick(clock.now()))
-                self._pass_on()
+                self._notify_subscribers()
                 await asyncio.sleep(membership.TICK_S)
         finally:
             self._close()
 
     def tell(self, **changes: object) -> None:
-        """Tells the others something else of this process.
+        """Changes this process's member record and sends it to the others.
 
         Args:
-          **changes: Fields of its record.
+          **changes: Changed fields of the record.
         """
         self._members.tell(**changes)
-        self._arrange_flush()
+        self._schedule_flush()
 
     def tell_newest(self) -> None:
-        """Tells the others which registry changes are known here."""
+        """Announces the newest registry revisions known to this process."""
         self._members.tell_newest(self._newest())
-        self._arrange_flush(_REGISTRY_FLUSH_S)
+        self._schedule_flush(_REGISTRY_FLUSH_DELAY_S)
 
     async def leave(self) -> None:
-        """Tells the others that this process takes no more work."""
+        """Announces that this process is draining and takes no new work."""
         self._members.tell(leaving=True)
-        for _ in range(_ANNOUNCEMENTS):
+        for _ in range(_LEAVE_ANNOUNCEMENTS):
             self._flush()
-            await asyncio.sleep(_ANNOUNCEMENT_GAP_S)
+            await asyncio.sleep(_LEAVE_ANNOUNCEMENT_INTERVAL_S)
 
-    # Called by asyncio.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Takes the socket."""
+        """Stores the transport."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Takes a message of a peer."""
+        """Handles a datagram from a peer."""
         try:
             message = wire.read(data)
         except codec.CodecError as error:
@@ -109,49 +109,49 @@
                 "heartbeat_malformed", peer=addr[0], reason=str(error)
             )
             return
-        heard = self._members.newest_heard
+        newest_before = self._members.newest_heard
         self._send(self._members.receive(message, clock.now()))
-        if self._members.newest_heard != heard:
-            self._pass_on()
-        self._arrange_flush()
+        if self._members.newest_heard != newest_before:
+            self._notify_subscribers()
+        self._schedule_flush()
 
     def error_received(self, exc: OSError) -> None:
-        """Notes that a message met a closed port; its owner is restarting."""
+        """Logs a datagram rejected by a closed port; the peer is restarting."""
         self._log.event("heartbeat_unsent", reason=str(exc))
 
     def _close(self) -> None:
-        if self._flush_due is not None:
-            self._flush_due.cancel()
+        if self._flush_timer is not None:
+            self._flush_timer.cancel()
         self._transport.close()
         self._transport = None
 
-    def _arrange_flush(self, within_s: float = _FLUSH_S) -> None:
+    def _schedule_flush(self, within_s: float = _FLUSH_DELAY_S) -> None:
         if self._transport is None or not self._members.is_urgent():
             return
         loop = asyncio.get_running_loop()
-        due = self._flush_due
-        if due is not None and due.when() <= loop.time() + within_s:
+        timer = self._flush_timer
+        if timer is not None and timer.when() <= loop.time() + within_s:
             return
-        if due is not None:
-            due.cancel()
-        self._flush_due = loop.call_later(within_s, self._flush)
+        if timer is not None:
+            timer.cancel()
+        self._flush_timer = loop.call_later(within_s, self._flush)
 
     def _flush(self) -> None:
-        if self._flush_due is not None:
-            self._flush_due.cancel()
-            self._flush_due = None
+        if self._flush_timer is not None:
+            self._flush_timer.cancel()
+            self._flush_timer = None
         self._send(self._members.flush())
-        self._pass_on()
-        self._arrange_flush()
+        self._notify_subscribers()
+        self._schedule_flush()
 
-    def _send(self, sends: Iterable[member_records.Outgoing]) -> None:
+    def _send(self, messages: Iterable[member_records.Outgoing]) -> None:
         if self._transport is None:
             return
-        for outgoing in sends:
+        for outgoing in messages:
             data = wire.write(outgoing.message)
             self._transport.sendto(data, outgoing.address)
 
-    def _pass_on(self) -> None:
+    def _notify_subscribers(self) -> None:
         self._log_changes()
         for callback in self._callbacks:
             callback()
@@ -160,31 +160,35 @@
         if self._members.revision == self._logged_revision:
             return
         self._logged_revision = self._members.revision
-        present = {
+        current_members = {
             record.id: (record.incarnation, record.ready, record.leaving)
             for record in self._members.alive()
         }
-        if present == self._present:
+        if current_members == self._logged_members:
             return
         self._log.event(
             "members_changed",
-            alive=len(present) + 1,
-            joined=_named(present.keys() - self._present.keys()),
-            lost=_named(self._present.keys() - present.keys()),
-            joining=_named(
-                vm for vm, (_, ready, _) in present.items() if not ready
+            alive=len(current_members) + 1,
+            joined=_abbreviate(
+                current_members.keys() - self._logged_members.keys()
             ),
-            leaving=_named(
-                vm for vm, (_, _, leaving) in present.items() if leaving
+            lost=_abbreviate(
+                self._logged_members.keys() - current_members.keys()
+            ),
+            joining=_abbreviate(
+                vm for vm, (_, ready, _) in current_members.items() if not ready
+            ),
+            leaving=_abbreviate(
+                vm for vm, (_, _, leaving) in current_members.items() if leaving
             ),
         )
-        self._present = present
+        self._logged_members = current_members
 
 
-def _named(vms: Iterable[str]) -> list[str]:
-    """Returns the first few names, and how many more there are."""
+def _abbreviate(vms: Iterable[str]) -> list[str]:
+    """Returns the first few names and the number of the remaining ones."""
     ordered = sorted(vms)
-    named = ordered[:_NAMED]
-    if len(ordered) > _NAMED:
-        named.append(f"and {len(ordered) - _NAMED} more")
-    return named
+    names = ordered[:_NAMES_MAX]
+    if len(ordered) > _NAMES_MAX:
+        names.append(f"and {len(ordered) - _NAMES_MAX} more")
+    return names
--- a/src/cowsliprill/membership/wire.py
+++ b/src/cowsliprill/membership/wire.py
@@ -1,4 +1,7 @@
-"""Members' messages as datagrams: arrays, since names would fill them."""
+"""Wire format of membership messages: JSON arrays, which omit field names.
+
+Field names would take up most of a datagram.
+"""
 
 from typing import NamedTuple
 
@@ -12,18 +15,19 @@
 
 
 class WireRecord(NamedTuple):
-    """`member_records.Record` on its way.
+    """Wire format of `member_records.Record`.
 
     Attributes:
       id: Id of the VM.
-      host: IP number.
-      port: Port for peers.
-      availability_zone: Where it is.
-      incarnation: Rises with each start.
-      version: Rises with each change.
-      flags: Sum of the bits that are set.
-      cores: Processor cores that it may use.
-      changing: Engines that it has ordered to change.
+      host: IP address.
+      port: Port for peers, TCP and UDP.
+      availability_zone: Availability zone of the VM.
+      incarnation: Incarnation number, higher after each restart.
+      version: Version of the record, higher after each change.
+      flags: Bit mask of the record's boolean fields.
+      cores: Number of processor cores that the process may use.
+      changing: Engines that the VM has ordered to change, as pairs of endpoint
+        id and target kind.
     """
 
     id: str
@@ -38,17 +42,19 @@
 
 
 class WireMessage(NamedTuple):
-    """`member_records.Message` on its way.
+    """Wire format of `member_records.Message`.
 
     Attributes:
-      sender: The sender.
-      newest: Newest registry changes that the sender knows.
-      digest: Digest of what the sender knows of members.
-      known: How many members the sender knows.
-      watched: Whether the receiver is to miss the sender's heartbeats.
-      ping: Whether the receiver is to answer.
-      news: Records of others, each with its standing.
-      digests: Digests of parts that are asked for.
+      sender: Record of the sender.
+      newest: Newest registry revisions known to the sender, one per prefix.
+      digest: Digest of the sender's member table.
+      known: Number of members known to the sender.
+      watched: Whether the receiver monitors the sender's heartbeats.
+      ping: Whether the receiver must reply.
+      news: Gossip updates: records of other members, each after its status.
+      digests: Digests of the buckets of the sender's member table, for
+        anti-entropy: the receiver replies with the buckets that differ. Empty
+        if no reply is requested.
     """
 
     sender: WireRecord
@@ -62,24 +68,24 @@
 
 
 def write(message: records_lib.Message) -> bytes:
-    """Writes a message.
+    """Encodes a message.
 
     Args:
       message: The message.
 
     Returns:
-      UTF-8 JSON.
+      The message as UTF-8 JSON.
     """
     return codec.encode(
         WireMessage(
-            sender=_write_record(message.sender),
+            sender=_record_to_wire(message.sender),
             newest=message.newest,
             digest=message.digest,
             known=message.known,
             watched=message.watched,
             ping=message.ping,
             news=tuple(
-                (int(news.standing), _write_record(news.record))
+                (int(news.standing), _record_to_wire(news.record))
                 for news in message.news
             ),
             digests=message.digests,
@@ -88,7 +94,7 @@
 
 
 def read(data: bytes) -> records_lib.Message:
-    """Reads a message.
+    """Decodes a message.
 
     Args:
       data: UTF-8 JSON.
@@ -97,13 +103,13 @@
       The message.
 
     Raises:
-      codec.CodecError: It isn't one.
+      codec.CodecError: The data isn't a valid message.
     """
     wire = codec.decode(WireMessage, data)
     try:
         news = tuple(
             records_lib.News(
-                record=_read_record(record),
+                record=_record_from_wire(record),
                 standing=records_lib.Standing(standing),
             )
             for standing, record in wire.news
@@ -111,7 +117,7 @@
     except ValueError as error:
         raise codec.CodecError(str(error)) from error
     return records_lib.Message(
-        sender=_read_record(wire.sender),
+        sender=_record_from_wire(wire.sender),
         newest=wire.newest,
         digest=wire.digest,
         known=wire.known,
@@ -122,7 +128,7 @@
     )
 
 
-def _write_record(record: records_lib.Record) -> WireRecord:
+def _record_to_wire(record: records_lib.Record) -> WireRecord:
     flags = (
         _READY * record.ready
         + _LEAVING * record.leaving
@@ -141,7 +147,7 @@
     )
 
 
-def _read_record(wire: WireRecord) -> records_lib.Record:
+def _record_from_wire(wire: WireRecord) -> records_lib.Record:
     return records_lib.Record(
         id=wire.id,
         host=wire.host,
