--- a/src/cowsliprill/registry/confirmation.py
+++ b/src/cowsliprill/registry/confirmation.py
@@ -33,7 +33,7 @@
     Args:
       follower: Follower of the settings prefix.
       freshness: Maximum staleness of the settings.
-      on_revalidated: Called to take over the view's last revalidation.
+      on_revalidated: Called when the view may have been revalidated.
       members: Membership of the other processes.
       log: Log of the process.
       rng: Chooses the peer to query and adds jitter to the interval.
--- a/src/cowsliprill/registry/endpoints.py
+++ b/src/cowsliprill/registry/endpoints.py
@@ -1,7 +1,7 @@
 """Table of the endpoints listed in the registry.
 
-Removals that may be mere expiries during a store outage are deferred for a
-grace period.
+A removal that may be an expiry caused by a store outage takes effect only
+after a grace period.
 """
 
 import collections
--- a/src/cowsliprill/registry/peers.py
+++ b/src/cowsliprill/registry/peers.py
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class WireNews:
-    """Wire format of `registry.News`.
+    """Wire format of `registry_view.RegistryUpdate`.
 
     Attributes:
       changes: Entries and removals.
--- a/src/cowsliprill/registry/source.py
+++ b/src/cowsliprill/registry/source.py
@@ -114,11 +114,11 @@
 class Source:
     """Source of the cluster state for a platform with a registry.
 
-    Implements the protocol of entry.world.
+    Implements the interface through which the entry process gets its settings.
 
     Args:
       store: Client of the registry store.
-      translator: Parser of registry entries.
+      entry_parser: Parser of registry entries.
       members: Membership of the other processes.
       log: Log of the process.
       rng: Adds jitter to retries and chooses peers.
@@ -135,7 +135,7 @@
     def __init__(
         self,
         store: store_lib.Store,
-        translator: Translator,
+        entry_parser: Translator,
         members: membership.Membership,
         log: log_lib.Log,
         rng: random.Random,
@@ -147,14 +147,14 @@
         self._applied_revision = 0
         self.snapshot = model.Snapshot()
         self.fleet = model.Fleet()
-        self._translator = translator
+        self._entry_parser = entry_parser
         self._members = members
         self._log = log
         self._callbacks: list[Callable[[], None]] = []
         self._newest_callbacks: list[Callable[[], None]] = []
         self._settings = Settings()
         self._settings_entries: asyncio.Queue[registry.Entry] = asyncio.Queue()
-        self._endpoints = endpoints_lib.EndpointTable(translator.listed, log)
+        self._endpoints = endpoints_lib.EndpointTable(entry_parser.listed, log)
         self._deduplicates_addresses = (
             mechanisms.Mechanism.ONE_LIFE_AN_ADDRESS not in off
         )
@@ -166,7 +166,7 @@
         self._members_revision = (0, False)
         self._reparse_timer: asyncio.TimerHandle | None = None
         self._changing: frozenset[tuple[str, str]] = frozenset()
-        prefixes = (translator.settings_key, translator.endpoints_prefix)
+        prefixes = (entry_parser.settings_key, entry_parser.endpoints_prefix)
         self.views_by_prefix = {
             prefix: registry.View(prefix) for prefix in prefixes
         }
@@ -365,7 +365,7 @@
 
     def _apply_settings_changes(self, changes: list[registry.Change]) -> None:
         for change in changes:
-            if change.key != self._translator.settings_key:
+            if change.key != self._entry_parser.settings_key:
                 continue
             if isinstance(change, registry.Entry):
                 self._settings_entries.put_nowait(change)
@@ -376,15 +376,15 @@
     def _queue_reparse(self) -> None:
         # Retry budgets are divided by the number of processes.
         self._reparse_timer = None
-        view = self.views_by_prefix[self._translator.settings_key]
-        entry = view.entries_by_key.get(self._translator.settings_key)
+        view = self.views_by_prefix[self._entry_parser.settings_key]
+        entry = view.entries_by_key.get(self._entry_parser.settings_key)
         if entry is not None:
             self._settings_entries.put_nowait(entry)
 
     def _update_freshness(self) -> None:
         # While a newer entry is being parsed, the settings in force aren't the
         # newest, even if the store has revalidated the view.
-        view = self.views_by_prefix[self._translator.settings_key]
+        view = self.views_by_prefix[self._entry_parser.settings_key]
         if view.newest == self._applied_revision:
             self._freshness.confirm(view.confirmed_at)
 
@@ -392,7 +392,7 @@
         while True:
             entry = await self._settings_entries.get()
             try:
-                settings = await self._translator.settings(
+                settings = await self._entry_parser.settings(
                     entry.value, self._members.known()
                 )
             except ValueError as error:
--- a/tests/test_registry_peers.py
+++ b/tests/test_registry_peers.py
@@ -1,4 +1,4 @@
-"""Tests of `registry.peers`: transfer of large settings between VMs."""
+"""Tests of `registry.peer_exchange`: transfer of large settings between VMs."""
 
 import asyncio
 import base64
--- a/tests/test_registry_walk.py
+++ b/tests/test_registry_walk.py
@@ -1,4 +1,4 @@
-"""Model check of `decisions.registry`: all orders of delivery of changes.
+"""Model check of `decisions.registry_view`: all orders of delivery of changes.
 
 Explores every state that two processes and a store can reach by the actions
 below up to a depth, each state once.
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -1,4 +1,4 @@
-"""Tests of `registry.peer_news`: queries to peers during a store outage."""
+"""Tests of `registry.peer_sync`: queries to peers during a store outage."""
 
 import types
 
