--- a/src/cowsliprill/registry/follower.py
+++ b/src/cowsliprill/registry/follower.py
@@ -70,8 +70,8 @@
       reading: Whether this process watches the store itself.
       first_response_at: Time of the store's first response since `reading` last
         changed, infinity if there was none.
-      away_since: Time of the first failed call of the current outage, 0 while
-        the store responds.
+      away_since: Time of the first failed call of the current outage, 0
+        while the store responds.
       recovered_at: Time of the first response after the last outage.
       response_gap_s: Time without a response before `recovered_at`, in seconds.
       last_response_at: Time of the store's last response.
