--- a/src/cowsliprill/membership/agent.py
+++ b/src/cowsliprill/membership/agent.py
@@ -27,7 +27,7 @@
 _NAMES_MAX = 6
 
 
-class Agent(asyncio.DatagramProtocol):
+class GossipAgent(asyncio.DatagramProtocol):
     """UDP transport and timer of a `membership.Membership`.
 
     Args:
@@ -103,7 +103,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Handles a datagram from a peer."""
         try:
-            message = wire.read(data)
+            message = wire.decode_message(data)
         except codec.CodecError as error:
             self._log.warning(
                 "heartbeat_malformed", peer=addr[0], reason=str(error)
@@ -148,7 +148,7 @@
         if self._transport is None:
             return
         for outgoing in messages:
-            data = wire.write(outgoing.message)
+            data = wire.encode_message(outgoing.message)
             self._transport.sendto(data, outgoing.address)
 
     def _notify_subscribers(self) -> None:
--- a/src/cowsliprill/membership/wire.py
+++ b/src/cowsliprill/membership/wire.py
@@ -67,7 +67,7 @@
     digests: tuple[int, ...]
 
 
-def write(message: records_lib.Message) -> bytes:
+def encode_message(message: records_lib.Message) -> bytes:
     """Encodes a message.
 
     Args:
@@ -93,7 +93,7 @@
     )
 
 
-def read(data: bytes) -> records_lib.Message:
+def decode_message(data: bytes) -> records_lib.Message:
     """Decodes a message.
 
     Args:
--- a/src/cowsliprill/platform/catalog.py
+++ b/src/cowsliprill/platform/catalog.py
@@ -160,7 +160,7 @@
 
 
 class Catalog:
-    """`registry.source.Translator` of the platform.
+    """`registry.source.EntryParser` of the platform.
 
     Args:
       budget_ratio: Repeats that the customers allow for each request.
@@ -220,7 +220,9 @@
             limits=_limits(config.limits),
         )
 
-    def listed(self, key: str, value: bytes) -> endpoints.Listed:
+    def parse_endpoint(
+        self, key: str, value: bytes
+    ) -> endpoints.ListedEndpoint:
         """Reads an endpoint's entry.
 
         Args:
@@ -247,7 +249,7 @@
             slots=server.slots,
             life=str(server.born or ""),
         )
-        return endpoints.Listed(
+        return endpoints.ListedEndpoint(
             endpoint=endpoint,
             leaving=server.state == "draining",
             started_at_ms=server.born or 0,
--- a/src/cowsliprill/platform/store.py
+++ b/src/cowsliprill/platform/store.py
@@ -32,14 +32,14 @@
 
     async def page(
         self, prefix: str, after: str, timeout_s: float
-    ) -> store_lib.Page:
+    ) -> store_lib.ListingPage:
         """Reads a part of the entries; see `registry.store.Store`."""
         query = {"pathPrefix": prefix}
         if after:
             query["after"] = after
         answer = await self._get("/kv-range", query, timeout_s)
         items = answer.get("items")
-        return store_lib.Page(
+        return store_lib.ListingPage(
             entries=tuple(
                 change
                 for change in map(_change, items)
@@ -51,7 +51,7 @@
 
     async def watch(
         self, prefix: str, after: int, wait_s: float, timeout_s: float
-    ) -> store_lib.Watched:
+    ) -> store_lib.WatchResult:
         """Waits for changes; see `registry.store.Store`."""
         query = {
             "pathPrefix": prefix,
@@ -59,7 +59,7 @@
             "waitMs": str(int(wait_s * _MS_PER_S)),
         }
         answer = await self._get("/kv-watch", query, timeout_s)
-        return store_lib.Watched(
+        return store_lib.WatchResult(
             changes=tuple(map(_change, answer.get("events"))),
             as_of=_revision(answer, "asOf"),
         )
--- a/src/cowsliprill/registry/endpoints.py
+++ b/src/cowsliprill/registry/endpoints.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Listed:
+class ListedEndpoint:
     """An endpoint as described by its registry entry.
 
     Attributes:
@@ -56,18 +56,18 @@
     """
 
     def __init__(
-        self, parse: Callable[[str, bytes], Listed], log: log_lib.Log
+        self, parse: Callable[[str, bytes], ListedEndpoint], log: log_lib.Log
     ) -> None:
         self._parse = parse
         self._log = log
-        self._listed_by_key: dict[str, Listed] = {}
+        self._listed_by_key: dict[str, ListedEndpoint] = {}
         self._deferred_until_by_key: dict[str, float] = {}
 
-    def all_instances(self) -> Collection[Listed]:
+    def all_instances(self) -> Collection[ListedEndpoint]:
         """Returns all listed endpoints, also several with one address."""
         return self._listed_by_key.values()
 
-    def instances(self) -> Collection[Listed]:
+    def instances(self) -> Collection[ListedEndpoint]:
         """Returns one endpoint per address, including those that are leaving.
 
         Of several endpoints with the same address only the one started last is
@@ -76,7 +76,7 @@
         prefill engine would be switched to decode as soon as it has restarted,
         and the pool would have none left for prefill.
         """
-        latest_by_address: dict[tuple[str, str, int], Listed] = {}
+        latest_by_address: dict[tuple[str, str, int], ListedEndpoint] = {}
         for item in self._listed_by_key.values():
             endpoint = item.endpoint
             address = (endpoint.pool, endpoint.host, endpoint.port)
@@ -101,7 +101,7 @@
             past if they take effect at once.
           now: Current time in seconds.
         """
-        changed: list[tuple[registry_view.Entry, Listed]] = []
+        changed: list[tuple[registry_view.Entry, ListedEndpoint]] = []
         for change in changes:
             match change:
                 case registry_view.Entry():
@@ -131,7 +131,7 @@
             self._listed_by_key.pop(key, None)
         return bool(due)
 
-    def _add(self, entry: registry_view.Entry) -> Listed | None:
+    def _add(self, entry: registry_view.Entry) -> ListedEndpoint | None:
         """Adds an entry; returns its endpoint if the logged state changed."""
         self._deferred_until_by_key.pop(entry.key, None)
         try:
@@ -153,7 +153,7 @@
         return listed
 
     def _log_listed(
-        self, changed: list[tuple[registry_view.Entry, Listed]]
+        self, changed: list[tuple[registry_view.Entry, ListedEndpoint]]
     ) -> None:
         if len(changed) > _LOGGED_SINGLY_MAX:
             count_by_kind = collections.Counter(
@@ -197,5 +197,5 @@
         self._listed_by_key.pop(removal.key, None)
 
 
-def _logged_state(listed: Listed) -> tuple[model.EndpointKind, bool]:
+def _logged_state(listed: ListedEndpoint) -> tuple[model.EndpointKind, bool]:
     return listed.endpoint.kind, listed.leaving
--- a/src/cowsliprill/registry/follower.py
+++ b/src/cowsliprill/registry/follower.py
@@ -70,13 +70,13 @@
       reading: Whether this process watches the store itself.
       first_response_at: Time of the store's first response since `reading` last
         changed, infinity if there was none.
-      away_since: Time of the first failed call of the current outage, 0
+      unavailable_since: Time of the first failed call of the current outage, 0
         while the store responds.
       recovered_at: Time of the first response after the last outage.
       response_gap_s: Time without a response before `recovered_at`, in seconds.
       last_response_at: Time of the store's last response.
-      answered: Number of calls that succeeded.
-      failed: Number of calls that failed.
+      answered_calls: Number of calls that succeeded.
+      failed_calls: Number of calls that failed.
       last_call_at: Start time of the current or the last call.
     """
 
@@ -93,12 +93,12 @@
         self._watch_timeout_s = min(watch_timeout_s, WATCH_MAX_S)
         self.reading = False
         self.first_response_at = math.inf
-        self.away_since = 0.0
+        self.unavailable_since = 0.0
         self.recovered_at = 0.0
         self.response_gap_s = 0.0
         self.last_response_at = 0.0
-        self.answered = 0
-        self.failed = 0
+        self.answered_calls = 0
+        self.failed_calls = 0
         self.last_call_at = 0.0
         self._store = store
         self.on_changes = on_changes
@@ -139,8 +139,8 @@
     def is_store_unavailable(self, now: float) -> bool:
         """Returns whether the store has been failing for some time."""
         return (
-            bool(self.away_since)
-            and now - self.away_since > _UNAVAILABLE_AFTER_S
+            bool(self.unavailable_since)
+            and now - self.unavailable_since > _UNAVAILABLE_AFTER_S
         )
 
     def catch_up(self, newest: int) -> None:
@@ -183,7 +183,7 @@
 
         An update from a peer replaces the first listing.
         """
-        self.away_since = 0.0
+        self.unavailable_since = 0.0
         self._backoff_s = _BACKOFF_MIN_S
         self._must_list = False
         self._calls_allowed.clear()
@@ -215,7 +215,7 @@
             return
         # Only a response shows that the store is available. A long watch gets
         # none while nothing changes, and peers would be queried meanwhile.
-        probing = self.away_since or math.isinf(self.first_response_at)
+        probing = self.unavailable_since or math.isinf(self.first_response_at)
         if await self._watch(
             _PROBE_WATCH_S if probing else self._watch_timeout_s
         ):
@@ -274,12 +274,12 @@
         self._backoff_s = min(self._backoff_s * 2, _BACKOFF_MAX_S)
 
     def _record_failure(self, error: store_lib.StoreError) -> None:
-        self.failed += 1
+        self.failed_calls += 1
         # The response of an interrupted watch may be lost. The next watch
         # starts at the same revision, so no change is skipped.
-        if not self.away_since:
+        if not self.unavailable_since:
             now = clock.now()
-            self.away_since = now
+            self.unavailable_since = now
             # A long time without a response may hide changes that peers know.
             self._log.warning(
                 "registry_away",
@@ -291,17 +291,17 @@
 
     def _record_response(self) -> None:
         now = clock.now()
-        self.answered += 1
+        self.answered_calls += 1
         self.first_response_at = min(self.first_response_at, now)
         self._backoff_s = _BACKOFF_MIN_S
-        if self.away_since:
+        if self.unavailable_since:
             self.recovered_at = now
             self.response_gap_s = now - self.last_response_at
             self._log.event(
                 "registry_back",
                 prefix=self.view.prefix,
-                away_s=round(self.recovered_at - self.away_since, 3),
+                away_s=round(self.recovered_at - self.unavailable_since, 3),
                 position=self.view.position,
             )
         self.last_response_at = now
-        self.away_since = 0.0
+        self.unavailable_since = 0.0
--- a/src/cowsliprill/registry/peers.py
+++ b/src/cowsliprill/registry/peer_exchange.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class WireNews:
+class WireUpdate:
     """Wire format of `registry_view.RegistryUpdate`.
 
     Attributes:
@@ -85,7 +85,7 @@
     trouble_left_s: float
 
 
-class NewsHandler(web.RequestHandler):
+class RegistryHandler(web.RequestHandler):
     """Handles `GET /v1/registry?prefix=P&since=R`."""
 
     def initialize(
@@ -169,12 +169,12 @@
     if reply.status != _OK:
         raise peer_client.PeerError(f"{url}: status {reply.status}")
     try:
-        return _update_from_wire(codec.decode(WireNews, reply.body))
+        return _update_from_wire(codec.decode(WireUpdate, reply.body))
     except (errors.CowsliprillError, ValueError, zlib.error) as error:
         raise peer_client.PeerError(f"{url}: {error}") from error
 
 
-def _update_to_wire(update: registry_view.RegistryUpdate) -> WireNews:
+def _update_to_wire(update: registry_view.RegistryUpdate) -> WireUpdate:
     changes = []
     for change in update.changes:
         match change:
@@ -182,7 +182,7 @@
                 changes.append(_entry_to_wire(change))
             case registry_view.Removal(key=key, revision=revision):
                 changes.append(WireChange(key=key, revision=revision))
-    return WireNews(
+    return WireUpdate(
         changes=tuple(changes),
         position=update.position,
         whole=update.whole,
@@ -216,7 +216,7 @@
     return decompressed
 
 
-def _update_from_wire(update: WireNews) -> registry_view.RegistryUpdate:
+def _update_from_wire(update: WireUpdate) -> registry_view.RegistryUpdate:
     changes: list[registry_view.Change] = []
     for wire in update.changes:
         if wire.value is None:
--- a/src/cowsliprill/registry/peer_news.py
+++ b/src/cowsliprill/registry/peer_sync.py
@@ -15,7 +15,7 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.registry import endpoints as endpoints_lib
 from cowsliprill.registry import follower as follower_lib
-from cowsliprill.registry import peers
+from cowsliprill.registry import peer_exchange
 
 # Interval at which a process queries a peer while the store is unavailable.
 _POLL_INTERVAL_S = 0.4
@@ -63,7 +63,7 @@
         self._log = log
         self._random = rng
         self._is_disabled = mechanisms.Mechanism.PEER_UPDATES in disabled
-        self._peer_client = peers.RegistryPeerClient(log)
+        self._peer_client = peer_exchange.RegistryPeerClient(log)
         self._removal_grace_until = 0.0
         self._behind_since_by_prefix: dict[str, float] = {}
         self._wake_event = asyncio.Event()
@@ -137,7 +137,7 @@
         if not follower.reading:
             return follower.view.prefix in self._behind_since_by_prefix
         is_empty = not follower.view.newest
-        return bool(follower.away_since) and (
+        return bool(follower.unavailable_since) and (
             is_empty or follower.is_store_unavailable(clock.now())
         )
 
--- a/src/cowsliprill/registry/confirmation.py
+++ b/src/cowsliprill/registry/revalidation.py
@@ -16,7 +16,7 @@
 from cowsliprill.decisions import membership
 from cowsliprill.observability import log as log_lib
 from cowsliprill.registry import follower as follower_lib
-from cowsliprill.registry import peers
+from cowsliprill.registry import peer_exchange
 from cowsliprill.registry import store as store_lib
 
 _CHECK_INTERVAL_S = 0.2
@@ -54,7 +54,7 @@
         self._members = members
         self._log = log
         self._random = rng
-        self._peer_client = peers.RegistryPeerClient(log)
+        self._peer_client = peer_exchange.RegistryPeerClient(log)
         self._backoff_s = _BACKOFF_MIN_S
         self._next_store_query_at = 0.0
 
--- a/src/cowsliprill/registry/source.py
+++ b/src/cowsliprill/registry/source.py
@@ -15,10 +15,10 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import registry_view
 from cowsliprill.observability import log as log_lib
-from cowsliprill.registry import confirmation
 from cowsliprill.registry import endpoints as endpoints_lib
 from cowsliprill.registry import follower as follower_lib
-from cowsliprill.registry import peer_news
+from cowsliprill.registry import peer_sync
+from cowsliprill.registry import revalidation
 from cowsliprill.registry import store as store_lib
 
 # Members that join within this time cause one new parse of the settings.
@@ -71,7 +71,7 @@
     )
 
 
-class Translator(Protocol):
+class EntryParser(Protocol):
     """Parser of the registry entries of one platform.
 
     Attributes:
@@ -96,7 +96,9 @@
           ValueError: The entry is invalid.
         """
 
-    def listed(self, key: str, value: bytes) -> endpoints_lib.Listed:
+    def parse_endpoint(
+        self, key: str, value: bytes
+    ) -> endpoints_lib.ListedEndpoint:
         """Parses an endpoint's entry.
 
         Args:
@@ -111,7 +113,7 @@
         """
 
 
-class Source:
+class RegistrySource:
     """Source of the cluster state for a platform with a registry.
 
     Implements the interface through which the entry process gets its settings.
@@ -135,7 +137,7 @@
     def __init__(
         self,
         store: store_lib.Store,
-        entry_parser: Translator,
+        entry_parser: EntryParser,
         members: membership.Membership,
         log: log_lib.Log,
         rng: random.Random,
@@ -156,7 +158,9 @@
         self._settings_entries: asyncio.Queue[registry_view.Entry] = (
             asyncio.Queue()
         )
-        self._endpoints = endpoints_lib.EndpointTable(entry_parser.listed, log)
+        self._endpoints = endpoints_lib.EndpointTable(
+            entry_parser.parse_endpoint, log
+        )
         self._deduplicates_addresses = (
             mechanisms.Mechanism.ONE_INCARNATION_PER_ADDRESS not in disabled
         )
@@ -183,7 +187,7 @@
                 self.views_by_prefix.values(), handlers, watches_s, strict=True
             )
         ]
-        self._revalidator = confirmation.SettingsRevalidator(
+        self._revalidator = revalidation.SettingsRevalidator(
             self._followers[0],
             self._freshness,
             self._update_freshness,
@@ -191,7 +195,7 @@
             log,
             rng,
         )
-        self._peer_sync = peer_news.PeerSync(
+        self._peer_sync = peer_sync.PeerSync(
             self._followers, members, log, rng, disabled
         )
 
@@ -199,7 +203,7 @@
         """Registers a callback for each change of settings or VM list."""
         self._callbacks.append(callback)
 
-    def subscribe_newest(self, callback: Callable[[], None]) -> None:
+    def subscribe_revisions(self, callback: Callable[[], None]) -> None:
         """Registers a callback for newer changes of the settings prefix.
 
         The callback runs before the settings are parsed and in force.
@@ -218,7 +222,7 @@
         """Returns the follower of each prefix, for metrics."""
         return self._followers
 
-    def is_settled(self, now: float) -> bool:
+    def is_endpoint_list_current(self, now: float) -> bool:
         """Returns whether the endpoint list is known to match the store.
 
         During a store outage, and until deferred removals are resolved, the
@@ -228,13 +232,13 @@
           now: Current time in seconds.
         """
         return not any(
-            follower.away_since
+            follower.unavailable_since
             or now - max(follower.recovered_at, follower.first_response_at)
             < _SETTLING_S
             for follower in self._followers
         )
 
-    def require_reading(self, required: bool) -> None:
+    def require_store_reads(self, required: bool) -> None:
         """Makes this process watch the store even if it isn't a reader.
 
         Args:
@@ -247,14 +251,14 @@
         self._update_freshness()
         return self._freshness.accepts_api_keys(clock.now())
 
-    def is_blind(self) -> bool:
+    def is_store_unreachable(self) -> bool:
         """Returns whether the store is unavailable to this process."""
         now = clock.now()
         return any(
             follower.is_store_unavailable(now) for follower in self._followers
         )
 
-    def trouble_left_s(self) -> float:
+    def removal_grace_left_s(self) -> float:
         """Returns the remaining removal grace period in seconds.
 
         Endpoints can't renew their entries during a store outage, so a removal
@@ -276,7 +280,7 @@
         """Returns the names of the pools of engines."""
         return list(self._settings.engines_by_pool)
 
-    def staying_endpoints(self, pool: str) -> list[model.Endpoint]:
+    def remaining_endpoints(self, pool: str) -> list[model.Endpoint]:
         """Returns the endpoints of a pool that aren't leaving."""
         leaving = self.fleet.leaving_endpoint_ids
         return [
@@ -306,7 +310,7 @@
             group.create_task(self._peer_sync.run())
             group.create_task(self._revalidator.run())
 
-    def take_members(self) -> None:
+    def apply_members(self) -> None:
         """Applies the membership's state, after each tick and each change."""
         self._apply_deferred_removals()
         if self._members.revision != self._members_revision:
@@ -441,7 +445,7 @@
         self, changes: list[registry_view.Change]
     ) -> None:
         now = clock.now()
-        grace_left_s = self.trouble_left_s()
+        grace_left_s = self.removal_grace_left_s()
         self._endpoints.apply(
             changes, deferred_until=now + grace_left_s, now=now
         )
--- a/src/cowsliprill/registry/store.py
+++ b/src/cowsliprill/registry/store.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Page:
+class ListingPage:
     """One page of a listing.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Watched:
+class WatchResult:
     """Result of a watch.
 
     Attributes:
@@ -56,7 +56,9 @@
 class Store(Protocol):
     """Read access to a key-value store with revisions."""
 
-    async def page(self, prefix: str, after: str, timeout_s: float) -> Page:
+    async def page(
+        self, prefix: str, after: str, timeout_s: float
+    ) -> ListingPage:
         """Lists one page of the entries with a key prefix.
 
         Args:
@@ -70,7 +72,7 @@
 
     async def watch(
         self, prefix: str, after: int, wait_s: float, timeout_s: float
-    ) -> Watched:
+    ) -> WatchResult:
         """Long-polls for changes of the entries with a key prefix.
 
         Args:
--- a/src/cowsliprill/router/core.py
+++ b/src/cowsliprill/router/core.py
@@ -35,7 +35,7 @@
 from cowsliprill.quotas import usage_handler as usage_handler_lib
 from cowsliprill.quotas import usage_reporter as usage_reporter_lib
 from cowsliprill.quotas import wire as quota_wire
-from cowsliprill.registry import peers as registry_peers
+from cowsliprill.registry import peer_exchange as peer_exchange_lib
 from cowsliprill.registry import source as source_lib
 from cowsliprill.router import config as config_lib
 from cowsliprill.router import gauges
@@ -80,7 +80,7 @@
             cores=config.cores(),
         )
         self._members = membership.Membership(own, self._seeds(config), rng)
-        self._source = source_lib.Source(
+        self._source = source_lib.RegistrySource(
             store_lib.MetadataStore(http_client.HttpClient(), *config.store),
             catalog.Catalog(
                 config.retry_budget_ratio, config.retry_budget_slack
@@ -91,7 +91,9 @@
             config.mechanisms_off,
             freshness.Freshness(config.key_revocation_s()),
         )
-        self._agent = agent_lib.Agent(self._members, self._source.newest, log)
+        self._agent = agent_lib.GossipAgent(
+            self._members, self._source.newest, log
+        )
         self._scheduling: scheduling_client.PoolSchedulingClient
         self._pool_schedulers = server_lib.PoolSchedulerServer(
             config.vm, config.availability_zone, rng, log
@@ -142,7 +144,7 @@
         """Serves until a stop signal, then drains and returns."""
         self._agent.subscribe(self._on_members_changed)
         self._source.subscribe(self._on_cluster_state_changed)
-        self._source.subscribe_newest(self._agent.publish_newest)
+        self._source.subscribe_revisions(self._agent.publish_newest)
         self._entry.shell.listen_ready(*self._config.ready)
         tasks = [
             asyncio.create_task(coroutine) for coroutine in self._coroutines()
@@ -251,17 +253,23 @@
         }
         registry_args = {
             "views_by_prefix": self._source.views_by_prefix,
-            "trouble_left_s": self._source.trouble_left_s,
+            "trouble_left_s": self._source.removal_grace_left_s,
         }
         return [
             (peers.CELLS_PATH, peer_handler.MessageHandler, scheduling_args),
             (peers.QUOTAS_PATH, peer_handler.MessageHandler, quota_args),
-            (peers.REGISTRY_PATH, registry_peers.NewsHandler, registry_args),
+            (
+                peers.REGISTRY_PATH,
+                peer_exchange_lib.RegistryHandler,
+                registry_args,
+            ),
         ]
 
     def _on_members_changed(self) -> None:
-        self._source.take_members()
-        self._agent.publish(store_unreachable=self._source.is_blind())
+        self._source.apply_members()
+        self._agent.publish(
+            store_unreachable=self._source.is_store_unreachable()
+        )
 
     def _on_cluster_state_changed(self) -> None:
         self._pool_schedulers.update(self._source.snapshot, self._source.fleet)
--- a/src/cowsliprill/router/gauges.py
+++ b/src/cowsliprill/router/gauges.py
@@ -35,7 +35,7 @@
         self,
         metrics: metrics_lib.Metrics,
         members: membership.Membership,
-        source: source_lib.Source,
+        source: source_lib.RegistrySource,
         pool_schedulers: server_lib.PoolSchedulerServer,
         log: log_lib.Log,
         output: writer.Writer | None,
@@ -77,14 +77,14 @@
         now = clock.now()
         for follower in self._source.followers():
             prefix = {"prefix": follower.view.prefix}
-            unreachable_since = follower.away_since or now
+            unreachable_since = follower.unavailable_since or now
             metrics.registry_position.set(prefix, follower.view.position)
             metrics.registry_away_s.set(prefix, now - unreachable_since)
             if follower.reading and math.isfinite(follower.view.confirmed_at):
                 age_s = now - follower.view.confirmed_at
                 metrics.registry_view_age_s.set(prefix, age_s)
             for result, reads in (
-                ("answered", follower.answered),
-                ("failed", follower.failed),
+                ("answered", follower.answered_calls),
+                ("failed", follower.failed_calls),
             ):
                 metrics.registry_reads.set({**prefix, "result": result}, reads)
--- a/src/cowsliprill/router/roles.py
+++ b/src/cowsliprill/router/roles.py
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        source: source_lib.Source,
+        source: source_lib.RegistrySource,
         members: membership.Membership,
         publish: Callable[..., None],
         orders: EngineOrders,
@@ -106,7 +106,7 @@
                 for pool in pools
                 if membership_view.leader_of(pool) == membership_view.own
             }
-            self._source.require_reading(bool(led))
+            self._source.require_store_reads(bool(led))
             for pool in pools:
                 self._workload.set_heartbeats(pool, pool in led)
                 await self._check_pool(pool)
@@ -117,22 +117,22 @@
         pending_role_changes: list[tuple[str, str]] = []
         for pool, plan in self._roles_by_pool.items():
             pending_role_changes += plan.pending_role_changes(
-                self._source.staying_endpoints(pool)
+                self._source.remaining_endpoints(pool)
             )
         if (
             tuple(pending_role_changes)
             != self._members.own.pending_role_changes
         ):
             self._publish(pending_role_changes=tuple(pending_role_changes))
-            self._source.take_members()
+            self._source.apply_members()
 
     async def _check_pool(self, pool: str) -> None:
         now = clock.now()
-        if not self._source.is_settled(now):
+        if not self._source.is_endpoint_list_current(now):
             return
         plan = self._roles_by_pool.setdefault(pool, role_planner.RolePlanner())
         order = plan.next_order(
-            self._source.staying_endpoints(pool),
+            self._source.remaining_endpoints(pool),
             now,
             self._workload.prefill_fraction(pool),
         )
@@ -147,7 +147,7 @@
     def _may_order(self, pool: str, now: float) -> bool:
         # While the endpoint list is not settled, removed engines would be
         # counted and one engine too many would be ordered.
-        settled = self._source.is_settled(now)
+        settled = self._source.is_endpoint_list_current(now)
         return settled and self._leadership.is_leader(pool, now)
 
     async def _send(self, order: role_planner.RoleOrder) -> bool:
--- a/tests/lone_source.py
+++ b/tests/lone_source.py
@@ -1,4 +1,4 @@
-"""A `registry.source.Source` of a VM without peers, for tests."""
+"""A `registry.source.RegistrySource` of a VM without peers, for tests."""
 
 import io
 import random
@@ -16,7 +16,7 @@
 def make(
     store: store_lib.Store | None = None,
     disabled: Collection[mechanisms.Mechanism] = (),
-) -> source_lib.Source:
+) -> source_lib.RegistrySource:
     """Returns a source that isn't running yet.
 
     Args:
@@ -31,7 +31,7 @@
         incarnation=1,
     )
     rng = random.Random(1)
-    return source_lib.Source(
+    return source_lib.RegistrySource(
         store,
         catalog.Catalog(0.2, 10),
         membership.Membership(own, [], rng),
--- a/tests/outage_store.py
+++ b/tests/outage_store.py
@@ -74,7 +74,7 @@
 
     async def page(
         self, prefix: str, after: str, timeout_s: float
-    ) -> store_lib.Page:
+    ) -> store_lib.ListingPage:
         """Lists all entries on one page; see `registry.store.Store`."""
         del after
         try:
@@ -87,7 +87,7 @@
             entries_by_key.pop(change.key, None)
             if isinstance(change, registry_view.Entry):
                 entries_by_key[change.key] = change
-        return store_lib.Page(
+        return store_lib.ListingPage(
             entries=tuple(
                 entry
                 for key, entry in sorted(entries_by_key.items())
@@ -99,7 +99,7 @@
 
     async def watch(
         self, prefix: str, after: int, wait_s: float, timeout_s: float
-    ) -> store_lib.Watched:
+    ) -> store_lib.WatchResult:
         """Long-polls for changes; see `registry.store.Store`."""
         cut = asyncio.get_running_loop().create_future()
         self._cut_futures.add(cut)
@@ -121,12 +121,12 @@
 
     async def _respond(
         self, prefix: str, after: int, wait_s: float
-    ) -> store_lib.Watched:
+    ) -> store_lib.WatchResult:
         await self._await_service()
         if after < self._compacted_revision:
             raise store_lib.HistoryLost("status 410")
         await self._hold_watch(prefix, after, wait_s)
-        return store_lib.Watched(
+        return store_lib.WatchResult(
             changes=self._changes_after(prefix, after), as_of=self.revision
         )
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -10,7 +10,7 @@
 from cowsliprill.registry import endpoints as endpoints_lib
 
 
-def _parse(key: str, value: bytes) -> endpoints_lib.Listed:
+def _parse(key: str, value: bytes) -> endpoints_lib.ListedEndpoint:
     if value == b"?":
         raise ValueError("unreadable")
     endpoint = model.Endpoint(
@@ -23,7 +23,7 @@
         slots=6,
         life=value.decode(),
     )
-    return endpoints_lib.Listed(
+    return endpoints_lib.ListedEndpoint(
         endpoint=endpoint, leaving=False, started_at_ms=int(value)
     )
 
--- a/tests/test_few_readers.py
+++ b/tests/test_few_readers.py
@@ -8,7 +8,7 @@
 from cowsliprill import peer_client
 from cowsliprill.decisions import designated_readers
 from cowsliprill.registry import endpoints as endpoints_lib
-from cowsliprill.registry import peers as registry_peers
+from cowsliprill.registry import peer_exchange as peer_exchange_lib
 
 _ROUTERS = 5
 
@@ -176,7 +176,7 @@
                     n for n in range(_ROUTERS) if n not in reader_numbers
                 ]
                 monkeypatch.setattr(
-                    registry_peers, "_request_update", fail_request
+                    peer_exchange_lib, "_request_update", fail_request
                 )
                 await _add_engine_and_await(site, "s7", range(_ROUTERS))
                 return non_readers
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -27,7 +27,9 @@
 
     async def page(self, prefix, after, timeout_s):
         self._record("page")
-        return store_lib.Page(entries=(_ENTRY,), truncated=False, as_of=7)
+        return store_lib.ListingPage(
+            entries=(_ENTRY,), truncated=False, as_of=7
+        )
 
     async def watch(self, prefix, after, wait_s, timeout_s):
         self._record("watch")
@@ -111,10 +113,10 @@
             await store.next_call()
             for _ in range(10):
                 await asyncio.sleep(0)
-            assert follower.away_since
+            assert follower.unavailable_since
             follower.stop_calls()
             assert not follower.is_store_unavailable(clock.now() + 60.0)
-            assert not follower.away_since
+            assert not follower.unavailable_since
 
         _run(scenario)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -154,7 +154,7 @@
 
 
 def _encoded_bytes(message) -> int:
-    return len(wire.write(message))
+    return len(wire.encode_message(message))
 
 
 @pytest.mark.parametrize("count", [10, 195, 1_000])
--- a/tests/test_registry_peers.py
+++ b/tests/test_peer_exchange.py
@@ -12,7 +12,7 @@
 
 from cowsliprill import codec
 from cowsliprill.decisions import registry_view
-from cowsliprill.registry import peers
+from cowsliprill.registry import peer_exchange
 
 _KEY = "op/config"
 
@@ -31,9 +31,9 @@
 def _round_trip(value: bytes) -> tuple[int, registry_view.RegistryUpdate]:
     entry = registry_view.Entry(key=_KEY, value=value, revision=7)
     update = registry_view.RegistryUpdate(changes=(entry,), position=7)
-    body = codec.encode_short(peers._update_to_wire(update))
-    return len(body), peers._update_from_wire(
-        codec.decode(peers.WireNews, body)
+    body = codec.encode_short(peer_exchange._update_to_wire(update))
+    return len(body), peer_exchange._update_from_wire(
+        codec.decode(peer_exchange.WireUpdate, body)
     )
 
 
@@ -53,13 +53,15 @@
 
     def test_oversized_decompressed_value_is_rejected(self, monkeypatch):
         """Guards against decompression bombs that exhaust the memory."""
-        monkeypatch.setattr(peers, "_VALUE_MAX_BYTES", 100_000)
+        monkeypatch.setattr(peer_exchange, "_VALUE_MAX_BYTES", 100_000)
         packed = base64.b64encode(zlib.compress(b"x" * 200_000)).decode()
-        change = peers.WireChange(
+        change = peer_exchange.WireChange(
             key=_KEY, revision=1, value=packed, compressed=True
         )
         with pytest.raises(ValueError, match="over 100000 bytes"):
-            peers._update_from_wire(peers.WireNews(changes=(change,)))
+            peer_exchange._update_from_wire(
+                peer_exchange.WireUpdate(changes=(change,))
+            )
 
 
 class TestNotification:
@@ -71,7 +73,7 @@
         async def scenario():
             source = lone_source.make()
             notified = []
-            source.subscribe_newest(lambda: notified.append(source.newest()))
+            source.subscribe_revisions(lambda: notified.append(source.newest()))
             entry = registry_view.Entry(
                 key=_KEY, value=_large_config(), revision=7
             )
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -13,7 +13,7 @@
 def _follower(newest, away_s):
     return types.SimpleNamespace(
         reading=True,
-        away_since=clock.now() - away_s if away_s else 0.0,
+        unavailable_since=clock.now() - away_s if away_s else 0.0,
         is_store_unavailable=lambda now: bool(away_s) and away_s > 0.5,
         view=types.SimpleNamespace(newest=newest),
     )
@@ -35,9 +35,15 @@
         )
         for _ in range(10):
             now += endpoints_lib.REMOVAL_GRACE_S / 2
-            second._peer_sync.extend_removal_grace(first.trouble_left_s(), now)
-            first._peer_sync.extend_removal_grace(second.trouble_left_s(), now)
-        assert first.trouble_left_s() == second.trouble_left_s() == 0.0
+            second._peer_sync.extend_removal_grace(
+                first.removal_grace_left_s(), now
+            )
+            first._peer_sync.extend_removal_grace(
+                second.removal_grace_left_s(), now
+            )
+        assert (
+            first.removal_grace_left_s() == second.removal_grace_left_s() == 0.0
+        )
 
 
 class TestQueryingPeers:
--- a/tests/test_store_outages.py
+++ b/tests/test_store_outages.py
@@ -76,7 +76,7 @@
     async def run_ticks(self) -> None:
         """Applies the membership periodically, as the agent does."""
         while True:
-            self.source.take_members()
+            self.source.apply_members()
             await asyncio.sleep(_TICK_S)
 
 
