--- a/src/cowsliprill/membership/wire.py
+++ b/src/cowsliprill/membership/wire.py
@@ -26,8 +26,8 @@
       version: Version of the record, higher after each change.
       flags: Bit mask of the record's boolean fields.
       cores: Number of processor cores that the process may use.
-      pending_role_changes: Engines that the VM has ordered to change, as pairs of endpoint
-        id and target kind.
+      pending_role_changes: Engines that the VM has ordered to change, as pairs
+        of endpoint id and target kind.
     """
 
     id: str
@@ -46,7 +46,8 @@
 
     Attributes:
       sender: Record of the sender.
-      newest_revisions: Newest registry revisions known to the sender, one per prefix.
+      newest_revisions: Newest registry revisions known to the sender, one per
+        prefix.
       digest: Digest of the sender's member table.
       member_count: Number of members known to the sender.
       monitored: Whether the receiver monitors the sender's heartbeats.
--- a/src/cowsliprill/peers.py
+++ b/src/cowsliprill/peers.py
@@ -32,8 +32,8 @@
   `POST /v1/cells` `pool_scheduling.wire.SchedulingRequest` ->
   `pool_scheduling.wire.SchedulingResponse`: an entry's events for the home of a
   pool, and the home's decisions. `GET /v1/registry?prefix=P&since=R` ->
-  `registry.peers.WireUpdate`: what the asker lacks of the registry, for VMs that
-  the store turns away. `POST /v1/quotas` `quotas.wire.UsageReport` ->
+  `registry.peers.WireUpdate`: what the asker lacks of the registry, for VMs
+  that the store turns away. `POST /v1/quotas` `quotas.wire.UsageReport` ->
   `quotas.wire.UsageResponse`: what customers use at a VM, for the owner of
   their quotas, and what may be admitted.
 All processes: `GET /healthz`, `GET /readyz`, `GET /metrics`, `GET /v1/status`.
