--- a/src/cowsliprill/entry/model_relay.py
+++ b/src/cowsliprill/entry/model_relay.py
@@ -1,4 +1,4 @@
-"""One attempt at a model request: prefill, transfer, decode, relay."""
+"""Runs one attempt at a model request: prefill, KV transfer, decode, relay."""
 
 import dataclasses
 from collections.abc import Callable
@@ -20,25 +20,26 @@
 
 ReportLeaving = Callable[[str, float], None]
 
-# How often the scheduler hears of a stream's pace.
-_REPORT_S = 1.0
-_LEAVING_TTL_S = 60.0
-# A prefill that takes this much longer than its engine's speed tells has
-# stalled; waiting on would keep the promised decode slot idle.
-_PREFILL_PATIENCE = 4.0
-_PREFILL_GRACE_S = 2.0
-_LEAST_TIME_S = 0.001
-# A stream that may go on elsewhere and is silent for so long has most likely
-# lost its engine. Engines that are full or slow pause for some tenths.
-_STALL_S = 1.0
-# What a decision and a fetch take at most, of the time for which a finished
-# prefill is kept.
-_FETCH_S = 0.06
-# News of a new engine reach all VMs within this time.
-_NEWS_S = 0.3
-_BUSY = frozenset({protocol.CODE_FULL, protocol.CODE_DRAINING})
-# No engine would take this request, so trying another wastes its time.
-_CODES_OF_CALLERS_FAULTS = frozenset({"bad_request", "invalid_request"})
+# Interval at which the scheduler is sent the token count of a stream.
+_PROGRESS_INTERVAL_S = 1.0
+_LEAVING_NOTICE_TTL_S = 60.0
+# A prefill is taken as stalled after the base timeout plus this multiple of the
+# time that its engine's speed predicts. Waiting longer would keep the reserved
+# decode slot idle.
+_PREFILL_TIMEOUT_FACTOR = 4.0
+_PREFILL_TIMEOUT_BASE_S = 2.0
+_MIN_TIMEOUT_S = 0.001
+# A resumable stream without data for this long has most likely lost its engine.
+# Full or slow engines pause for a few tenths of a second only.
+_STREAM_STALL_TIMEOUT_S = 1.0
+# Part of an exported KV cache's TTL that is reserved for the next scheduling
+# decision and the transfer; both together take at most this long.
+_KV_FETCH_RESERVE_S = 0.06
+# A new engine is listed on all VMs within this time.
+_NEW_ENDPOINT_WAIT_S = 0.3
+_BUSY_CODES = frozenset({protocol.CODE_FULL, protocol.CODE_DRAINING})
+# Every engine would reject such a request, so it is not retried on another one.
+_CLIENT_ERROR_CODES = frozenset({"bad_request", "invalid_request"})
 
 
 @dataclasses.dataclass(slots=True)
@@ -47,12 +48,14 @@
 
     Attributes:
       calls: Calls to engines.
-      scheduling: The scheduler's task; told of each stage.
-      leases: Asked right before work is placed on an engine.
-      world: The settings in force.
-      resumer: Goes on with broken streams at the same engine, if that can be.
-      report_leaving: Told of an engine's draining answer.
-      log: The process's log.
+      scheduling: Receives an event for each stage of an attempt.
+      leases: Slot leases; checked right before work is sent to an engine.
+      world: Cluster state: settings snapshot and VM list.
+      resumer: Resumes broken streams on the same engine, None where the
+        protocol can't.
+      report_leaving: Called with endpoint ID and TTL in seconds when an engine
+        responds that it is draining.
+      log: Process log.
     """
 
     calls: calls_lib.EngineCalls
@@ -64,17 +67,19 @@
     log: log_lib.Log
 
     async def __call__(self, ctx: context.Context) -> None:
-        """Runs the attempt of `ctx.start` and answers the caller.
+        """Runs the attempt in `ctx.start` and relays the output to the caller.
 
         Raises:
-          attempts.AttemptLost: Nothing reached the caller.
-          errors.EntryError: The request has ended without a whole answer.
+          attempts.AttemptLost: The attempt failed and another one may follow:
+            the caller has received nothing, or another engine may resume the
+            stream.
+          errors.EntryError: The request has failed for good.
         """
-        ctx.stall_s = _STALL_S if ctx.service.resume else None
+        ctx.stall_s = _STREAM_STALL_TIMEOUT_S if ctx.service.resume else None
         try:
-            await self._learn_of_engines(ctx.start)
-            await self._prepare(ctx)
-            prefilled = await self._prefilled(ctx)
+            await self._wait_for_engines(ctx.start)
+            await self._connect_decode_engine(ctx)
+            prefilled = await self._reuse_or_prefill(ctx)
             endpoint, stream = await self._decode(ctx, prefilled)
         finally:
             if ctx.connection is not None:
@@ -85,39 +90,43 @@
         finally:
             stream.close()
 
-    async def _learn_of_engines(self, start: messages.Start) -> None:
-        # Its home may have placed a request on engines that have just come.
-        # Given up here, the attempt would be lost, and the next ones as well.
+    async def _wait_for_engines(self, start: messages.Start) -> None:
+        # The pool's coordinator may know new engines before this process does.
+        # Without this wait the attempt would fail, and its retries as well.
         for endpoint_id in (start.prefill_id, start.decode_id):
-            await self.world.learn_of(endpoint_id, _NEWS_S)
-
-    async def _prepare(self, ctx: context.Context) -> None:
-        # An engine that has crashed, or whose machine is dark, is still listed
-        # for some seconds. Found out only after the prefill, each request
-        # placed there would have its prompt read for nothing.
-        endpoint = self._endpoint(ctx.start.decode_id, messages.Stage.TRANSFER)
+            await self.world.learn_of(endpoint_id, _NEW_ENDPOINT_WAIT_S)
+
+    async def _connect_decode_engine(self, ctx: context.Context) -> None:
+        # An engine that has crashed, or whose host is unreachable, stays listed
+        # for some seconds. Connecting only after the prefill would waste the
+        # prefill of each request placed there.
+        endpoint = self._available_endpoint(
+            ctx.start.decode_id, messages.Stage.TRANSFER
+        )
         try:
             await self.calls.prepare(ctx, endpoint)
         except engine_errors.ConnectFailed as error:
-            spent = isinstance(error, engine_errors.ConnectionsSpent)
+            connections_exhausted = isinstance(
+                error, engine_errors.ConnectionsSpent
+            )
             raise attempts.AttemptLost(
                 endpoint.id,
                 messages.Stage.TRANSFER,
                 str(error),
-                refused=spent,
+                refused=connections_exhausted,
                 unsent=True,
-                unreachable=not spent,
-                kept_s=self._kept_s(ctx) if ctx.kept else 0.0,
+                unreachable=not connections_exhausted,
+                kept_s=self._export_left_s(ctx) if ctx.kept else 0.0,
             ) from error
 
-    async def _prefilled(
+    async def _reuse_or_prefill(
         self, ctx: context.Context
     ) -> calls_lib.Prefilled | None:
-        kept, ctx.kept = ctx.kept, None
-        if kept is not None and ctx.start.reuses_prefill:
-            return kept
-        if kept is not None:
-            self.calls.discard(kept)
+        exported, ctx.kept = ctx.kept, None
+        if exported is not None and ctx.start.reuses_prefill:
+            return exported
+        if exported is not None:
+            self.calls.discard(exported)
         if not ctx.start.has_prefill():
             return None
         prefilled = await self._prefill(ctx)
@@ -127,13 +136,13 @@
 
     async def _prefill(self, ctx: context.Context) -> calls_lib.Prefilled:
         stage = messages.Stage.PREFILL
-        endpoint = self._endpoint(ctx.start.prefill_id, stage)
+        endpoint = self._available_endpoint(ctx.start.prefill_id, stage)
         self._check_lease(ctx.start, ctx.start.decode_id, stage)
         self._check_lease(ctx.start, endpoint.id, stage)
         ctx.progress.prefills += 1
-        with self._call(ctx, endpoint, stage) as call:
+        with self._guard_call(ctx, endpoint, stage) as call:
             call.result = await self.calls.prefill(
-                ctx, endpoint, _prefill_timeout(ctx, endpoint)
+                ctx, endpoint, _prefill_timeout_s(ctx, endpoint)
             )
         return call.result
 
@@ -142,46 +151,47 @@
     ) -> tuple[model.Endpoint, calls_lib.AnswerStream]:
         stage = messages.Stage.TRANSFER
         try:
-            endpoint = self._endpoint(ctx.start.decode_id, stage)
+            endpoint = self._available_endpoint(ctx.start.decode_id, stage)
             self._check_lease(ctx.start, endpoint.id, stage)
-            with self._call(ctx, endpoint, stage) as call:
+            with self._guard_call(ctx, endpoint, stage) as call:
                 call.result = await self.calls.decode(
-                    ctx, endpoint, prefilled, _time_left(ctx)
+                    ctx, endpoint, prefilled, _remaining_time_s(ctx)
                 )
         except attempts.AttemptLost as lost:
             if prefilled is not None:
-                lost.kept_s = self._kept_s(ctx)
+                lost.kept_s = self._export_left_s(ctx)
             if lost.kept_s:
                 ctx.kept = prefilled
             else:
-                self._discard(prefilled)
+                self._discard_prefill(prefilled)
             raise
         except BaseException:
-            # Whoever is given up here, a caller that left among them, leaves
-            # a prefill that holds its engine's memory until it expires.
-            self._discard(prefilled)
+            # After any other failure, or when the caller disconnects, the
+            # exported KV cache would hold engine memory until its TTL expires.
+            self._discard_prefill(prefilled)
             raise
         return endpoint, call.result
 
-    def _discard(self, prefilled: calls_lib.Prefilled | None) -> None:
+    def _discard_prefill(self, prefilled: calls_lib.Prefilled | None) -> None:
         if prefilled is not None:
             self.calls.discard(prefilled)
 
-    def _kept_s(self, ctx: context.Context) -> float:
-        """Returns how long the prefill of a lost attempt may yet be used.
+    def _export_left_s(self, ctx: context.Context) -> float:
+        """Returns the seconds for which an exported prefill can be fetched.
 
-        A decode engine that couldn't be reached, or had no room, has left the
-        prefill where it was. Another engine may fetch it, which saves reading
-        the prompt again.
+        A decode engine that was unreachable or full has not fetched the KV
+        cache. Another engine may fetch it, which saves a second prefill.
+        Returns 0 if the request may have been executed or the prefill engine
+        is no longer listed.
         """
         if ctx.progress.run is not messages.Run.NO:
             return 0.0
         prefill = ctx.snapshot.endpoints_by_id.get(ctx.start.prefill_id)
         if prefill is None:
             return 0.0
-        spent_s = clock.now() - ctx.progress.prefilled_at
-        left_s = prefill.export_ttl_s - spent_s - _FETCH_S
-        return max(left_s, 0.0)
+        age_s = clock.now() - ctx.progress.prefilled_at
+        remaining_s = prefill.export_ttl_s - age_s - _KV_FETCH_RESERVE_S
+        return max(remaining_s, 0.0)
 
     async def _deliver(
         self,
@@ -190,18 +200,20 @@
         stream: calls_lib.AnswerStream,
     ) -> None:
         sink = self.calls.sink(ctx, stream)
-        first = True
+        before_first_token = True
         while True:
             try:
-                await self._relay(ctx, stream, sink, first=first)
+                await self._relay_events(
+                    ctx, stream, sink, before_first_token=before_first_token
+                )
                 return
             except engine_errors.StreamBroken as broken:
-                first = first and not stream.tokens
+                before_first_token = before_first_token and not stream.tokens
                 if self.resumer is not None and await self.resumer.resume(
                     ctx, endpoint, stream, broken
                 ):
                     continue
-                if self._resumes_elsewhere(ctx, broken):
+                if self._can_resume_elsewhere(ctx, broken):
                     raise attempts.AttemptLost(
                         endpoint.id,
                         messages.Stage.DECODE,
@@ -209,7 +221,7 @@
                         resumable=True,
                     ) from broken
                 if ctx.progress.first_token_at:
-                    # The scheduler starts nothing anew once a token was there.
+                    # The scheduler starts no new attempt after a first token.
                     self.log.warning(
                         "stream_broken",
                         request=ctx.request_id,
@@ -220,20 +232,20 @@
                     )
                     raise errors.EntryError(
                         errors.Code.STREAM_BROKEN,
-                        "The stream broke and couldn't be resumed.",
+                        "The stream broke and could not be resumed.",
                         run=messages.Run.UNKNOWN,
                     ) from broken
                 raise attempts.AttemptLost(
                     endpoint.id, messages.Stage.DECODE, str(broken)
                 ) from broken
 
-    async def _relay(
+    async def _relay_events(
         self,
         ctx: context.Context,
         stream: calls_lib.AnswerStream,
         sink: sinks.Sink,
         *,
-        first: bool,
+        before_first_token: bool,
     ) -> None:
         progress = ctx.progress
         reported_at = clock.now()
@@ -241,12 +253,12 @@
             now = clock.now()
             progress.last_token_at = now
             progress.tokens = stream.tokens
-            if first:
-                first = False
+            if before_first_token:
+                before_first_token = False
                 progress.first_token_at = progress.first_token_at or now
                 progress.prefills_used += 1
                 self.scheduling.post(messages.FirstToken(ctx.number))
-            elif now - reported_at > _REPORT_S:
+            elif now - reported_at > _PROGRESS_INTERVAL_S:
                 reported_at = now
                 self.scheduling.post(
                     messages.Progress(ctx.number, progress.tokens)
@@ -254,7 +266,7 @@
             await sink.take(events)
         await sink.end()
 
-    def _resumes_elsewhere(
+    def _can_resume_elsewhere(
         self, ctx: context.Context, broken: engine_errors.StreamBroken
     ) -> bool:
         return (
@@ -263,16 +275,21 @@
             and broken.resumable
         )
 
-    def _endpoint(
+    def _available_endpoint(
         self, endpoint_id: str, stage: messages.Stage
     ) -> model.Endpoint:
-        # Whoever placed the request may know less than this process: it stood
-        # still, or hears late. The engine would end amid the answer.
+        # The coordinator that placed the request may have older state than this
+        # process, after a pause or delayed updates. A leaving engine would end
+        # in the middle of the output.
         endpoint = self.world.snapshot.endpoints_by_id.get(endpoint_id)
         leaving = self.world.fleet_at(clock.now()).leaving_endpoint_ids
         if endpoint is None or endpoint_id in leaving:
-            gone = "it leaves" if endpoint else "the settings don't name it"
-            raise attempts.AttemptLost(endpoint_id, stage, gone, unsent=True)
+            reason = (
+                "the endpoint is leaving"
+                if endpoint
+                else "the endpoint is not in the settings"
+            )
+            raise attempts.AttemptLost(endpoint_id, stage, reason, unsent=True)
         return endpoint
 
     def _check_lease(
@@ -288,21 +305,28 @@
                 unsent=stage is messages.Stage.PREFILL,
             )
 
-    def _call(
+    def _guard_call(
         self,
         ctx: context.Context,
         endpoint: model.Endpoint,
         stage: messages.Stage,
-    ) -> "_EngineCall":
-        runs = stage is not messages.Stage.PREFILL or self.calls.prefill_runs
-        return _EngineCall(ctx, endpoint, stage, self.report_leaving, runs)
+    ) -> "_EngineCallGuard":
+        counts_as_execution = (
+            stage is not messages.Stage.PREFILL or self.calls.prefill_runs
+        )
+        return _EngineCallGuard(
+            ctx, endpoint, stage, self.report_leaving, counts_as_execution
+        )
+
 
+class _EngineCallGuard:
+    """Context manager that maps errors of an engine call to attempt errors.
 
-class _EngineCall:
-    """Turns what goes wrong in one call into what becomes of the attempt.
+    Also tracks in the request's progress whether the request may have been
+    executed.
 
     Attributes:
-      result: What the call returned.
+      result: Return value of the call, set by the `with` block.
     """
 
     def __init__(
@@ -311,20 +335,20 @@
         endpoint: model.Endpoint,
         stage: messages.Stage,
         report_leaving: ReportLeaving,
-        runs: bool,
+        counts_as_execution: bool,
     ) -> None:
-        self._runs = runs
+        self._counts_as_execution = counts_as_execution
         self._ctx = ctx
         self._endpoint = endpoint
         self._stage = stage
         self._report_leaving = report_leaving
-        self._run_before = ctx.progress.run
+        self._executed_before = ctx.progress.run
         self.result: Any = None
 
-    def __enter__(self) -> "_EngineCall":
-        # Said before the call: when the caller leaves amid it, nobody comes
-        # back here to find out how far it got.
-        if self._runs:
+    def __enter__(self) -> "_EngineCallGuard":
+        # Set before the call: if the caller disconnects during the call, the
+        # task is cancelled and can't record how far the call got.
+        if self._counts_as_execution:
             self._ctx.progress.run = messages.Run.UNKNOWN
         return self
 
@@ -333,40 +357,40 @@
         if not isinstance(error, engine_errors.CallError):
             return
         if error.run is messages.Run.NO:
-            self._take_back()
+            self._revert_progress()
         refused = isinstance(error, engine_errors.EngineRefused)
         if refused and error.code == protocol.CODE_DRAINING:
-            self._report_leaving(self._endpoint.id, _LEAVING_TTL_S)
-        if refused and error.code in _CODES_OF_CALLERS_FAULTS:
+            self._report_leaving(self._endpoint.id, _LEAVING_NOTICE_TTL_S)
+        if refused and error.code in _CLIENT_ERROR_CODES:
             raise errors.EntryError(
                 errors.Code.ENDPOINT_REFUSED,
-                f"The engine refused it: {error.message}",
+                f"The engine rejected the request: {error.message}",
                 run=self._ctx.progress.run,
             ) from error
         raise attempts.AttemptLost(
             self._endpoint.id,
             self._stage,
             str(error),
-            refused=refused and error.code in _BUSY,
+            refused=refused and error.code in _BUSY_CODES,
             unreachable=isinstance(error, engine_errors.ConnectFailed),
             answered=isinstance(error, engine_errors.EngineFailed),
         ) from error
 
-    def _take_back(self) -> None:
-        self._ctx.progress.run = self._run_before
+    def _revert_progress(self) -> None:
+        self._ctx.progress.run = self._executed_before
         if self._stage is messages.Stage.PREFILL:
             self._ctx.progress.prefills -= 1
 
 
-def _prefill_timeout(ctx: context.Context, endpoint: model.Endpoint) -> float:
+def _prefill_timeout_s(ctx: context.Context, endpoint: model.Endpoint) -> float:
     if endpoint.prefill_tokens_per_s <= 0:
-        return _time_left(ctx)
+        return _remaining_time_s(ctx)
     tokens = ctx.generation.prompt_tokens
     expected_s = tokens / endpoint.prefill_tokens_per_s
-    patience_s = _PREFILL_GRACE_S + _PREFILL_PATIENCE * expected_s
-    return min(patience_s, _time_left(ctx))
+    timeout_s = _PREFILL_TIMEOUT_BASE_S + _PREFILL_TIMEOUT_FACTOR * expected_s
+    return min(timeout_s, _remaining_time_s(ctx))
 
 
-def _time_left(ctx: context.Context) -> float:
-    # A call with no time at all would be a timer that never fires.
-    return max(ctx.ends_at - clock.now(), _LEAST_TIME_S)
+def _remaining_time_s(ctx: context.Context) -> float:
+    # A timeout of 0 would mean a timer that never fires.
+    return max(ctx.ends_at - clock.now(), _MIN_TIMEOUT_S)
--- a/src/cowsliprill/entry/native.py
+++ b/src/cowsliprill/entry/native.py
@@ -1,4 +1,4 @@
-"""The product's own dialect: OpenAI-style callers, JSON engine protocol."""
+"""Native dialect: OpenAI-compatible API for callers, JSON engine protocol."""
 
 import dataclasses
 from typing import Any
@@ -23,12 +23,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NativeEngines:
-    """`calls.EngineCalls` in the product's engine protocol.
+class NativeEngineCalls:
+    """Implements `calls.EngineCalls` with the native engine protocol.
 
     Attributes:
-      incarnation: This process, named in attempt ids.
-      client: Client of engines.
+      incarnation: Incarnation of this process, part of each attempt ID.
+      client: Engine client.
     """
 
     incarnation: identity.Incarnation
@@ -38,23 +38,27 @@
     resumes_elsewhere: bool = False
 
     def attempt_id(self, ctx: context.Context) -> str:
-        """Returns the id by which engines know the present attempt."""
+        """Returns the ID that identifies the current attempt to engines."""
         number, attempt = ctx.start.request_id, ctx.start.attempt
         return str(identity.AttemptId(self.incarnation, number, attempt))
 
     async def prepare(
         self, ctx: context.Context, endpoint: model.Endpoint
     ) -> None:
-        """Does nothing: engines of this protocol cancel by an order."""
+        """Does nothing.
+
+        Engines of this protocol are cancelled by a request, not by closing a
+        connection, so no connection is opened in advance.
+        """
 
     async def prefill(
         self, ctx: context.Context, endpoint: model.Endpoint, timeout_s: float
     ) -> engine_model.PrefillResult:
-        """Runs the prompt."""
+        """Runs the prefill of the prompt."""
         return await self.client.prefill(
             endpoint,
             self.attempt_id(ctx),
-            _body(ctx),
+            _engine_body(ctx),
             path=ctx.generation.path,
             timeout_s=timeout_s,
         )
@@ -66,34 +70,34 @@
         prefilled: engine_model.PrefillResult,
         timeout_s: float,
     ) -> token_stream.TokenStream:
-        """Opens the answer."""
+        """Starts decoding and opens the token stream."""
         return await self.client.decode(
             endpoint,
             self.attempt_id(ctx),
-            _body(ctx),
+            _engine_body(ctx),
             prefilled,
             path=ctx.generation.path,
             timeout_s=timeout_s,
         )
 
     def discard(self, prefilled: engine_model.PrefillResult) -> None:
-        """Does nothing: the cancel order of the attempt frees it."""
+        """Does nothing: cancelling the attempt frees the exported KV cache."""
 
     def sink(
         self, ctx: context.Context, stream: token_stream.TokenStream
     ) -> sinks.Sink:
-        """Returns where the tokens go: as they come, or all at once."""
+        """Returns a streaming sink, or a buffering one for whole responses."""
         del stream
         return sinks.sink_for(ctx)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NativeServices:
-    """`calls.PlainCalls` with the product's own headers.
+class NativePlainCalls:
+    """Implements `calls.PlainCalls` with the native request headers.
 
     Attributes:
-      incarnation: This process, named in attempt ids.
-      client: Client of plain services.
+      incarnation: Incarnation of this process, part of each attempt ID.
+      client: Plain service client.
     """
 
     incarnation: identity.Incarnation
@@ -103,7 +107,7 @@
         self, ctx: context.Context, progress: call_lib.Progress
     ) -> service_client.ServiceAnswer:
         """Calls `ctx.endpoint` once."""
-        # An attempt's number counts from 0.
+        # Attempt numbers start at 0.
         attempt = ctx.progress.attempts - 1
         request = service_client.ServiceRequest(
             request_id=str(
@@ -113,50 +117,50 @@
             path=ctx.service_path,
             headers=ctx.call.headers,
             body=ctx.call.body,
-            idempotency_key=_scoped_key(ctx),
+            idempotency_key=_customer_scoped_key(ctx),
         )
         return await self.client.call(
             ctx.endpoint, ctx.service, request, progress
         )
 
 
-def make(tools: dialect.Tools) -> "Native":
-    """Makes the dialect of a process.
+def make(tools: dialect.Tools) -> "NativeDialect":
+    """Creates the native dialect for a process.
 
     Args:
-      tools: What the process has.
+      tools: Shared resources of the process, such as its HTTP client.
 
     Returns:
       The dialect.
     """
     client = engine_client.EngineClient(tools.http)
-    return Native(
-        NativeEngines(tools.incarnation, client),
-        NativeServices(
+    return NativeDialect(
+        NativeEngineCalls(tools.incarnation, client),
+        NativePlainCalls(
             tools.incarnation, service_client.ServiceClient(tools.http)
         ),
         stream_resume.Resumer(client, tools.budgets, tools.metrics, tools.log),
     )
 
 
-class Native(errors.JsonAnswers):
-    """`dialect.Dialect` of the product itself.
+class NativeDialect(errors.JsonAnswers):
+    """Implements `dialect.Dialect` with the native protocols.
 
     Args:
       engines: Calls to engines.
       services: Calls to plain services.
-      resumer: Goes on with broken streams.
+      resumer: Resumes broken token streams.
 
     Attributes:
       engines: Calls to engines.
       services: Calls to plain services.
-      resumer: Goes on with broken streams.
+      resumer: Resumes broken token streams.
     """
 
     def __init__(
         self,
-        engines: NativeEngines,
-        services: NativeServices,
+        engines: NativeEngineCalls,
+        services: NativePlainCalls,
         resumer: stream_resume.Resumer,
     ) -> None:
         self.engines = engines
@@ -166,26 +170,28 @@
     def application(
         self, gate: gate_lib.Gate, parts: routes.Parts
     ) -> web.Application:
-        """Returns what callers reach."""
+        """Returns the web application of the public API."""
         return routes.public_application(gate, parts)
 
 
-def _body(ctx: context.Context) -> dict[str, Any]:
+def _engine_body(ctx: context.Context) -> dict[str, Any]:
     generation = ctx.generation
     fields = dict(generation.fields)
     fields.pop("max_completion_tokens", None)
     fields["model"] = ctx.service.model or ctx.service.name
     fields["priority"] = ctx.priority
     fields["max_tokens"] = generation.output_tokens
-    # Engines key their prefix caches by this as well, so that rivals who send
-    # the same prompt don't share blocks. A caller's own salt is overridden.
+    # Engines include the salt in their prefix cache keys, so that customers who
+    # send the same prompt don't share blocks. A salt set by the caller is
+    # overridden.
     fields[prefix.SALT_FIELD] = ctx.customer.id
     return fields
 
 
-def _scoped_key(ctx: context.Context) -> str:
-    # Two firms may choose the same key. Were it passed on as it is, a service
-    # that checks keys would give the second firm the answer of the first.
+def _customer_scoped_key(ctx: context.Context) -> str:
+    # Two customers may choose the same idempotency key. Without the customer
+    # ID, a service that deduplicates by key would return the first customer's
+    # response to the second one.
     if not ctx.idempotency_key:
         return ""
     return f"{ctx.customer.id}:{ctx.idempotency_key}"
--- a/src/cowsliprill/entry/plain_relay.py
+++ b/src/cowsliprill/entry/plain_relay.py
@@ -1,4 +1,4 @@
-"""One call to a plain service."""
+"""Makes one call to a plain (non-model) service and relays its response."""
 
 import dataclasses
 import http
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PlainRelay:
-    """Makes calls to plain services.
+    """Calls plain services and relays their responses.
 
     Attributes:
       calls: Calls to plain services.
@@ -26,20 +26,23 @@
     calls: calls_lib.PlainCalls
 
     async def __call__(self, ctx: context.Context) -> None:
-        """Calls `ctx.endpoint` once and passes on its whole answer.
+        """Calls `ctx.endpoint` once and relays its complete response.
 
         Raises:
-          attempts.PlainCallLost: There was no whole answer, or the server
-            failed at a request that may be repeated.
+          attempts.PlainCallLost: No complete response arrived, or the server
+            responded with a 5xx status and the service's retry policy allows
+            another attempt.
         """
-        answer = await self._call(ctx)
-        if _is_worth_another(ctx, answer):
+        response = await self._call_service(ctx)
+        if _should_retry(ctx, response):
             raise attempts.PlainCallLost(
-                messages.Run.UNKNOWN, f"status {answer.status}", answer
+                messages.Run.UNKNOWN, f"status {response.status}", response
             )
-        await send_answer(ctx, answer)
+        await send_answer(ctx, response)
 
-    async def _call(self, ctx: context.Context) -> service_client.ServiceAnswer:
+    async def _call_service(
+        self, ctx: context.Context
+    ) -> service_client.ServiceAnswer:
         progress = call_lib.Progress()
         try:
             return await self.calls.call(ctx, progress)
@@ -50,32 +53,32 @@
                 unsent=isinstance(error, engine_errors.ConnectFailed),
             ) from error
         finally:
-            # Also when the caller has left amid the call.
+            # Runs too when the caller disconnects during the call.
             if progress.run is messages.Run.UNKNOWN:
                 ctx.progress.run = messages.Run.UNKNOWN
 
 
 async def send_answer(
-    ctx: context.Context, answer: service_client.ServiceAnswer
+    ctx: context.Context, response: service_client.ServiceAnswer
 ) -> None:
-    """Passes a plain service's whole answer on to the caller.
+    """Sends a plain service's complete response to the caller.
 
     Args:
-      ctx: The request.
-      answer: The answer.
+      ctx: Request context.
+      response: Response of the service.
     """
     ctx.progress.first_token_at = clock.now()
     ctx.progress.last_token_at = ctx.progress.first_token_at
     await reply_lib.send(
-        ctx.reply, answer.status, answer.headers.get_all(), answer.body
+        ctx.reply, response.status, response.headers.get_all(), response.body
     )
 
 
-def _is_worth_another(
-    ctx: context.Context, answer: service_client.ServiceAnswer
+def _should_retry(
+    ctx: context.Context, response: service_client.ServiceAnswer
 ) -> bool:
     return (
         ctx.service.retries.failed_answers
         and ctx.service.idempotency is model.Idempotency.REPEATABLE
-        and answer.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
+        and response.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
     )
--- a/src/cowsliprill/entry/stream_resume.py
+++ b/src/cowsliprill/entry/stream_resume.py
@@ -1,4 +1,4 @@
-"""Going on with a token stream that broke."""
+"""Resumes interrupted token streams on the same decode engine."""
 
 import asyncio
 import dataclasses
@@ -12,18 +12,18 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
-_FIRST_BACK_OFF_S = 0.02
+_INITIAL_BACKOFF_S = 0.02
 
 
 @dataclasses.dataclass(slots=True)
 class Resumer:
-    """Reopens broken streams where the service's rules allow it.
+    """Reopens broken streams of services whose settings allow resuming.
 
     Attributes:
-      client: Client of engines.
-      budgets: Budgets of retries; each try to resume spends from them.
-      metrics: The process's metrics.
-      log: The process's log.
+      client: Engine client.
+      budgets: Retry budgets; each attempt to resume withdraws from them.
+      metrics: Process metrics.
+      log: Process log.
     """
 
     client: engine_client.EngineClient
@@ -40,14 +40,17 @@
     ) -> bool:
         """Tries to reopen a stream after its last delivered token.
 
+        Retries with exponential backoff until the retry budget is exhausted or
+        the engine refuses.
+
         Args:
-          ctx: The request.
-          endpoint: The decode engine that holds it.
-          stream: The broken stream.
-          broken: How it broke.
+          ctx: Request context.
+          endpoint: Decode engine that holds the stream.
+          stream: Broken stream; reopened in place.
+          broken: Error that interrupted the stream.
 
         Returns:
-          Whether the stream goes on.
+          Whether the stream was reopened.
         """
         if not (ctx.service.resume and broken.resumable):
             return False
@@ -56,26 +59,26 @@
             progress.resumes = 0
         progress.resumed_at_token = broken.last_token
         budget = self.budgets.of(ctx.service)
-        back_off_s = _FIRST_BACK_OFF_S
-        # A stream that is cut again and again without a new token counts as
-        # one that failed as often: else it would be resumed without end.
+        backoff_s = _INITIAL_BACKOFF_S
+        # A stream that breaks repeatedly without a new token counts all its
+        # earlier resumes. Otherwise it would be resumed without end.
         while budget.spend(1 + progress.resumes):
             progress.resumes += 1
             try:
                 await self.client.resume(
                     endpoint, stream, timeout_s=ctx.service.timeout_s
                 )
-                self._record(ctx, broken, resumed=True)
+                self._record_outcome(ctx, broken, resumed=True)
                 return True
             except engine_errors.EngineRefused:
                 break
             except engine_errors.CallError:
-                await asyncio.sleep(back_off_s)
-                back_off_s *= 2
-        self._record(ctx, broken, resumed=False)
+                await asyncio.sleep(backoff_s)
+                backoff_s *= 2
+        self._record_outcome(ctx, broken, resumed=False)
         return False
 
-    def _record(
+    def _record_outcome(
         self,
         ctx: context.Context,
         broken: engine_errors.StreamBroken,
