--- a/src/cowsliprill/entry/forward.py
+++ b/src/cowsliprill/entry/forward.py
@@ -1,4 +1,8 @@
-"""Passing a request on to the process that owns its ticket."""
+"""Forwards a request to the entry process that owns its ticket.
+
+A ticket is an idempotency key that one entry process has issued. Only that
+process knows whether the ticket has been used.
+"""
 
 import dataclasses
 import http
@@ -25,21 +29,21 @@
 OWNER_HEADER = "X-Ticket-Owner"
 
 _RETRY_AFTER_S = 1.0
-_ASK_S = 1.0
-_MAX_TRIES = 2
+_PEER_TIMEOUT_S = 1.0
+_MAX_PEERS_TRIED = 2
 _MAX_INCARNATION_BYTES = 1_024
 
 
 @dataclasses.dataclass(slots=True)
 class Forwarder:
-    """Calls the owners of tickets over their peer ports.
+    """Forwards requests to other entry processes over their peer ports.
 
     Attributes:
       client: HTTP client.
-      world: The VM list in force.
-      auth: Signs the bodies that are passed on.
-      vm_id: This VM.
-      random_source: Spreads requests over the other processes.
+      world: Cluster state; its VM list gives the addresses.
+      auth: Signs forwarded bodies.
+      vm_id: ID of this VM.
+      random_source: Shuffles the peers that tickets are requested from.
     """
 
     client: http_client.HttpClient
@@ -51,84 +55,97 @@
     async def forward(
         self, ctx: context.Context, ticket: tickets.Ticket
     ) -> None:
-        """Has the owner of a ticket run the request, or tells its last answer.
+        """Forwards a request to the owner of its ticket.
 
-        Whatever goes wrong, the request is not run here: the ticket may have
-        been used at its owner before, and nobody else can know.
+        The owner executes the request or replays the stored response. After a
+        failure the request is not executed locally: the owner may have
+        executed it before, and no other process can tell.
 
         Args:
-          ctx: The request.
-          ticket: Its ticket.
+          ctx: Request context.
+          ticket: Ticket that the request carries.
 
         Raises:
-          errors.EntryError: The owner is gone or can't be reached.
+          errors.EntryError: The owner has ended or is unreachable.
         """
-        vm = self._owner(ticket)
+        vm = self._owner_vm(ticket)
         if ctx.call.forwarded or vm is None:
-            # A forwarded ticket of another incarnation has found the process
-            # that took over its owner's port; passing it on again would go
-            # round in a circle.
+            # A forwarded ticket of another incarnation has reached the process
+            # that took over the owner's port. Forwarding the request again
+            # would create a loop.
             raise owner_gone()
         ctx.progress.run = messages.Run.UNKNOWN
         address = (vm.host, ticket.port)
         try:
-            await self._pass_on(ctx, address, str(ticket.incarnation))
+            await self._proxy_to(ctx, address, str(ticket.incarnation))
         except engine_errors.CallError as error:
             if ctx.reply.started:
                 ctx.reply.abort()
             raise errors.EntryError(
                 errors.Code.TICKET_OWNER_UNREACHABLE,
-                "The process that owns this ticket can't be reached.",
+                "The process that owns this ticket is unreachable.",
                 run=messages.Run.UNKNOWN,
                 retry_after_s=_RETRY_AFTER_S,
             ) from error
 
     async def issue_elsewhere(self, ctx: context.Context) -> bool:
-        """Has a process that stays give out a ticket.
+        """Forwards a request for a ticket to another entry process.
 
-        A ticket of a process that is leaving would soon be worth nothing.
+        Used while this process shuts down: its own tickets become invalid
+        when it ends.
 
         Args:
-          ctx: The request for a ticket.
+          ctx: Context of the request for a ticket.
 
         Returns:
-          Whether another process has answered it.
+          Whether a peer has responded and its response was relayed.
+
+        Raises:
+          engine_errors.CallError: The connection to the peer failed after the
+            response to the caller had started.
         """
-        others = self._others()
-        self.random_source.shuffle(others)
-        for address in others[:_MAX_TRIES]:
+        addresses = self._peer_addresses()
+        self.random_source.shuffle(addresses)
+        for address in addresses[:_MAX_PEERS_TRIED]:
             try:
-                incarnation = await self._incarnation_at(address)
-                await self._pass_on(ctx, address, incarnation)
+                incarnation = await self._fetch_incarnation(address)
+                await self._proxy_to(ctx, address, incarnation)
                 return True
             except (engine_errors.CallError, codec.CodecError):
                 if ctx.reply.started:
                     raise
         return False
 
-    async def _incarnation_at(self, address: tuple[str, int]) -> str:
+    async def _fetch_incarnation(self, address: tuple[str, int]) -> str:
         response = await self.client.call(
-            *address, "GET", peers.INCARNATION_PATH, {}, timeout_s=_ASK_S
+            *address,
+            "GET",
+            peers.INCARNATION_PATH,
+            {},
+            timeout_s=_PEER_TIMEOUT_S,
         )
-        text = await response.read(_MAX_INCARNATION_BYTES)
-        return codec.decode(dict[str, str], text).get("incarnation", "")
-
-    async def _pass_on(
-        self, ctx: context.Context, address: tuple[str, int], owner: str
+        body = await response.read(_MAX_INCARNATION_BYTES)
+        return codec.decode(dict[str, str], body).get("incarnation", "")
+
+    async def _proxy_to(
+        self,
+        ctx: context.Context,
+        address: tuple[str, int],
+        owner_incarnation: str,
     ) -> None:
-        timeout_s = ctx.service.timeout_s if ctx.service else _ASK_S
+        timeout_s = ctx.service.timeout_s if ctx.service else _PEER_TIMEOUT_S
         response = await self.client.call(
             *address,
             "POST",
             peers.FORWARD_PATH,
-            self._headers(ctx.call, owner),
+            self._forward_headers(ctx.call, owner_incarnation),
             ctx.call.body,
             timeout_s=timeout_s,
             fresh=True,
         )
-        await _relay(ctx, response)
+        await _relay_response(ctx, response)
 
-    def _others(self) -> list[tuple[str, int]]:
+    def _peer_addresses(self) -> list[tuple[str, int]]:
         return [
             (vm.host, port)
             for vm in self.world.fleet.vms_by_id.values()
@@ -138,25 +155,29 @@
             for port in vm.entry_ports
         ]
 
-    def _owner(self, ticket: tickets.Ticket) -> model.Vm | None:
-        # Host and port come from the VM list: a made-up ticket could else have
-        # this process call any address that its author likes.
+    def _owner_vm(self, ticket: tickets.Ticket) -> model.Vm | None:
+        # Host and port are checked against the VM list. Otherwise a forged
+        # ticket could make this process call an arbitrary address.
         vm = self.world.fleet.vms_by_id.get(ticket.incarnation.vm)
         if vm is None or ticket.port not in vm.entry_ports:
             return None
         return vm
 
-    def _headers(self, call: context.Call, owner: str) -> httputil.HTTPHeaders:
+    def _forward_headers(
+        self, call: context.Call, owner_incarnation: str
+    ) -> httputil.HTTPHeaders:
         headers = hop_headers.end_to_end(call.headers)
         headers[METHOD_HEADER] = call.method
         headers[TARGET_HEADER] = call.target
-        headers[OWNER_HEADER] = owner
+        headers[OWNER_HEADER] = owner_incarnation
         for name, value in self.auth.headers(call.body).items():
             headers[name] = value
         return headers
 
 
-async def _relay(ctx: context.Context, response: exchange.Response) -> None:
+async def _relay_response(
+    ctx: context.Context, response: exchange.Response
+) -> None:
     headers = hop_headers.end_to_end(response.headers)
     if "Content-Length" in response.headers:
         headers["Content-Length"] = response.headers["Content-Length"]
@@ -164,15 +185,15 @@
     async for chunk in response.chunks():
         await ctx.reply.write(chunk)
     await ctx.reply.end()
-    ok = response.status < http.HTTPStatus.BAD_REQUEST
-    ctx.progress.outcome = "forwarded" if ok else "forwarded_error"
+    succeeded = response.status < http.HTTPStatus.BAD_REQUEST
+    ctx.progress.outcome = "forwarded" if succeeded else "forwarded_error"
 
 
 def owner_gone() -> errors.EntryError:
-    """Returns the answer for a ticket whose owner has ended."""
+    """Returns the error for a ticket whose owner process has ended."""
     return errors.EntryError(
         errors.Code.TICKET_OWNER_GONE,
-        "The process that owns this ticket is gone. The request is never run"
-        " again.",
+        "The process that owns this ticket has ended. The request is not"
+        " executed again.",
         run=messages.Run.UNKNOWN,
     )
--- a/src/cowsliprill/entry/home_client.py
+++ b/src/cowsliprill/entry/home_client.py
@@ -1,4 +1,4 @@
-"""Calls to the dispatch processes that are home to endpoints."""
+"""HTTP client for the dispatch processes that coordinate endpoints or pools."""
 
 import dataclasses
 from typing import Any
@@ -10,18 +10,18 @@
 from cowsliprill.engines import http_client
 from cowsliprill.entry import errors
 
-_CONNECT_S = 1.0
-_MAX_ANSWER_BYTES = 1_048_576
-_OK = 200
+_CONNECT_TIMEOUT_S = 1.0
+_MAX_RESPONSE_BYTES = 1_048_576
+_HTTP_OK = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HomeClient:
-    """Sends signed messages to homes.
+    """Sends signed messages to coordinators.
 
     Attributes:
-      http: HTTP client; its calls can be cancelled.
-      auth: Signs what is sent.
+      http: HTTP client whose calls can be cancelled.
+      auth: Signs request bodies.
     """
 
     http: http_client.HttpClient
@@ -30,21 +30,21 @@
     async def post(
         self, vm: model.Vm, path: str, message: Any, timeout_s: float
     ) -> bytes:
-        """Sends a message.
+        """Posts a message to a coordinator as JSON.
 
         Args:
-          vm: The home.
-          path: One of `peers`.
-          message: Data class.
-          timeout_s: Time for the whole call.
+          vm: VM of the coordinator.
+          path: URL path, one of the constants in `peers`.
+          message: Data class instance.
+          timeout_s: Timeout of the whole call in seconds.
 
         Returns:
-          The answer's body.
+          Body of the response.
 
         Raises:
-          errors.HomeError: There was no answer, or it is a refusal.
+          errors.HomeError: The call failed or the status is not 200.
         """
-        body = codec.encode_short(message)
+        request_body = codec.encode_short(message)
         headers = {"Content-Type": "application/json"}
         try:
             response = await self.http.call(
@@ -52,14 +52,14 @@
                 vm.dispatch_port,
                 "POST",
                 path,
-                {**headers, **self.auth.headers(body)},
-                body,
-                connect_timeout_s=_CONNECT_S,
+                {**headers, **self.auth.headers(request_body)},
+                request_body,
+                connect_timeout_s=_CONNECT_TIMEOUT_S,
                 timeout_s=timeout_s,
             )
-            text = await response.read(_MAX_ANSWER_BYTES)
+            response_body = await response.read(_MAX_RESPONSE_BYTES)
         except engine_errors.CallError as error:
             raise errors.HomeError(f"{vm.id}: {error}") from error
-        if response.status != _OK:
+        if response.status != _HTTP_OK:
             raise errors.HomeError(f"{vm.id}: status {response.status}")
-        return text
+        return response_body
--- a/src/cowsliprill/entry/reply.py
+++ b/src/cowsliprill/entry/reply.py
@@ -1,4 +1,4 @@
-"""Where the answer to a caller goes."""
+"""Writers for HTTP responses to callers, directly or with a recorded copy."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -14,41 +14,41 @@
 
 
 class CallerGone(Exception):  # noqa: N818
-    """Raised when the caller's connection is lost while writing to it."""
+    """Raised when writing to a caller whose connection is closed."""
 
 
 class Reply(Protocol):
-    """The answer to one request; headers first, then the body, then the end.
+    """Writer of one HTTP response: `start`, then `write`, then `end`.
 
     Attributes:
-      started: Whether status and headers have been given.
+      started: Whether status and headers have been set.
     """
 
     started: bool
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Gives status and headers; they may go out with the first chunk."""
+        """Sets status and headers, which may be sent with the first chunk."""
 
     async def write(self, chunk: bytes) -> None:
-        """Sends a part of the body; returns when the socket has taken it."""
+        """Writes a chunk of the body and waits until the socket accepts it."""
 
     async def end(self) -> None:
-        """Ends a whole answer."""
+        """Finishes a complete response."""
 
     def abort(self) -> None:
-        """Ends an answer that isn't whole, so that the caller notices."""
+        """Aborts an incomplete response so that the caller can detect it."""
 
 
 async def send(
     reply: Reply, status: int, headers: Headers, body: bytes
 ) -> None:
-    """Sends a whole answer at once.
+    """Sends a complete response with a `Content-Length`.
 
     Args:
-      reply: Where to.
+      reply: Response writer.
       status: HTTP status.
-      headers: Headers besides `Content-Length`.
-      body: The body.
+      headers: Headers other than `Content-Length`.
+      body: Response body.
     """
     length = ("Content-Length", str(len(body)))
     await reply.start(status, [*headers, length])
@@ -58,14 +58,15 @@
 
 
 class HttpReply:
-    """Answers through a tornado handler.
+    """Writes a response through a Tornado request handler.
 
     Args:
-      handler: The handler of the caller's request.
+      handler: Handler of the caller's request.
 
     Attributes:
-      started: Whether status and headers have been given.
-      request_id: Told to the caller, who can name it to an operator.
+      started: Whether status and headers have been set.
+      request_id: Request ID, sent in a header so that the caller can quote it
+        to an operator.
     """
 
     def __init__(self, handler: web.RequestHandler) -> None:
@@ -74,7 +75,7 @@
         self.request_id = ""
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Gives status and headers; they go out with the first chunk."""
+        """Sets status and headers, which are sent with the first chunk."""
         self.started = True
         self._handler.clear()
         self._handler.set_status(status)
@@ -85,16 +86,16 @@
                 self._handler.add_header(name, value)
 
     async def write(self, chunk: bytes) -> None:
-        """Sends a part of the body.
+        """Writes a chunk of the body and waits until the socket accepts it.
 
-        Waiting for the socket bounds what is buffered for a caller that reads
-        slowly: without it, a fast engine would fill this process's memory.
+        The wait applies backpressure when the caller reads slowly. Without it,
+        the output of a fast engine would fill this process's memory.
 
         Args:
-          chunk: The part.
+          chunk: Chunk of the body.
 
         Raises:
-          CallerGone: The connection is lost.
+          CallerGone: The connection is closed.
         """
         self._handler.write(chunk)
         try:
@@ -103,10 +104,10 @@
             raise CallerGone from error
 
     async def end(self) -> None:
-        """Ends a whole answer.
+        """Finishes a complete response.
 
         Raises:
-          CallerGone: The connection is lost.
+          CallerGone: The connection is closed.
         """
         try:
             await self._handler.finish()
@@ -114,7 +115,7 @@
             raise CallerGone from error
 
     def abort(self) -> None:
-        """Closes the connection without the end of the body."""
+        """Closes the connection without terminating the body."""
         connection = self._handler.request.connection
         stream = getattr(connection, "stream", None)
         if stream is not None:
@@ -123,10 +124,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RecordingRoom:
-    """Room for the answers that are being recorded, shared by all of them.
+    """Memory budget shared by all responses that are being recorded.
 
     Attributes:
-      left: Bytes that may yet be taken.
+      left: Remaining budget in bytes.
     """
 
     left: int = tickets.MAX_STORED_BYTES
@@ -134,20 +135,21 @@
 
 @dataclasses.dataclass(slots=True)
 class RecordingReply:
-    """Keeps a copy of an answer, so that it can be given again.
+    """Forwards a response to another writer and records a copy for replay.
 
-    It goes on taking the answer when the caller is gone: the caller's retry
-    with the same key then gets the answer of the one run.
+    Recording continues after the caller has disconnected, so that a retry with
+    the same idempotency key gets the response of the single execution.
 
-    Without room for all of an answer nothing of it is kept: many long streams
-    with keys would else take more memory than the process has.
+    A response that exceeds the size limit or the shared budget is not recorded
+    at all. Otherwise many long streams with idempotency keys could exhaust the
+    memory of the process.
 
     Attributes:
-      inner: Where the answer goes besides.
-      room: Room that it shares.
-      started: Whether status and headers have been given.
-      whole: Whether the answer has been ended.
-      caller_gone: Whether the caller's connection is lost.
+      inner: Writer that the response is forwarded to.
+      room: Shared memory budget.
+      started: Whether status and headers have been set.
+      whole: Whether the response is finished.
+      caller_gone: Whether the caller's connection is closed.
     """
 
     inner: Reply
@@ -158,11 +160,11 @@
     _status: int = 0
     _headers: tuple[tuple[str, str], ...] = ()
     _chunks: list[bytes] = dataclasses.field(default_factory=list)
-    _taken: int = 0
-    _complete: bool = True
+    _recorded_bytes: int = 0
+    _within_limits: bool = True
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Takes status and headers."""
+        """Records and forwards status and headers."""
         self.started = True
         self._status = status
         self._headers = tuple(headers)
@@ -170,22 +172,22 @@
             await self.inner.start(status, self._headers)
 
     async def write(self, chunk: bytes) -> None:
-        """Takes a part of the body."""
+        """Records and forwards a chunk of the body."""
         self._record(chunk)
-        await self._pass_on(self.inner.write, chunk)
+        await self._write_through(self.inner.write, chunk)
 
     async def end(self) -> None:
-        """Takes the end of a whole answer."""
+        """Marks the response as finished and forwards the end."""
         self.whole = True
-        await self._pass_on(self.inner.end)
+        await self._write_through(self.inner.end)
 
     def abort(self) -> None:
-        """Breaks the answer off."""
+        """Aborts the response of the inner writer."""
         self.inner.abort()
 
     def answer(self) -> tickets.Answer | None:
-        """Returns the answer, None if it isn't whole or is too large."""
-        if not (self.whole and self._complete):
+        """Returns the recorded response, None if incomplete or too large."""
+        if not (self.whole and self._within_limits):
             return None
         body = b"".join(self._chunks)
         return tickets.Answer(
@@ -193,26 +195,26 @@
         )
 
     def forget(self) -> None:
-        """Gives its room back; to be called once, at the end."""
+        """Drops the recording and returns its bytes to the shared budget."""
         self._chunks.clear()
-        self.room.left += self._taken
-        self._taken = 0
+        self.room.left += self._recorded_bytes
+        self._recorded_bytes = 0
 
     def _record(self, chunk: bytes) -> None:
         size = len(chunk)
-        fits = self._taken + size <= tickets.MAX_ANSWER_BYTES
-        if not (self._complete and fits and size <= self.room.left):
-            self._complete = False
+        fits = self._recorded_bytes + size <= tickets.MAX_ANSWER_BYTES
+        if not (self._within_limits and fits and size <= self.room.left):
+            self._within_limits = False
             self.forget()
             return
         self._chunks.append(chunk)
-        self._taken += size
+        self._recorded_bytes += size
         self.room.left -= size
 
-    async def _pass_on(self, send, *arguments) -> None:
+    async def _write_through(self, operation, *arguments) -> None:
         if self.caller_gone:
             return
         try:
-            await send(*arguments)
+            await operation(*arguments)
         except CallerGone:
             self.caller_gone = True
