--- a/src/cowsliprill/entry/model_relay.py
+++ b/src/cowsliprill/entry/model_relay.py
@@ -51,8 +51,8 @@
       scheduling: Receives an event for each stage of an attempt.
       leases: Slot leases; checked right before work is sent to an engine.
       world: Cluster state: settings snapshot and VM list.
-      resumer: Resumes broken streams on the same engine, None where the
-        protocol can't.
+      resumer: Resumes broken streams on the same engine, None where engines
+        drop a request when its connection is lost.
       report_leaving: Called with endpoint ID and TTL in seconds when an engine
         responds that it is draining.
       log: Process log.
--- a/src/cowsliprill/entry/reply.py
+++ b/src/cowsliprill/entry/reply.py
@@ -148,15 +148,15 @@
       inner: Writer that the response is forwarded to.
       room: Shared memory budget.
       started: Whether status and headers have been set.
-      whole: Whether the response is finished.
-      caller_gone: Whether the caller's connection is closed.
+      finished: Whether the response is finished.
+      caller_disconnected: Whether the caller's connection is closed.
     """
 
     inner: Reply
     room: RecordingRoom
     started: bool = False
-    whole: bool = False
-    caller_gone: bool = False
+    finished: bool = False
+    caller_disconnected: bool = False
     _status: int = 0
     _headers: tuple[tuple[str, str], ...] = ()
     _chunks: list[bytes] = dataclasses.field(default_factory=list)
@@ -168,7 +168,7 @@
         self.started = True
         self._status = status
         self._headers = tuple(headers)
-        if not self.caller_gone:
+        if not self.caller_disconnected:
             await self.inner.start(status, self._headers)
 
     async def write(self, chunk: bytes) -> None:
@@ -178,7 +178,7 @@
 
     async def end(self) -> None:
         """Marks the response as finished and forwards the end."""
-        self.whole = True
+        self.finished = True
         await self._write_through(self.inner.end)
 
     def abort(self) -> None:
@@ -187,7 +187,7 @@
 
     def answer(self) -> tickets.Answer | None:
         """Returns the recorded response, None if incomplete or too large."""
-        if not (self.whole and self._within_limits):
+        if not (self.finished and self._within_limits):
             return None
         body = b"".join(self._chunks)
         return tickets.Answer(
@@ -212,9 +212,9 @@
         self.room.left -= size
 
     async def _write_through(self, operation, *arguments) -> None:
-        if self.caller_gone:
+        if self.caller_disconnected:
             return
         try:
             await operation(*arguments)
         except CallerGone:
-            self.caller_gone = True
+            self.caller_disconnected = True
--- a/tests/answers.py
+++ b/tests/answers.py
@@ -1,15 +1,15 @@
-"""Reading of answers that may not be whole."""
+"""Test helper that reads response bodies that may be truncated."""
 
 from cowsliprill.engines import errors
 from cowsliprill.engines import exchange
 
 
 async def read_broken(response: exchange.Response) -> tuple[bytes, bool]:
-    """Reads an answer; returns its bytes and whether it ended cleanly."""
-    parts = []
+    """Returns the bytes of a response body and whether it ended cleanly."""
+    chunks = []
     try:
         async for chunk in response.chunks():
-            parts.append(chunk)
+            chunks.append(chunk)
     except errors.CallError:
-        return b"".join(parts), False
-    return b"".join(parts), True
+        return b"".join(chunks), False
+    return b"".join(chunks), True
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -1,4 +1,4 @@
-"""Answers are whole, the caller's own, or truthfully broken."""
+"""Callers get a complete response of their own, or a visible error."""
 
 import asyncio
 import dataclasses
@@ -18,121 +18,131 @@
 _TOKEN = re.compile(rb'"text": " [0-9a-f]{8}-(\d+)"')
 
 
-def _on_decode(
-    body: dict, *conducts: dict, **changes
+def _call_with_decode_faults(
+    body: dict, *faults: dict, **changes
 ) -> tuple[entry_site.Answer, bool, entry_site.Site]:
-    """Sends a request while the decode engines misbehave."""
+    """Sends a request while faults are injected into the decode engines."""
 
     async def scenario():
         async with entry_site.running(**changes) as site:
             for name, engine in site.engines.items():
                 if name.startswith("decode"):
-                    for conduct in conducts:
-                        engine.conduct.set(conduct)
-            response = await site.open("POST", _COMPLETIONS, body)
-            text, clean = await answers.read_broken(response)
+                    for fault in faults:
+                        engine.conduct.set(fault)
+            raw_response = await site.open("POST", _COMPLETIONS, body)
+            text, ended_cleanly = await answers.read_broken(raw_response)
             await site.until_free()
-            answer = entry_site.Answer(response.status, response.headers, text)
-            return answer, clean, site
+            response = entry_site.Answer(
+                raw_response.status, raw_response.headers, text
+            )
+            return response, ended_cleanly, site
 
     return asyncio.run(scenario())
 
 
-def _tokens(answer: entry_site.Answer) -> list[int]:
-    return [int(number) for number in _TOKEN.findall(answer.body)]
+def _tokens(response: entry_site.Answer) -> list[int]:
+    return [int(number) for number in _TOKEN.findall(response.body)]
 
 
-class TestCutStreams:
-    """The connection to the decode engine is cut amid an answer.
+class TestInterruptedStreams:
+    """The connection to the decode engine is closed during a response.
 
-    A caller must not see a token twice, miss one, or take a part for all.
+    Guards against duplicate or missing tokens and against truncated responses
+    that look complete.
     """
 
     @pytest.mark.parametrize("at_token", [1, 4, _TOKENS])
     def test_resumed_after_a_token(self, at_token):
-        conduct = {"cut_at_token": at_token, "times": 1}
-        answer, clean, _ = _on_decode(_STREAM, conduct)
-        assert clean
-        assert _tokens(answer) == list(range(1, _TOKENS + 1))
-        assert answer.body.endswith(b"data: [DONE]\n\n")
+        fault = {"cut_at_token": at_token, "times": 1}
+        response, ended_cleanly, _ = _call_with_decode_faults(_STREAM, fault)
+        assert ended_cleanly
+        assert _tokens(response) == list(range(1, _TOKENS + 1))
+        assert response.body.endswith(b"data: [DONE]\n\n")
 
     @pytest.mark.parametrize("at_byte", [0, 1, 100, 999])
-    def test_resumed_amid_an_event(self, at_byte):
-        conduct = {"cut_at_byte": at_byte, "times": 1}
-        answer, clean, _ = _on_decode(_STREAM, conduct)
-        assert clean
-        assert _tokens(answer) == list(range(1, _TOKENS + 1))
+    def test_resumed_within_an_event(self, at_byte):
+        fault = {"cut_at_byte": at_byte, "times": 1}
+        response, ended_cleanly, _ = _call_with_decode_faults(_STREAM, fault)
+        assert ended_cleanly
+        assert _tokens(response) == list(range(1, _TOKENS + 1))
 
     def test_overlapping_resume(self):
-        """The engine sends again what had arrived before the cut."""
-        conduct = {"cut_at_token": 3, "repeat_token": True, "times": 2}
-        answer, _, _ = _on_decode(_STREAM, conduct)
-        assert _tokens(answer) == list(range(1, _TOKENS + 1))
+        """A resumed engine repeats tokens that were delivered before."""
+        fault = {"cut_at_token": 3, "repeat_token": True, "times": 2}
+        response, _, _ = _call_with_decode_faults(_STREAM, fault)
+        assert _tokens(response) == list(range(1, _TOKENS + 1))
 
-    def test_not_resumed_where_the_service_says_no(self):
-        """Guards against a broken answer that looks whole or runs again."""
+    def test_not_resumed_when_the_service_disables_it(self):
+        """The service's settings forbid resuming streams.
+
+        Guards against a truncated response that looks complete, and against a
+        second execution.
+        """
 
         async def scenario():
             async with entry_site.running(resume=False) as site:
                 for engine in site.engines.values():
                     engine.conduct.set({"stall_at_token": 3})
                 reader, writer = await site.raw_open(_COMPLETIONS, _STREAM)
-                answer = b""
-                while len(_TOKEN.findall(answer)) < 3:
-                    answer += await reader.read(1 << 16)
+                response = b""
+                while len(_TOKEN.findall(response)) < 3:
+                    response += await reader.read(1 << 16)
                     assert not reader.at_eof()
                 await site.cut_engines()
-                answer += await reader.read()
+                response += await reader.read()
                 writer.close()
-                return answer
+                return response
 
-        answer = asyncio.run(scenario())
-        tokens = [int(number) for number in _TOKEN.findall(answer)]
+        response = asyncio.run(scenario())
+        tokens = [int(number) for number in _TOKEN.findall(response)]
         assert tokens == [1, 2, 3]
-        assert b'"code": "stream_broken"' in answer
-        assert b'"run": "unknown"' in answer
-        assert b"[DONE]" not in answer
-        # Nor does the transfer coding come to its clean end.
-        assert not answer.endswith(b"0\r\n\r\n")
+        assert b'"code": "stream_broken"' in response
+        assert b'"run": "unknown"' in response
+        assert b"[DONE]" not in response
+        # The chunked transfer coding has no final chunk either.
+        assert not response.endswith(b"0\r\n\r\n")
 
     def test_retries_are_bounded(self):
-        """Every resumed stream is cut again at once.
+        """Every resumed stream is interrupted again at once.
 
-        Without a bound the entry would go on for ever and load the engine.
+        Without a retry limit the entry process would resume it forever and
+        overload the engine.
         """
-        conduct = {"cut_at_byte": 0}
-        _, _, site = _on_decode(_STREAM, conduct, may_wait_s=0.2)
+        fault = {"cut_at_byte": 0}
+        _, _, site = _call_with_decode_faults(_STREAM, fault, may_wait_s=0.2)
         log = site.logs[0].getvalue()
         assert 1 <= log.count("event=stream_resumed") <= 6
 
-    def test_whole_answer_is_whole_or_an_error(self):
-        conduct = {"cut_at_token": 3, "times": 1}
-        answer, _, _ = _on_decode(_BODY, conduct)
-        text = answer.json()["choices"][0]["text"]
+    def test_unstreamed_response_is_complete_or_an_error(self):
+        fault = {"cut_at_token": 3, "times": 1}
+        response, _, _ = _call_with_decode_faults(_BODY, fault)
+        text = response.json()["choices"][0]["text"]
         assert len(text.split()) == _TOKENS
-        answer, clean, _ = _on_decode(_BODY, {"cut_at_token": 3}, resume=False)
-        assert clean
-        assert answer.status == 502
-        assert answer.json()["error"]["run"] == "unknown"
+        response, ended_cleanly, _ = _call_with_decode_faults(
+            _BODY, {"cut_at_token": 3}, resume=False
+        )
+        assert ended_cleanly
+        assert response.status == 502
+        assert response.json()["error"]["run"] == "unknown"
 
 
-class TestForeignAnswers:
-    """An engine answers with another request's id or tokens.
+class TestMismatchedResponses:
+    """An engine responds with another request's ID or tokens.
 
-    The caller would read what a rival firm has asked.
+    Guards against disclosing one customer's data to another one.
     """
 
     @pytest.mark.parametrize("body", [_BODY, _STREAM])
-    @pytest.mark.parametrize("conduct", [{"foreign_id": True}])
-    def test_foreign_id_is_refused(self, body, conduct):
-        answer, _, _ = _on_decode(body, conduct)
-        assert answer.status in (502, 503)
-        assert not _tokens(answer)
+    @pytest.mark.parametrize("fault", [{"foreign_id": True}])
+    def test_foreign_request_id_is_rejected(self, body, fault):
+        response, _, _ = _call_with_decode_faults(body, fault)
+        assert response.status in (502, 503)
+        assert not _tokens(response)
 
-    def test_swapped_answers_are_refused(self):
-        """Two callers' answers are swapped by the engine.
+    def test_swapped_responses_are_rejected(self):
+        """The engine swaps the responses of two callers.
 
-        Each gets its own tokens or an error, never the other's.
+        Each caller gets its own tokens or an error, never the other's tokens.
         """
 
         async def scenario():
@@ -148,35 +158,36 @@
                     )
                     for number in range(8)
                 ]
-                answers = await asyncio.gather(*calls, return_exceptions=True)
+                responses = await asyncio.gather(*calls, return_exceptions=True)
                 own = await site.call(
                     "POST", _COMPLETIONS, {**_STREAM, "prompt": "client 3"}
                 )
-                return answers, own
+                return responses, own
 
-        answers, _ = asyncio.run(scenario())
-        seen = [
-            frozenset(re.findall(rb'"text": " ([0-9a-f]{8})-', answer.body))
-            for answer in answers
-            if isinstance(answer, entry_site.Answer)
+        responses, _ = asyncio.run(scenario())
+        tags_by_response = [
+            frozenset(re.findall(rb'"text": " ([0-9a-f]{8})-', response.body))
+            for response in responses
+            if isinstance(response, entry_site.Answer)
         ]
-        words = [word for word in seen if word]
-        assert all(len(word) == 1 for word in words)
-        assert len(set(words)) == len(words)
+        nonempty_tags = [tags for tags in tags_by_response if tags]
+        assert all(len(tags) == 1 for tags in nonempty_tags)
+        assert len(set(nonempty_tags)) == len(nonempty_tags)
 
     @pytest.mark.parametrize(
-        "conduct", [{"omit_end_marker": True}, {"wrong_count": True}]
+        "fault", [{"omit_end_marker": True}, {"wrong_count": True}]
     )
-    def test_false_end(self, conduct):
-        """The stream ends without its end marker, or with a wrong count."""
-        answer, clean, _ = _on_decode(_STREAM, conduct)
-        assert not clean
-        assert b"[DONE]" not in answer.body
+    def test_invalid_end_of_stream(self, fault):
+        """The stream ends without an end marker or with a wrong token count."""
+        response, ended_cleanly, _ = _call_with_decode_faults(_STREAM, fault)
+        assert not ended_cleanly
+        assert b"[DONE]" not in response.body
 
-    def test_rivals_share_no_prefix(self):
-        """Two firms of one consortium send the same prompt.
+    def test_customers_share_no_prefix_cache_blocks(self):
+        """Two customers of one organization send the same prompt.
 
-        A warm cache would answer the second sooner and tell it of the first.
+        With shared cache blocks the second response would come sooner, and its
+        timing would disclose that the other customer has sent the same prompt.
         """
         prompt = "the same client's case file " * 20
 
@@ -201,10 +212,10 @@
 
 
 class TestRefusingEngines:
-    """Engines refuse or fail before a token; another attempt serves."""
+    """Engines refuse or fail before the first token; a retry succeeds."""
 
     @pytest.mark.parametrize(
-        ("kind", "conduct"),
+        ("kind", "fault"),
         [
             ("prefill", {"refuse": "engine_full", "times": 1}),
             ("prefill", {"cut_before_run": True}),
@@ -212,82 +223,83 @@
             ("prefill", {"foreign_id": True}),
         ],
     )
-    def test_other_engine_serves(self, kind, conduct):
+    def test_another_engine_serves(self, kind, fault):
         async def scenario():
             async with entry_site.running() as site:
-                site.engines[f"{kind}-0"].conduct.set(conduct)
-                answers = [
+                site.engines[f"{kind}-0"].conduct.set(fault)
+                responses = [
                     await site.call("POST", _COMPLETIONS, _BODY)
                     for _ in range(6)
                 ]
                 await site.until_free()
-                return answers, site.sources[0].left
+                return responses, site.sources[0].left
 
-        answers, left = asyncio.run(scenario())
-        assert [answer.status for answer in answers] == [200] * 6
-        if conduct.get("refuse") == "engine_draining":
-            assert left == ["decode-0"]
+        responses, reported_leaving = asyncio.run(scenario())
+        assert [response.status for response in responses] == [200] * 6
+        if fault.get("refuse") == "engine_draining":
+            assert reported_leaving == ["decode-0"]
 
     def test_evicted_prefill_counts_as_a_failure(self):
-        """The answer of a prefill comes after its KV cache was evicted.
+        """A prefill responds after its exported KV cache was evicted.
 
-        Taken for a refusal it would say nothing of the engines, and one that
-        is tried again after a failure would stay out with all slots free.
+        Counted as a refusal, the error would not change the health of the
+        engines, and an engine that is probed after a failure would stay ejected
+        with all its slots free.
         """
 
         async def scenario():
-            patient = {"ttft_target_s": 20.0, "may_wait_s": 30.0}
-            async with entry_site.running(**patient) as site:
-                late = {"delay_s": 0.2, "times": 1}
+            long_waits = {"ttft_target_s": 20.0, "may_wait_s": 30.0}
+            async with entry_site.running(**long_waits) as site:
+                delay = {"delay_s": 0.2, "times": 1}
                 for name, engine in site.engines.items():
                     if name.startswith("prefill"):
-                        engine.conduct.set(late)
+                        engine.conduct.set(delay)
                         engine.command = dataclasses.replace(
                             engine.command, export_ttl_s=0.05
                         )
-                answer = await site.call("POST", _COMPLETIONS, _BODY)
-                return answer, site.logs[0].getvalue()
+                response = await site.call("POST", _COMPLETIONS, _BODY)
+                return response, site.logs[0].getvalue()
 
-        answer, log = asyncio.run(scenario())
-        assert answer.status == 200
+        response, log = asyncio.run(scenario())
+        assert response.status == 200
         lost = [line for line in log.splitlines() if "attempt_lost" in line]
         assert any("kv_evicted" in line for line in lost)
         assert all("refused=false" in line for line in lost)
 
-    def test_not_run_when_all_refuse(self):
+    def test_not_executed_when_all_refuse(self):
         async def scenario():
             async with entry_site.running() as site:
                 for engine in site.engines.values():
                     engine.conduct.set({"refuse": "engine_full"})
-                answer = await site.call("POST", _COMPLETIONS, _BODY)
-                runs = [
+                response = await site.call("POST", _COMPLETIONS, _BODY)
+                requests_by_engine = [
                     engine.memory.requests_by_id
                     for engine in site.engines.values()
                 ]
-                return answer, runs
+                return response, requests_by_engine
 
-        answer, runs = asyncio.run(scenario())
-        assert answer.json()["error"]["run"] == "no"
-        assert not any(runs)
+        response, requests_by_engine = asyncio.run(scenario())
+        assert response.json()["error"]["run"] == "no"
+        assert not any(requests_by_engine)
 
 
 class TestSlowCaller:
-    """A caller reads slowly or not at all while its engine is fast."""
+    """A caller reads slowly or not at all while the engine is fast."""
 
     def test_buffers_are_bounded(self, monkeypatch):
-        """Without a bound the answer would pile up in the entry's memory."""
-        taken = 0
+        """Guards against unbounded buffering in the entry process."""
+        written_bytes = 0
         write = reply.HttpReply.write
 
-        async def counting(self, chunk):
-            nonlocal taken
-            taken += len(chunk)
-            # The kernel's own buffers would else take all of the answer.
+        async def counting_write(self, chunk):
+            nonlocal written_bytes
+            written_bytes += len(chunk)
+            # Otherwise the kernel's send buffer would hold the whole response.
             connection = self._handler.request.connection.stream.socket
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192)
             await write(self, chunk)
 
-        monkeypatch.setattr(reply.HttpReply, "write", counting)
+        monkeypatch.setattr(reply.HttpReply, "write", counting_write)
 
         async def scenario():
             async with entry_site.running(max_output_tokens=100_000) as site:
@@ -297,17 +309,19 @@
                     )
                 body = {**_STREAM, "max_tokens": 10_000}
                 _, writer = await site.raw_open(_COMPLETIONS, body, 4_096)
-                request = await _decoding(site)
+                request = await _wait_for_decode(site)
                 await entry_site.until(lambda: request.stage != "decode")
-                await entry_site.until_still(lambda: taken)
+                await entry_site.until_still(lambda: written_bytes)
                 writer.close()
-                return taken, sum(len(event) for event in request.events)
+                return written_bytes, sum(
+                    len(event) for event in request.events
+                )
 
-        in_entry, generated = asyncio.run(scenario())
-        assert in_entry < generated / 2
+        written_by_entry, generated = asyncio.run(scenario())
+        assert written_by_entry < generated / 2
 
 
-async def _decoding(site):
+async def _wait_for_decode(site):
     await site.until_held("decode", "decode")
     return next(
         request
@@ -318,34 +332,38 @@
 
 
 class TestRetryLoad:
-    """Engines and services fail while callers go on sending."""
+    """Engines and services fail while callers keep sending requests."""
 
     @pytest.mark.parametrize(
-        ("service", "at_once"), [("lookup", 5), ("brief", 50)]
+        ("service", "concurrency"), [("lookup", 5), ("brief", 50)]
     )
-    def test_failures_add_little_load(self, service, at_once):
+    def test_failures_add_little_load(self, service, concurrency):
         """Every call fails, so every request would be retried.
 
-        Without a budget three times the load would reach endpoints that fail
-        already; with it, a tenth more and what was saved up.
+        Without a retry budget, endpoints that already fail would receive three
+        times the load. The budget limits the extra load to a tenth plus the
+        saved burst.
         """
         requests = 100
 
         async def scenario():
             async with entry_site.running(may_wait_s=0.5) as site:
-                for each in [*site.engines.values(), *site.services.values()]:
-                    each.conduct.set({"cut_before_run": True})
+                for stand_in in [
+                    *site.engines.values(),
+                    *site.services.values(),
+                ]:
+                    stand_in.conduct.set({"cut_before_run": True})
                 call = {
                     "brief": ("POST", _COMPLETIONS, _BODY),
                     "lookup": ("GET", "/services/lookup/bags/1"),
                 }[service]
-                for _ in range(requests // at_once):
-                    calls = [site.call(*call) for _ in range(at_once)]
+                for _ in range(requests // concurrency):
+                    calls = [site.call(*call) for _ in range(concurrency)]
                     await asyncio.gather(*calls)
                 log = site.logs[0].getvalue()
                 return log.count("event=attempt_lost") + log.count(
                     "event=call_lost"
                 )
 
-        tried = asyncio.run(scenario())
-        assert 1 <= tried <= requests * 1.1 + 10
+        failed_attempts = asyncio.run(scenario())
+        assert 1 <= failed_attempts <= requests * 1.1 + 10
--- a/tests/test_model_relay.py
+++ b/tests/test_model_relay.py
@@ -1,4 +1,4 @@
-"""One attempt at a model request, against calls that stand in for engines."""
+"""Attempts at model requests, with fake engine calls."""
 
 import asyncio
 import dataclasses
@@ -29,14 +29,14 @@
     )
 
 
-_BY_ID = {
+_ENGINES_BY_ID = {
     "p": _engine("p", model.EndpointKind.PREFILL),
     "d": _engine("d", model.EndpointKind.DECODE),
 }
 
 
-class _Stream:
-    """Two events and an end."""
+class _FakeStream:
+    """Yields two events, then ends or raises an error."""
 
     tokens = 0
 
@@ -55,9 +55,9 @@
 
 
 @dataclasses.dataclass
-class _World:
+class _FakeClusterState:
     snapshot: model.Snapshot = dataclasses.field(
-        default_factory=lambda: model.Snapshot(endpoints_by_id=_BY_ID)
+        default_factory=lambda: model.Snapshot(endpoints_by_id=_ENGINES_BY_ID)
     )
 
     leaving: frozenset = frozenset()
@@ -69,20 +69,22 @@
     async def learn_of(self, endpoint_id, wait_s):
         del endpoint_id, wait_s
 
-    def unlist(self, name):
-        left = {key: item for key, item in _BY_ID.items() if key != name}
-        self.snapshot = model.Snapshot(endpoints_by_id=left)
+    def remove_endpoint(self, name):
+        remaining = {
+            key: item for key, item in _ENGINES_BY_ID.items() if key != name
+        }
+        self.snapshot = model.Snapshot(endpoints_by_id=remaining)
 
 
-class _Calls:
-    """Engines that answer; what happens meanwhile is up to the test."""
+class _FakeEngineCalls:
+    """Engine calls that succeed; hooks run while they are in progress."""
 
     prefill_runs = False
     closing_ends_work = True
     resumes_elsewhere = True
 
     def __init__(self):
-        self.amid_prefill = self.amid_decode = lambda: None
+        self.on_prefill = self.on_decode = lambda: None
         self.broken = None
         self.decoded_from = []
         self.discarded = []
@@ -93,14 +95,14 @@
 
     async def prefill(self, ctx, endpoint, timeout_s):
         del ctx, endpoint, timeout_s
-        self.amid_prefill()
+        self.on_prefill()
         return "handle"
 
     async def decode(self, ctx, endpoint, prefilled, timeout_s):
         del ctx, endpoint, timeout_s
         self.decoded_from.append(prefilled)
-        self.amid_decode()
-        return _Stream(self.broken)
+        self.on_decode()
+        return _FakeStream(self.broken)
 
     def discard(self, prefilled):
         self.discarded.append(prefilled)
@@ -117,17 +119,17 @@
         return types.SimpleNamespace(take=take, end=end)
 
 
-class _Attempt:
-    """A relay, its surroundings and one request."""
+class _Harness:
+    """A relay with fake collaborators and one request."""
 
     def __init__(self, prefill="p"):
-        self.world = _World()
-        self.calls = _Calls()
-        self.posted = []
+        self.world = _FakeClusterState()
+        self.calls = _FakeEngineCalls()
+        self.posted_events = []
         self.warnings = []
         self.relay = model_relay.ModelRelay(
             calls=self.calls,
-            scheduling=types.SimpleNamespace(post=self.posted.append),
+            scheduling=types.SimpleNamespace(post=self.posted_events.append),
             leases=types.SimpleNamespace(allow=lambda *_: True),
             world=self.world,
             resumer=None,
@@ -159,97 +161,100 @@
         asyncio.run(self.relay(self.ctx))
 
 
-class TestEndpointsThatLeave:
-    """A decode engine's entry is removed amid an attempt."""
+class TestLeavingEndpoints:
+    """An engine leaves or is removed from the settings during an harness."""
 
-    def test_before_the_decode_nothing_counts_as_run(self):
-        """It is removed while the prompt is read.
+    def test_removal_before_decode_does_not_count_as_execution(self):
+        """The decode engine is removed during the prefill.
 
-        No engine has been asked for an answer. Counted as an attempt, it used
-        up the caller's last one, and the request failed though other engines
-        had room and the prompt was ready for them.
+        No decode call was made. Counted as an attempt, the removal used up the
+        request's last attempt, and the request failed although other engines
+        had free slots and could have fetched the exported prefill.
         """
-        attempt = _Attempt()
-        attempt.calls.amid_prefill = lambda: attempt.world.unlist("d")
+        harness = _Harness()
+        harness.calls.on_prefill = lambda: harness.world.remove_endpoint("d")
         with pytest.raises(attempts.AttemptLost) as lost:
-            attempt.run()
+            harness.run()
         assert lost.value.unsent
         assert lost.value.kept_s > 0
-        assert attempt.ctx.progress.run is messages.Run.NO
-        assert attempt.calls.decoded_from == []
+        assert harness.ctx.progress.run is messages.Run.NO
+        assert harness.calls.decoded_from == []
 
     @pytest.mark.parametrize("name", ["p", "d"])
-    def test_none_that_leaves_is_asked(self, name):
-        """A pool's home stood still while an engine said that it leaves.
+    def test_leaving_engine_is_not_called(self, name):
+        """A coordinator was paused while an engine announced its shutdown.
 
-        Woken, it places requests there by what it knew before. This process
-        has heard of the leaving: sent on, the request would reach an engine
-        that is about to end.
+        After the pause the coordinator places requests on that engine by its
+        outdated state. This process has received the leaving notice and must
+        not send the request to an engine that is about to end.
         """
-        attempt = _Attempt()
-        attempt.world.leaving = frozenset({name})
+        harness = _Harness()
+        harness.world.leaving = frozenset({name})
         with pytest.raises(attempts.AttemptLost) as lost:
-            attempt.run()
+            harness.run()
         assert lost.value.unsent
         assert lost.value.endpoint_id == name
-        assert attempt.calls.decoded_from == []
+        assert harness.calls.decoded_from == []
 
-    def test_none_that_has_begun_to_leave_amid_the_prefill(self):
-        attempt = _Attempt()
+    def test_engine_that_starts_leaving_during_prefill_is_not_called(self):
+        harness = _Harness()
 
-        def leave():
-            attempt.world.leaving = frozenset({"d"})
+        def start_leaving():
+            harness.world.leaving = frozenset({"d"})
 
-        attempt.calls.amid_prefill = leave
+        harness.calls.on_prefill = start_leaving
         with pytest.raises(attempts.AttemptLost) as lost:
-            attempt.run()
+            harness.run()
         assert lost.value.unsent
-        assert attempt.calls.decoded_from == []
+        assert harness.calls.decoded_from == []
 
-    def test_a_stream_that_has_begun_goes_on(self):
-        """It is removed as its answer begins; it serves on for a while."""
-        attempt = _Attempt()
-        attempt.calls.amid_decode = lambda: attempt.world.unlist("d")
-        attempt.run()
-        assert attempt.calls.events == [b"one", b"two", b"end"]
+    def test_open_stream_continues_after_removal(self):
+        """The decode engine is removed as decoding starts.
+
+        A removed engine keeps serving its open streams for a while.
+        """
+        harness = _Harness()
+        harness.calls.on_decode = lambda: harness.world.remove_endpoint("d")
+        harness.run()
+        assert harness.calls.events == [b"one", b"two", b"end"]
 
 
 class TestBrokenStreams:
-    """A stream that may not go on elsewhere is cut by its engine."""
+    """The engine closes a stream that no other engine may resume."""
 
-    def test_the_log_says_what_the_engine_did(self):
-        """A caller complains of half an answer.
+    def test_log_names_the_engine_and_the_reason(self):
+        """A caller has received a truncated response.
 
-        The line of the request's end said that its stream broke, and nothing
-        said at which engine or why.
+        Guards against a log that records the broken stream but neither the
+        engine nor the reason.
         """
-        attempt = _Attempt()
-        attempt.ctx.service.resume = False
-        attempt.calls.broken = engine_errors.StreamBroken(
+        harness = _Harness()
+        harness.ctx.service.resume = False
+        harness.calls.broken = engine_errors.StreamBroken(
             "cut after '2'", reason=stream.Reason.CUT, last_token=2
         )
         with pytest.raises(errors.EntryError):
-            attempt.run()
-        ((event, fields),) = attempt.warnings
+            harness.run()
+        ((event, fields),) = harness.warnings
         assert event == "stream_broken"
         assert fields["request"] == "r1"
         assert fields["endpoint"] == "d"
         assert "cut after '2'" in fields["reason"]
 
 
-class TestDecodeEnginesThatPrefill:
-    """The decode engine reads the prompt itself."""
+class TestLocalPrefill:
+    """The decode engine runs the prefill itself."""
 
-    def test_it_is_asked_alone(self):
-        attempt = _Attempt(prefill="d")
-        attempt.run()
-        assert attempt.calls.decoded_from == [None]
-        assert attempt.calls.events == [b"one", b"two", b"end"]
-        kinds = [type(event) for event in attempt.posted]
-        assert messages.PrefillFinished not in kinds
+    def test_only_the_decode_engine_is_called(self):
+        harness = _Harness(prefill="d")
+        harness.run()
+        assert harness.calls.decoded_from == [None]
+        assert harness.calls.events == [b"one", b"two", b"end"]
+        event_types = [type(event) for event in harness.posted_events]
+        assert messages.PrefillFinished not in event_types
 
-    def test_a_prefill_kept_from_the_attempt_before_is_freed(self):
-        attempt = _Attempt(prefill="d")
-        attempt.ctx.kept = "handle"
-        attempt.run()
-        assert attempt.calls.discarded == ["handle"]
+    def test_exported_prefill_of_an_earlier_attempt_is_discarded(self):
+        harness = _Harness(prefill="d")
+        harness.ctx.kept = "handle"
+        harness.run()
+        assert harness.calls.discarded == ["handle"]
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""Tests with a client library that callers use."""
+"""Compatibility of the public API with the OpenAI Python client."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 _USER = "umurongo/firm-1"
 
 
-def _with_client(scenario):
+def _run_with_client(scenario):
     async def run():
         async with entry_site.running() as site:
             client = openai.AsyncOpenAI(
@@ -24,24 +24,24 @@
 
 
 class TestClientLibrary:
-    """Callers keep the client library that they have."""
+    """Callers use the OpenAI client library unchanged."""
 
     def test_models(self):
         async def scenario(client):
             return [model.id async for model in client.models.list()]
 
-        assert "brief" in _with_client(scenario)
+        assert "brief" in _run_with_client(scenario)
 
-    def test_whole_completion(self):
+    def test_unstreamed_completion(self):
         async def scenario(client):
             return await client.completions.create(
                 model="brief", prompt="hello", max_tokens=5
             )
 
-        answer = _with_client(scenario)
-        assert answer.choices[0].text.endswith("-5")
-        assert answer.usage.completion_tokens == 5
-        assert answer.usage.prompt_tokens > 0
+        completion = _run_with_client(scenario)
+        assert completion.choices[0].text.endswith("-5")
+        assert completion.usage.completion_tokens == 5
+        assert completion.usage.prompt_tokens > 0
 
     def test_streamed_chat(self):
         async def scenario(client):
@@ -53,7 +53,7 @@
             )
             return [chunk async for chunk in stream]
 
-        chunks = _with_client(scenario)
+        chunks = _run_with_client(scenario)
         text = "".join(chunk.choices[0].delta.content or "" for chunk in chunks)
         assert text.endswith("-5")
         assert chunks[-1].choices[0].finish_reason == "length"
@@ -63,5 +63,5 @@
             await client.completions.create(model="nope", prompt="hello")
 
         with pytest.raises(openai.NotFoundError) as caught:
-            _with_client(scenario)
+            _run_with_client(scenario)
         assert caught.value.code == "service_not_found"
--- a/tests/test_plain_walk.py
+++ b/tests/test_plain_walk.py
@@ -1,7 +1,8 @@
-"""All ways in which up to four calls of one plain request may end.
+"""Exhaustive test of the call outcomes of one plain service request.
 
-Each way is played through the placement and the relay as they run in an entry,
-and compared with what its servers really did.
+Runs each sequence of up to four call outcomes through the placement filter and
+the relay of an entry process, and compares the reported result with what the
+servers did.
 """
 
 import asyncio
@@ -23,58 +24,65 @@
 from cowsliprill.entry import plain_relay
 from cowsliprill.entry.filters import plain_placement
 
-_ATTEMPTS = 3
-
-# Calls without a connection that don't count, fewer than in earnest: each more
-# makes six times as many ways.
-_UNSENT = 1
-
-# How a call may end, and whether its server has run the request.
-_UNREACHED = "no connection"
-_REFUSED = "the server says that it ran nothing"
-_LOST = "it was run and the answer was lost"
-_UNDELIVERED = "it was cut before it was run"
-_FAILED = "it was run and answered with a failure"
-_SERVED = "it was run and answered well"
-_ENDINGS = (_UNREACHED, _REFUSED, _LOST, _UNDELIVERED, _FAILED, _SERVED)
-_RUNS = {_LOST, _FAILED, _SERVED}
-
-
-class _Servers:
-    """`PlainCalls` whose calls end as a test says."""
-
-    def __init__(self, endings):
-        self._endings = iter(endings)
-        self.seen = []
-        self.asked = []
+_MAX_ATTEMPTS = 3
+
+# Limit of failed connections that don't count as attempts. Lower than in
+# production, as each further one multiplies the number of sequences by six.
+_MAX_UNSENT_CALLS = 1
+
+# Outcomes of a call, and whether the server has executed the request.
+_CONNECT_FAILED = "connection failed"
+_REFUSED = "refused without execution"
+_RESPONSE_LOST = "executed, response lost"
+_REQUEST_LOST = "request lost before execution"
+_SERVER_ERROR = "executed, status 500"
+_SUCCEEDED = "executed, status 200"
+_OUTCOMES = (
+    _CONNECT_FAILED,
+    _REFUSED,
+    _RESPONSE_LOST,
+    _REQUEST_LOST,
+    _SERVER_ERROR,
+    _SUCCEEDED,
+)
+_EXECUTED = {_RESPONSE_LOST, _SERVER_ERROR, _SUCCEEDED}
+
+
+class _ScriptedServers:
+    """Fake `PlainCalls` with a given sequence of call outcomes."""
+
+    def __init__(self, outcomes):
+        self._outcomes = iter(outcomes)
+        self.observed = []
+        self.called_ids = []
 
     async def call(self, ctx, progress):
-        self.asked.append(ctx.endpoint.id)
-        ending = next(self._endings)
-        self.seen.append(ending)
-        if ending == _UNREACHED:
+        self.called_ids.append(ctx.endpoint.id)
+        outcome = next(self._outcomes)
+        self.observed.append(outcome)
+        if outcome == _CONNECT_FAILED:
             raise engine_errors.ConnectFailed("no connection")
         progress.writing()
-        if ending == _REFUSED:
+        if outcome == _REFUSED:
             progress.refused()
             raise engine_errors.EngineRefused("full", code="full")
-        if ending in (_LOST, _UNDELIVERED):
+        if outcome in (_RESPONSE_LOST, _REQUEST_LOST):
             raise engine_errors.CallError("connection lost", run=progress.run)
-        status = 500 if ending == _FAILED else 200
+        status = 500 if outcome == _SERVER_ERROR else 200
         return service_client.ServiceAnswer(
             status=status, headers=httputil.HTTPHeaders(), body=b""
         )
 
 
-def _play(endings, idempotency):
-    """Returns what the servers did, the status told and the error raised."""
-    servers = _Servers(endings)
-    told, error = _place(servers, idempotency)
-    return servers.seen, told, error
+def _run_sequence(outcomes, idempotency):
+    """Returns the call outcomes, the statuses sent and the error raised."""
+    servers = _ScriptedServers(outcomes)
+    statuses, error = _run_request(servers, idempotency)
+    return servers.observed, statuses, error
 
 
-def _place(servers, idempotency):
-    """Returns the status told and the error raised."""
+def _run_request(servers, idempotency):
+    """Returns the statuses sent to the caller and the error raised."""
     endpoints = {
         name: model.Endpoint(
             id=name,
@@ -95,7 +103,7 @@
         pool="desk",
         idempotency=idempotency,
         retries=model.RetryRules(
-            ratio=1.0, burst=9, attempts=_ATTEMPTS, failed_answers=True
+            ratio=1.0, burst=9, attempts=_MAX_ATTEMPTS, failed_answers=True
         ),
     )
     world = types.SimpleNamespace(
@@ -110,7 +118,7 @@
         random_source=random.Random(1),
         authorization=types.SimpleNamespace(check=lambda ctx: None),
     )
-    told = []
+    statuses = []
     ctx = types.SimpleNamespace(
         request_id="r",
         caller_id="c",
@@ -123,8 +131,8 @@
         reply=None,
     )
 
-    async def send_answer(_, answer):
-        told.append(answer.status)
+    async def send_answer(_, response):
+        statuses.append(response.status)
 
     async def run(monkeypatch):
         monkeypatch.setattr(plain_relay, "send_answer", send_answer)
@@ -135,95 +143,111 @@
         return None
 
     with pytest.MonkeyPatch.context() as monkeypatch:
-        monkeypatch.setattr(plain_placement, "_UNSENT_MAX", _UNSENT)
+        monkeypatch.setattr(plain_placement, "_UNSENT_MAX", _MAX_UNSENT_CALLS)
         error = asyncio.run(run(monkeypatch))
-    return told, error
+    return statuses, error
 
 
-_WAYS = [*itertools.product(_ENDINGS, repeat=_ATTEMPTS + _UNSENT)]
+_OUTCOME_SEQUENCES = [
+    *itertools.product(_OUTCOMES, repeat=_MAX_ATTEMPTS + _MAX_UNSENT_CALLS)
+]
 
 
-class TestAllWays:
-    """What a caller is told must be true, whatever the servers do."""
+class TestAllOutcomeSequences:
+    """The reported result is correct for every sequence of outcomes."""
 
     @pytest.mark.parametrize("idempotency", [*model.Idempotency])
-    def test_not_run_is_only_said_of_what_was_not_run(self, idempotency):
-        """A caller that hears "not run" asks again.
+    def test_not_executed_is_only_reported_when_true(self, idempotency):
+        """Callers retry a request that is reported as not executed.
 
-        Were it wrong, a pickup would be booked twice.
+        A wrong report would execute the request twice, such as a booking.
         """
-        said = 0
-        for way in _WAYS:
-            seen, _, error = _play(way, idempotency)
+        not_executed_claims = 0
+        for sequence in _OUTCOME_SEQUENCES:
+            observed, _, error = _run_sequence(sequence, idempotency)
             if error is not None and error.run is messages.Run.NO:
-                said += 1
-                assert not _RUNS & {*seen}, way
-                assert _UNDELIVERED not in seen, way
-        assert said
-
-    def test_an_unrepeatable_request_runs_once_at_most(self):
-        for way in _WAYS:
-            seen, _, _ = _play(way, model.Idempotency.UNREPEATABLE)
-            runs = [ending for ending in seen if ending in _RUNS]
-            assert len(runs) <= 1, way
-            for ending in seen[:-1]:
-                assert ending in (_UNREACHED, _REFUSED), way
+                not_executed_claims += 1
+                assert not _EXECUTED & {*observed}, sequence
+                assert _REQUEST_LOST not in observed, sequence
+        assert not_executed_claims
+
+    def test_non_idempotent_request_is_executed_at_most_once(self):
+        for sequence in _OUTCOME_SEQUENCES:
+            observed, _, _ = _run_sequence(
+                sequence, model.Idempotency.UNREPEATABLE
+            )
+            executions = [
+                outcome for outcome in observed if outcome in _EXECUTED
+            ]
+            assert len(executions) <= 1, sequence
+            for outcome in observed[:-1]:
+                assert outcome in (_CONNECT_FAILED, _REFUSED), sequence
 
     @pytest.mark.parametrize("idempotency", [*model.Idempotency])
-    def test_each_gets_one_answer_or_one_error(self, idempotency):
-        for way in _WAYS:
-            seen, told, error = _play(way, idempotency)
-            assert len(told) + (error is not None) == 1, way
-            sent = [ending for ending in seen if ending != _UNREACHED]
-            assert len(sent) <= _ATTEMPTS, way
-            assert len(seen) <= _ATTEMPTS + _UNSENT, way
-            if seen[-1] == _SERVED:
-                assert told == [200], way
-
-    def test_a_failed_answer_is_told_where_no_better_one_came(self):
-        way = (_FAILED,) * _ATTEMPTS
-        _, told, error = _play(way, model.Idempotency.REPEATABLE)
-        assert told == [500]
+    def test_exactly_one_response_or_error(self, idempotency):
+        for sequence in _OUTCOME_SEQUENCES:
+            observed, statuses, error = _run_sequence(sequence, idempotency)
+            assert len(statuses) + (error is not None) == 1, sequence
+            sent_calls = [
+                outcome for outcome in observed if outcome != _CONNECT_FAILED
+            ]
+            assert len(sent_calls) <= _MAX_ATTEMPTS, sequence
+            assert len(observed) <= _MAX_ATTEMPTS + _MAX_UNSENT_CALLS, sequence
+            if observed[-1] == _SUCCEEDED:
+                assert statuses == [200], sequence
+
+    def test_error_response_is_relayed_after_the_last_attempt(self):
+        sequence = (_SERVER_ERROR,) * _MAX_ATTEMPTS
+        _, statuses, error = _run_sequence(
+            sequence, model.Idempotency.REPEATABLE
+        )
+        assert statuses == [500]
         assert error is None
 
-    def test_a_server_that_takes_no_connection_costs_no_attempt(self):
-        """A server has crashed and is listed for some seconds yet.
+    def test_failed_connection_uses_no_attempt(self):
+        """A crashed server stays listed for some seconds.
 
-        A booking may be sent to one server only. None has heard of it, so
-        another may be asked; its caller would else be turned away.
+        A non-idempotent request may reach one server only. The crashed server
+        has not received the request, so another one may be called. Otherwise
+        the caller would get an error.
         """
-        way = (_UNREACHED, _SERVED, _SERVED, _SERVED)
-        seen, told, error = _play(way, model.Idempotency.UNREPEATABLE)
-        assert seen == [_UNREACHED, _SERVED]
-        assert told == [200]
+        sequence = (_CONNECT_FAILED, _SUCCEEDED, _SUCCEEDED, _SUCCEEDED)
+        observed, statuses, error = _run_sequence(
+            sequence, model.Idempotency.UNREPEATABLE
+        )
+        assert observed == [_CONNECT_FAILED, _SUCCEEDED]
+        assert statuses == [200]
         assert error is None
 
-    def test_a_repeat_goes_to_another_server(self):
-        """Guards against a repeat that the same server fails again."""
-        servers = _Servers((_FAILED,) * _ATTEMPTS)
-        _place(servers, model.Idempotency.REPEATABLE)
-        assert len({*servers.asked}) == _ATTEMPTS
+    def test_retry_goes_to_another_server(self):
+        """Guards against a retry that fails on the same server again."""
+        servers = _ScriptedServers((_SERVER_ERROR,) * _MAX_ATTEMPTS)
+        _run_request(servers, model.Idempotency.REPEATABLE)
+        assert len({*servers.called_ids}) == _MAX_ATTEMPTS
 
-    def test_without_the_guard_it_would_run_twice(self, monkeypatch):
+    def test_executed_twice_without_the_idempotency_check(self, monkeypatch):
         monkeypatch.setattr(plain_placement, "_may_repeat", lambda ctx: True)
-        runs = [
-            len([ending for ending in seen if ending in _RUNS])
-            for seen, _, _ in (
-                _play(way, model.Idempotency.UNREPEATABLE) for way in _WAYS
+        executions = [
+            len([outcome for outcome in observed if outcome in _EXECUTED])
+            for observed, _, _ in (
+                _run_sequence(sequence, model.Idempotency.UNREPEATABLE)
+                for sequence in _OUTCOME_SEQUENCES
             )
         ]
-        assert max(runs) > 1
+        assert max(executions) > 1
 
-    def test_without_noting_each_write_it_would_lie(self, monkeypatch):
+    def test_wrong_report_without_tracking_writes(self, monkeypatch):
         monkeypatch.setattr(
             plain_relay.call_lib.Progress, "writing", lambda self: None
         )
-        lies = [
-            way
-            for way in _WAYS
-            for seen, _, error in [_play(way, model.Idempotency.UNREPEATABLE)]
+        false_claims = [
+            sequence
+            for sequence in _OUTCOME_SEQUENCES
+            for observed, _, error in [
+                _run_sequence(sequence, model.Idempotency.UNREPEATABLE)
+            ]
             if error is not None
             and error.run is messages.Run.NO
-            and _RUNS & {*seen}
+            and _EXECUTED & {*observed}
         ]
-        assert lies
+        assert false_claims
