--- a/src/cowsliprill/entry/native.py
+++ b/src/cowsliprill/entry/native.py
@@ -86,7 +86,7 @@
     def sink(
         self, ctx: context.Context, stream: token_stream.TokenStream
     ) -> sinks.Sink:
-        """Returns a streaming sink, or a buffering one for whole responses."""
+        """Returns a streaming sink, or a buffering sink without streaming."""
         del stream
         return sinks.sink_for(ctx)
 
--- a/tests/test_model_relay.py
+++ b/tests/test_model_relay.py
@@ -162,7 +162,7 @@
 
 
 class TestLeavingEndpoints:
-    """An engine leaves or is removed from the settings during an harness."""
+    """An engine leaves or is removed from the settings during an attempt."""
 
     def test_removal_before_decode_does_not_count_as_execution(self):
         """The decode engine is removed during the prefill.
