--- a/src/cowsliprill/entry/answers.py
+++ b/src/cowsliprill/entry/answers.py
@@ -9,10 +9,10 @@
 from cowsliprill.decisions import tickets
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import forward
 from cowsliprill.entry import gate as gate_lib
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
 from cowsliprill.entry import schema
+from cowsliprill.entry import ticket_forwarding
 from cowsliprill.entry.filters import resolve
 
 _OK = 200
@@ -50,7 +50,7 @@
 
     ticket_store: tickets.TicketStore
     gate: gate_lib.Gate
-    forwarder: forward.Forwarder
+    forwarder: ticket_forwarding.TicketForwarder
 
     async def __call__(self, ctx: context.Context) -> None:
         """Gives out a ticket for one request of a service."""
@@ -60,7 +60,7 @@
             request.service, ctx.customer, ctx.snapshot
         )
         leaving = self.gate.draining and not ctx.call.forwarded
-        if leaving and await self.forwarder.issue_elsewhere(ctx):
+        if leaving and await self.forwarder.issue_at_peer(ctx):
             return
         ticket = self.ticket_store.issue(
             ctx.customer.id, service.id, clock.now()
@@ -80,4 +80,6 @@
     ctx: context.Context, status: int, fields: dict[str, Any]
 ) -> None:
     body = json.dumps(fields).encode()
-    await reply_lib.send(ctx.reply, status, _JSON_HEADERS, body)
+    await response_writer_lib.send(
+        ctx.response_writer, status, _JSON_HEADERS, body
+    )
--- a/src/cowsliprill/entry/calls.py
+++ b/src/cowsliprill/entry/calls.py
@@ -35,15 +35,17 @@
     """The calls of one attempt at a model request.
 
     Attributes:
-      prefill_runs: Whether a prefill counts as running the request.
-      closing_ends_work: Whether an engine drops a request when its connection
+      prefill_counts_as_execution: Whether a prefill counts as running the
+        request.
+      disconnect_cancels: Whether an engine drops a request when its connection
         is closed. Otherwise cancel orders are sent.
-      resumes_elsewhere: Whether another engine may go on with a broken stream.
+      can_resume_elsewhere: Whether another engine may go on with a broken
+        stream.
     """
 
-    prefill_runs: bool
-    closing_ends_work: bool
-    resumes_elsewhere: bool
+    prefill_counts_as_execution: bool
+    disconnect_cancels: bool
+    can_resume_elsewhere: bool
 
     def attempt_id(self, ctx: context.Context) -> str:
         """Returns the id by which engines know the present attempt."""
--- a/src/cowsliprill/entry/context.py
+++ b/src/cowsliprill/entry/context.py
@@ -11,7 +11,7 @@
 from cowsliprill.decisions import model
 from cowsliprill.engines import http_client
 from cowsliprill.entry import errors
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
 from cowsliprill.entry import schema
 
 
@@ -82,7 +82,7 @@
       last_token_at: When the last token was there.
       tokens: Tokens that the caller was sent.
       attempts: Attempts made.
-      resumes: Tries to resume its stream since the last new token.
+      resumes_since_token: Tries to resume its stream since the last new token.
       resumed_at_token: The last token when it was last resumed.
       prefilled_at: When the newest prefill was finished.
       last_event_id: Id of the last event that the caller was sent.
@@ -96,7 +96,7 @@
     last_token_at: float = 0.0
     tokens: int = 0
     attempts: int = 0
-    resumes: int = 0
+    resumes_since_token: int = 0
     resumed_at_token: int = -1
     prefilled_at: float = 0.0
     last_event_id: str = ""
@@ -111,7 +111,7 @@
       number: Number of the request within this incarnation.
       request_id: `<incarnation>.<number>`, in every log line about it.
       call: What the caller sent.
-      reply: Where the answer goes.
+      response_writer: Where the answer goes.
       arrived_at: Time of arrival, seconds.
       snapshot: Settings in force at arrival; they hold for all of the request.
       caller_id: The caller's own id of this attempt, for logs; empty for none.
@@ -135,7 +135,8 @@
         until the end; by `placement`.
       connection: An open connection to the decode engine of the present
         attempt, not used yet.
-      kept: A finished prefill that no decode engine has fetched yet.
+      exported_prefill: A finished prefill that no decode engine has fetched
+        yet.
       idempotency_key: Key or ticket, empty for none; by `idempotency`.
       survives_caller: Whether the run goes on without its caller; by
         `idempotency`.
@@ -147,7 +148,7 @@
     number: int
     request_id: str
     call: Call
-    reply: reply_lib.Reply
+    response_writer: response_writer_lib.ResponseWriter
     arrived_at: float
     snapshot: model.Snapshot
     caller_id: str = ""
@@ -165,7 +166,7 @@
     stated_tokens: int = 0
     stall_s: float | None = None
     connection: http_client.Connection | None = None
-    kept: Any = None
+    exported_prefill: Any = None
     idempotency_key: str = ""
     survives_caller: bool = False
     start: messages.Start | None = None
--- a/src/cowsliprill/entry/core.py
+++ b/src/cowsliprill/entry/core.py
@@ -24,13 +24,13 @@
 from cowsliprill.entry import canceller
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import dialect as dialect_lib
-from cowsliprill.entry import forward
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import model_relay
 from cowsliprill.entry import native
 from cowsliprill.entry import placing as placing_lib
 from cowsliprill.entry import plain_relay
 from cowsliprill.entry import routes
+from cowsliprill.entry import ticket_forwarding
 from cowsliprill.entry import world as world_lib
 from cowsliprill.entry.filters import admission
 from cowsliprill.entry.filters import idempotency
@@ -146,7 +146,7 @@
     def _make_canceller(
         self, homes: coordinator_client.CoordinatorClient
     ) -> canceller.Canceller | canceller.NoOrders:
-        if self._dialect.engines.closing_ends_work:
+        if self._dialect.engines.disconnect_cancels:
             return canceller.NoOrders()
         return canceller.Canceller(
             engine_client.EngineClient(self._http),
@@ -208,7 +208,7 @@
             report=report.Report(self._log, self._metrics, self._dialect),
             idempotency=idempotency.Idempotency(
                 ticket_store,
-                forward.Forwarder(
+                ticket_forwarding.TicketForwarder(
                     self._http,
                     self._world,
                     self._auth,
--- a/src/cowsliprill/entry/filters/idempotency.py
+++ b/src/cowsliprill/entry/filters/idempotency.py
@@ -10,8 +10,8 @@
 from cowsliprill.engines import protocol
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import forward
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
+from cowsliprill.entry import ticket_forwarding
 
 REPLAYED_HEADER = "Idempotent-Replayed"
 
@@ -26,13 +26,13 @@
     Attributes:
       ticket_store: Tickets and keys of this incarnation.
       forwarder: Passes requests on to the owners of their tickets.
-      room: Room for answers while they are recorded.
+      recording_budget: Room for answers while they are recorded.
     """
 
     ticket_store: tickets.TicketStore
-    forwarder: forward.Forwarder
-    room: reply_lib.RecordingRoom = dataclasses.field(
-        default_factory=reply_lib.RecordingRoom
+    forwarder: ticket_forwarding.TicketForwarder
+    recording_budget: response_writer_lib.RecordingBudget = dataclasses.field(
+        default_factory=response_writer_lib.RecordingBudget
     )
 
     async def __call__(
@@ -55,8 +55,11 @@
             case tickets.Replay(answer) if answer is not None:
                 ctx.progress.outcome = "replayed"
                 headers = [*answer.headers, (REPLAYED_HEADER, "true")]
-                await reply_lib.send(
-                    ctx.reply, answer.status, _bare(headers), answer.body
+                await response_writer_lib.send(
+                    ctx.response_writer,
+                    answer.status,
+                    _bare(headers),
+                    answer.body,
                 )
             case tickets.OwnedElsewhere(ticket):
                 await self.forwarder.forward(ctx, ticket)
@@ -80,8 +83,10 @@
     async def _run(
         self, ctx: context.Context, proceed: context.Handle, record: str
     ) -> None:
-        recording = reply_lib.RecordingReply(ctx.reply, self.room)
-        ctx.reply = recording
+        recording = response_writer_lib.RecordingResponseWriter(
+            ctx.response_writer, self.recording_budget
+        )
+        ctx.response_writer = recording
         # A booking whose caller is gone has most likely been made. Going on to
         # its end costs no engine memory, and the caller's retry then learns
         # what became of it instead of "unknown".
@@ -100,12 +105,12 @@
         else:
             self.ticket_store.finish(record, recording.answer())
         finally:
-            recording.forget()
+            recording.release()
 
     def _settle_error(
         self,
         record: str,
-        recording: reply_lib.RecordingReply,
+        recording: response_writer_lib.RecordingResponseWriter,
         error: errors.EntryError,
     ) -> None:
         if error.run is messages.Executed.NO:
--- a/src/cowsliprill/entry/filters/plain_placement.py
+++ b/src/cowsliprill/entry/filters/plain_placement.py
@@ -84,7 +84,7 @@
                     ctx.progress.attempts -= 1
                 elif not self._may_go_on(ctx):
                     if lost.answer is not None:
-                        await plain_relay.send_answer(ctx, lost.answer)
+                        await plain_relay.relay_response(ctx, lost.answer)
                         return
                     raise _failure(ctx) from lost
             # An endpoint that checks keys knows its own calls only, so a call
--- a/src/cowsliprill/entry/filters/report.py
+++ b/src/cowsliprill/entry/filters/report.py
@@ -7,7 +7,7 @@
 from cowsliprill.decisions import model
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
@@ -43,7 +43,7 @@
             ctx.progress.outcome = error.code
             ctx.progress.run = error.run
             await self._answer_error(ctx, error)
-        except reply_lib.CallerGone:
+        except response_writer_lib.CallerDisconnected:
             ctx.progress.outcome = CALLER_GONE
         except asyncio.CancelledError:
             ctx.progress.outcome = CALLER_GONE
@@ -62,17 +62,20 @@
         self, ctx: context.Context, error: errors.EntryError
     ) -> None:
         try:
-            if not ctx.reply.started:
+            if not ctx.response_writer.started:
                 answer = self.answers.error_answer(error)
-                await reply_lib.send(
-                    ctx.reply, answer.status, answer.headers, answer.body
+                await response_writer_lib.send(
+                    ctx.response_writer,
+                    answer.status,
+                    answer.headers,
+                    answer.body,
                 )
                 return
             event = self.answers.error_event(error)
             if event and _streams(ctx):
-                await ctx.reply.write(event)
-            ctx.reply.abort()
-        except reply_lib.CallerGone:
+                await ctx.response_writer.write(event)
+            ctx.response_writer.abort()
+        except response_writer_lib.CallerDisconnected:
             pass
 
     def _record(self, ctx: context.Context) -> None:
--- a/src/cowsliprill/entry/gate.py
+++ b/src/cowsliprill/entry/gate.py
@@ -8,7 +8,7 @@
 from cowsliprill.decisions import model
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
 from cowsliprill.entry import world as world_lib
 
 _MAX_BUFFERED_BYTES = 16_777_216
@@ -44,7 +44,9 @@
         return self.world.snapshot.limits
 
     def open(
-        self, call: context.Call, reply: reply_lib.Reply
+        self,
+        call: context.Call,
+        response_writer: response_writer_lib.ResponseWriter,
     ) -> context.Context:
         """Gives a call its number and the settings that hold for it."""
         number = self._next_number
@@ -53,7 +55,7 @@
             number=number,
             request_id=f"{self.incarnation}.{number}",
             call=call,
-            reply=reply,
+            response_writer=response_writer,
             arrived_at=clock.now(),
             snapshot=self.world.snapshot,
         )
@@ -95,7 +97,7 @@
     def cut(self) -> None:
         """Breaks off all requests in progress, so that callers notice."""
         for task, ctx in list(self.tasks.items()):
-            ctx.reply.abort()
+            ctx.response_writer.abort()
             task.cancel()
 
     def check_open(self) -> errors.EntryError | None:
--- a/src/cowsliprill/entry/handlers.py
+++ b/src/cowsliprill/entry/handlers.py
@@ -10,9 +10,9 @@
 from cowsliprill.decisions import identity
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import forward
 from cowsliprill.entry import gate as gate_lib
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
+from cowsliprill.entry import ticket_forwarding
 
 # A body beyond the limit is read and dropped up to so many times the limit, so
 # that its sender gets to read the 413; beyond, the connection is closed.
@@ -125,9 +125,9 @@
 
     async def _serve(self) -> None:
         body = b"".join(self._chunks)
-        reply = reply_lib.HttpReply(self)
-        self._ctx = self._gate.open(self.call(body), reply)
-        reply.request_id = self._ctx.request_id
+        response_writer = response_writer_lib.HttpResponseWriter(self)
+        self._ctx = self._gate.open(self.call(body), response_writer)
+        response_writer.request_id = self._ctx.request_id
         self._task = self._gate.run(self._handle, self._ctx)
         try:
             await asyncio.wait([self._task])
@@ -187,9 +187,9 @@
     def call(self, body: bytes) -> context.Call:
         """Returns the call that the peer has passed on."""
         headers = httputil.HTTPHeaders(self.request.headers)
-        method = headers.pop(forward.METHOD_HEADER, "")
-        target = headers.pop(forward.TARGET_HEADER, "")
-        owner = headers.pop(forward.OWNER_HEADER, "")
+        method = headers.pop(ticket_forwarding.METHOD_HEADER, "")
+        target = headers.pop(ticket_forwarding.TARGET_HEADER, "")
+        owner = headers.pop(ticket_forwarding.OWNER_INCARNATION_HEADER, "")
         signature = headers.pop(peer_auth.HEADER, None)
         path, _, query = target.partition("?")
         for prefix, handle in self._handles_by_prefix:
@@ -220,7 +220,7 @@
     def _check_owner(self, owner: str) -> errors.EntryError | None:
         if owner == str(self._gate.incarnation):
             return None
-        return forward.owner_gone()
+        return ticket_forwarding.owner_ended_error()
 
 
 async def _not_found(ctx: context.Context) -> None:
--- a/src/cowsliprill/entry/model_relay.py
+++ b/src/cowsliprill/entry/model_relay.py
@@ -94,7 +94,9 @@
         # The pool's coordinator may know new engines before this process does.
         # Without this wait the attempt would fail, and its retries as well.
         for endpoint_id in (start.prefill_id, start.decode_id):
-            await self.world.learn_of(endpoint_id, _NEW_ENDPOINT_WAIT_S)
+            await self.world.wait_until_listed(
+                endpoint_id, _NEW_ENDPOINT_WAIT_S
+            )
 
     async def _connect_decode_engine(self, ctx: context.Context) -> None:
         # An engine that has crashed, or whose host is unreachable, stays listed
@@ -116,13 +118,15 @@
                 refused=connections_exhausted,
                 unsent=True,
                 unreachable=not connections_exhausted,
-                kept_s=self._export_left_s(ctx) if ctx.kept else 0.0,
+                kept_s=self._export_left_s(ctx)
+                if ctx.exported_prefill
+                else 0.0,
             ) from error
 
     async def _reuse_or_prefill(
         self, ctx: context.Context
     ) -> calls_lib.Prefilled | None:
-        exported, ctx.kept = ctx.kept, None
+        exported, ctx.exported_prefill = ctx.exported_prefill, None
         if exported is not None and ctx.start.reuses_prefill:
             return exported
         if exported is not None:
@@ -161,7 +165,7 @@
             if prefilled is not None:
                 lost.kept_s = self._export_left_s(ctx)
             if lost.kept_s:
-                ctx.kept = prefilled
+                ctx.exported_prefill = prefilled
             else:
                 self._discard_prefill(prefilled)
             raise
@@ -270,7 +274,7 @@
         self, ctx: context.Context, broken: engine_errors.StreamBroken
     ) -> bool:
         return (
-            self.calls.resumes_elsewhere
+            self.calls.can_resume_elsewhere
             and ctx.service.resume
             and broken.resumable
         )
@@ -312,7 +316,8 @@
         stage: messages.Stage,
     ) -> "_EngineCallGuard":
         counts_as_execution = (
-            stage is not messages.Stage.PREFILL or self.calls.prefill_runs
+            stage is not messages.Stage.PREFILL
+            or self.calls.prefill_counts_as_execution
         )
         return _EngineCallGuard(
             ctx, endpoint, stage, self.report_leaving, counts_as_execution
--- a/src/cowsliprill/entry/native.py
+++ b/src/cowsliprill/entry/native.py
@@ -33,9 +33,9 @@
 
     incarnation: identity.Incarnation
     client: engine_client.EngineClient
-    prefill_runs: bool = True
-    closing_ends_work: bool = False
-    resumes_elsewhere: bool = False
+    prefill_counts_as_execution: bool = True
+    disconnect_cancels: bool = False
+    can_resume_elsewhere: bool = False
 
     def attempt_id(self, ctx: context.Context) -> str:
         """Returns the ID that identifies the current attempt to engines."""
--- a/src/cowsliprill/entry/plain_relay.py
+++ b/src/cowsliprill/entry/plain_relay.py
@@ -12,7 +12,7 @@
 from cowsliprill.entry import attempts
 from cowsliprill.entry import calls as calls_lib
 from cowsliprill.entry import context
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,7 +38,7 @@
             raise attempts.PlainCallLost(
                 messages.Executed.UNKNOWN, f"status {response.status}", response
             )
-        await send_answer(ctx, response)
+        await relay_response(ctx, response)
 
     async def _call_service(
         self, ctx: context.Context
@@ -58,7 +58,7 @@
                 ctx.progress.run = messages.Executed.UNKNOWN
 
 
-async def send_answer(
+async def relay_response(
     ctx: context.Context, response: service_client.ServiceAnswer
 ) -> None:
     """Sends a plain service's complete response to the caller.
@@ -69,8 +69,11 @@
     """
     ctx.progress.first_token_at = clock.now()
     ctx.progress.last_token_at = ctx.progress.first_token_at
-    await reply_lib.send(
-        ctx.reply, response.status, response.headers.get_all(), response.body
+    await response_writer_lib.send(
+        ctx.response_writer,
+        response.status,
+        response.headers.get_all(),
+        response.body,
     )
 
 
--- a/src/cowsliprill/entry/reply.py
+++ b/src/cowsliprill/entry/response_writer.py
@@ -13,11 +13,11 @@
 Headers = Iterable[tuple[str, str]]
 
 
-class CallerGone(Exception):  # noqa: N818
+class CallerDisconnected(Exception):  # noqa: N818
     """Raised when writing to a caller whose connection is closed."""
 
 
-class Reply(Protocol):
+class ResponseWriter(Protocol):
     """Writer of one HTTP response: `start`, then `write`, then `end`.
 
     Attributes:
@@ -40,24 +40,24 @@
 
 
 async def send(
-    reply: Reply, status: int, headers: Headers, body: bytes
+    response_writer: ResponseWriter, status: int, headers: Headers, body: bytes
 ) -> None:
     """Sends a complete response with a `Content-Length`.
 
     Args:
-      reply: Response writer.
+      response_writer: Response writer.
       status: HTTP status.
       headers: Headers other than `Content-Length`.
       body: Response body.
     """
     length = ("Content-Length", str(len(body)))
-    await reply.start(status, [*headers, length])
+    await response_writer.start(status, [*headers, length])
     if body:
-        await reply.write(body)
-    await reply.end()
+        await response_writer.write(body)
+    await response_writer.end()
 
 
-class HttpReply:
+class HttpResponseWriter:
     """Writes a response through a Tornado request handler.
 
     Args:
@@ -95,24 +95,24 @@
           chunk: Chunk of the body.
 
         Raises:
-          CallerGone: The connection is closed.
+          CallerDisconnected: The connection is closed.
         """
         self._handler.write(chunk)
         try:
             await self._handler.flush()
         except iostream.StreamClosedError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
     async def end(self) -> None:
         """Finishes a complete response.
 
         Raises:
-          CallerGone: The connection is closed.
+          CallerDisconnected: The connection is closed.
         """
         try:
             await self._handler.finish()
         except iostream.StreamClosedError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
     def abort(self) -> None:
         """Closes the connection without terminating the body."""
@@ -123,18 +123,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class RecordingRoom:
+class RecordingBudget:
     """Memory budget shared by all responses that are being recorded.
 
     Attributes:
-      left: Remaining budget in bytes.
+      remaining_bytes: Remaining budget in bytes.
     """
 
-    left: int = tickets.MAX_STORED_BYTES
+    remaining_bytes: int = tickets.MAX_STORED_BYTES
 
 
 @dataclasses.dataclass(slots=True)
-class RecordingReply:
+class RecordingResponseWriter:
     """Forwards a response to another writer and records a copy for replay.
 
     Recording continues after the caller has disconnected, so that a retry with
@@ -146,14 +146,14 @@
 
     Attributes:
       inner: Writer that the response is forwarded to.
-      room: Shared memory budget.
+      budget: Shared memory budget.
       started: Whether status and headers have been set.
       finished: Whether the response is finished.
       caller_disconnected: Whether the caller's connection is closed.
     """
 
-    inner: Reply
-    room: RecordingRoom
+    inner: ResponseWriter
+    budget: RecordingBudget
     started: bool = False
     finished: bool = False
     caller_disconnected: bool = False
@@ -194,27 +194,29 @@
             status=self._status, headers=self._headers, body=body
         )
 
-    def forget(self) -> None:
+    def release(self) -> None:
         """Drops the recording and returns its bytes to the shared budget."""
         self._chunks.clear()
-        self.room.left += self._recorded_bytes
+        self.budget.remaining_bytes += self._recorded_bytes
         self._recorded_bytes = 0
 
     def _record(self, chunk: bytes) -> None:
         size = len(chunk)
         fits = self._recorded_bytes + size <= tickets.MAX_RESPONSE_BYTES
-        if not (self._within_limits and fits and size <= self.room.left):
+        if not (
+            self._within_limits and fits and size <= self.budget.remaining_bytes
+        ):
             self._within_limits = False
-            self.forget()
+            self.release()
             return
         self._chunks.append(chunk)
         self._recorded_bytes += size
-        self.room.left -= size
+        self.budget.remaining_bytes -= size
 
     async def _write_through(self, operation, *arguments) -> None:
         if self.caller_disconnected:
             return
         try:
             await operation(*arguments)
-        except CallerGone:
+        except CallerDisconnected:
             self.caller_disconnected = True
--- a/src/cowsliprill/entry/sinks.py
+++ b/src/cowsliprill/entry/sinks.py
@@ -7,7 +7,7 @@
 from cowsliprill.engines import event_stream
 from cowsliprill.engines import hop_headers
 from cowsliprill.entry import context
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
 
 _OK = 200
 _STREAM_HEADERS = (
@@ -28,21 +28,25 @@
 
 
 class _StreamSink:
-    def __init__(self, reply: reply_lib.Reply) -> None:
-        self._reply = reply
+    def __init__(
+        self, response_writer: response_writer_lib.ResponseWriter
+    ) -> None:
+        self._response_writer = response_writer
 
     async def take(self, events: bytes) -> None:
-        if not self._reply.started:
-            await self._reply.start(_OK, _STREAM_HEADERS)
-        await self._reply.write(events)
+        if not self._response_writer.started:
+            await self._response_writer.start(_OK, _STREAM_HEADERS)
+        await self._response_writer.write(events)
 
     async def end(self) -> None:
-        await self._reply.end()
+        await self._response_writer.end()
 
 
 class _WholeSink:
-    def __init__(self, reply: reply_lib.Reply) -> None:
-        self._reply = reply
+    def __init__(
+        self, response_writer: response_writer_lib.ResponseWriter
+    ) -> None:
+        self._response_writer = response_writer
         self._response_builder = stream_lib.ResponseBuilder()
 
     async def take(self, events: bytes) -> None:
@@ -50,14 +54,16 @@
 
     async def end(self) -> None:
         body = json.dumps(self._response_builder.answer()).encode()
-        await reply_lib.send(self._reply, _OK, _JSON_HEADERS, body)
+        await response_writer_lib.send(
+            self._response_writer, _OK, _JSON_HEADERS, body
+        )
 
 
 def sink_for(ctx: context.Context) -> Sink:
     """Returns where the tokens of a request go."""
     if ctx.generation.request.stream:
-        return _StreamSink(ctx.reply)
-    return _WholeSink(ctx.reply)
+        return _StreamSink(ctx.response_writer)
+    return _WholeSink(ctx.response_writer)
 
 
 class EventSink:
@@ -78,15 +84,15 @@
 
     async def take(self, events: bytes) -> None:
         """Passes events on."""
-        reply = self._ctx.reply
-        if not reply.started:
+        response_writer = self._ctx.response_writer
+        if not response_writer.started:
             headers = hop_headers.end_to_end(self._stream.headers)
-            await reply.start(self._stream.status, headers.get_all())
-        await reply.write(events)
+            await response_writer.start(self._stream.status, headers.get_all())
+        await response_writer.write(events)
         # Noted once the caller's socket has them: a stream that goes on
         # elsewhere must begin after what was really passed on.
         self._ctx.progress.last_event_id = self._stream.last_id
 
     async def end(self) -> None:
         """Ends the answer, which is whole."""
-        await self._ctx.reply.end()
+        await self._ctx.response_writer.end()
--- a/src/cowsliprill/entry/stream_resume.py
+++ b/src/cowsliprill/entry/stream_resume.py
@@ -56,14 +56,14 @@
             return False
         progress = ctx.progress
         if broken.last_token > progress.resumed_at_token:
-            progress.resumes = 0
+            progress.resumes_since_token = 0
         progress.resumed_at_token = broken.last_token
         budget = self.budgets.of(ctx.service)
         backoff_s = _INITIAL_BACKOFF_S
         # A stream that breaks repeatedly without a new token counts all its
         # earlier resumes. Otherwise it would be resumed without end.
-        while budget.try_withdraw(1 + progress.resumes):
-            progress.resumes += 1
+        while budget.try_withdraw(1 + progress.resumes_since_token):
+            progress.resumes_since_token += 1
             try:
                 await self.client.resume(
                     endpoint, stream, timeout_s=ctx.service.timeout_s
--- a/src/cowsliprill/entry/forward.py
+++ b/src/cowsliprill/entry/ticket_forwarding.py
@@ -26,7 +26,7 @@
 
 METHOD_HEADER = "X-Forwarded-Method"
 TARGET_HEADER = "X-Forwarded-Target"
-OWNER_HEADER = "X-Ticket-Owner"
+OWNER_INCARNATION_HEADER = "X-Ticket-Owner"
 
 _RETRY_AFTER_S = 1.0
 _PEER_TIMEOUT_S = 1.0
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Forwarder:
+class TicketForwarder:
     """Forwards requests to other entry processes over their peer ports.
 
     Attributes:
@@ -73,14 +73,14 @@
             # A forwarded ticket of another incarnation has reached the process
             # that took over the owner's port. Forwarding the request again
             # would create a loop.
-            raise owner_gone()
+            raise owner_ended_error()
         ctx.progress.run = messages.Executed.UNKNOWN
         address = (vm.host, ticket.port)
         try:
             await self._proxy_to(ctx, address, str(ticket.incarnation))
         except engine_errors.CallError as error:
-            if ctx.reply.started:
-                ctx.reply.abort()
+            if ctx.response_writer.started:
+                ctx.response_writer.abort()
             raise errors.EntryError(
                 errors.Code.TICKET_OWNER_UNREACHABLE,
                 "The process that owns this ticket is unreachable.",
@@ -88,7 +88,7 @@
                 retry_after_s=_RETRY_AFTER_S,
             ) from error
 
-    async def issue_elsewhere(self, ctx: context.Context) -> bool:
+    async def issue_at_peer(self, ctx: context.Context) -> bool:
         """Forwards a request for a ticket to another entry process.
 
         Used while this process shuts down: its own tickets become invalid
@@ -112,7 +112,7 @@
                 await self._proxy_to(ctx, address, incarnation)
                 return True
             except (engine_errors.CallError, codec.CodecError):
-                if ctx.reply.started:
+                if ctx.response_writer.started:
                     raise
         return False
 
@@ -169,7 +169,7 @@
         headers = hop_headers.end_to_end(call.headers)
         headers[METHOD_HEADER] = call.method
         headers[TARGET_HEADER] = call.target
-        headers[OWNER_HEADER] = owner_incarnation
+        headers[OWNER_INCARNATION_HEADER] = owner_incarnation
         for name, value in self.auth.headers(call.body).items():
             headers[name] = value
         return headers
@@ -181,15 +181,15 @@
     headers = hop_headers.end_to_end(response.headers)
     if "Content-Length" in response.headers:
         headers["Content-Length"] = response.headers["Content-Length"]
-    await ctx.reply.start(response.status, headers.get_all())
+    await ctx.response_writer.start(response.status, headers.get_all())
     async for chunk in response.chunks():
-        await ctx.reply.write(chunk)
-    await ctx.reply.end()
+        await ctx.response_writer.write(chunk)
+    await ctx.response_writer.end()
     succeeded = response.status < http.HTTPStatus.BAD_REQUEST
     ctx.progress.outcome = "forwarded" if succeeded else "forwarded_error"
 
 
-def owner_gone() -> errors.EntryError:
+def owner_ended_error() -> errors.EntryError:
     """Returns the error for a ticket whose owner process has ended."""
     return errors.EntryError(
         errors.Code.TICKET_OWNER_GONE,
--- a/src/cowsliprill/entry/world.py
+++ b/src/cowsliprill/entry/world.py
@@ -69,7 +69,7 @@
         self._updated.set()
         self._updated = asyncio.Event()
 
-    async def learn_of(self, endpoint_id: str, wait_s: float) -> None:
+    async def wait_until_listed(self, endpoint_id: str, wait_s: float) -> None:
         """Waits for an endpoint that another VM knows and this one doesn't.
 
         News of a new endpoint reach some VMs before others. One that was here
--- a/src/cowsliprill/platform/engines.py
+++ b/src/cowsliprill/platform/engines.py
@@ -62,9 +62,9 @@
       log: The process's log.
     """
 
-    prefill_runs = False
-    closing_ends_work = True
-    resumes_elsewhere = True
+    prefill_counts_as_execution = False
+    disconnect_cancels = True
+    can_resume_elsewhere = True
 
     def __init__(
         self, client: http_client.HttpClient, log: log_lib.Log
--- a/tests/answers.py
+++ b/tests/answers.py
@@ -4,7 +4,7 @@
 from cowsliprill.engines import exchange
 
 
-async def read_broken(response: exchange.Response) -> tuple[bytes, bool]:
+async def read_until_error(response: exchange.Response) -> tuple[bytes, bool]:
     """Returns the bytes of a response body and whether it ended cleanly."""
     chunks = []
     try:
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -9,7 +9,7 @@
 from tests import answers
 from tests import entry_site
 
-from cowsliprill.entry import reply
+from cowsliprill.entry import response_writer
 
 _COMPLETIONS = "/v1/completions"
 _TOKENS = 8
@@ -30,7 +30,7 @@
                     for fault in faults:
                         engine.conduct.set(fault)
             raw_response = await site.open("POST", _COMPLETIONS, body)
-            text, ended_cleanly = await answers.read_broken(raw_response)
+            text, ended_cleanly = await answers.read_until_error(raw_response)
             await site.until_free()
             response = entry_site.Answer(
                 raw_response.status, raw_response.headers, text
@@ -289,7 +289,7 @@
     def test_buffers_are_bounded(self, monkeypatch):
         """Guards against unbounded buffering in the entry process."""
         written_bytes = 0
-        write = reply.HttpReply.write
+        write = response_writer.HttpResponseWriter.write
 
         async def counting_write(self, chunk):
             nonlocal written_bytes
@@ -299,7 +299,9 @@
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192)
             await write(self, chunk)
 
-        monkeypatch.setattr(reply.HttpReply, "write", counting_write)
+        monkeypatch.setattr(
+            response_writer.HttpResponseWriter, "write", counting_write
+        )
 
         async def scenario():
             async with entry_site.running(max_output_tokens=100_000) as site:
--- a/tests/test_entry_tickets.py
+++ b/tests/test_entry_tickets.py
@@ -10,8 +10,8 @@
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import model
 from cowsliprill.decisions import tickets
-from cowsliprill.entry import forward
-from cowsliprill.entry import reply
+from cowsliprill.entry import response_writer
+from cowsliprill.entry import ticket_forwarding
 
 _BOOK = "/services/booking/slots"
 _SAFE = "/services/safe-booking/slots"
@@ -285,9 +285,11 @@
                 peers.FORWARD_PATH,
                 {
                     "Authorization": "Bearer key-amahoro",
-                    forward.METHOD_HEADER: "POST",
-                    forward.TARGET_HEADER: _BOOK,
-                    forward.OWNER_HEADER: site.status()["incarnation"],
+                    ticket_forwarding.METHOD_HEADER: "POST",
+                    ticket_forwarding.TARGET_HEADER: _BOOK,
+                    ticket_forwarding.OWNER_INCARNATION_HEADER: site.status()[
+                        "incarnation"
+                    ],
                 },
                 _BODY,
             )
@@ -401,22 +403,22 @@
         """
 
         async def record():
-            room = reply.RecordingRoom(left=10)
-            first = reply.RecordingReply(_Nowhere(), room)
-            second = reply.RecordingReply(_Nowhere(), room)
+            budget = response_writer.RecordingBudget(remaining_bytes=10)
+            first = response_writer.RecordingResponseWriter(_Nowhere(), budget)
+            second = response_writer.RecordingResponseWriter(_Nowhere(), budget)
             for recording in (first, second):
                 await recording.start(200, [])
                 await recording.write(b"123456")
                 await recording.end()
             answers = [first.answer(), second.answer()]
             for recording in (first, second):
-                recording.forget()
-            return answers, room.left
+                recording.release()
+            return answers, budget.remaining_bytes
 
-        (kept, dropped), left = asyncio.run(record())
+        (kept, dropped), remaining_bytes = asyncio.run(record())
         assert kept.body == b"123456"
         assert dropped is None
-        assert left == 10
+        assert remaining_bytes == 10
 
 
 class _Nowhere:
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -43,8 +43,10 @@
         self.server.add_sockets(sockets)
 
     async def _handle(self, ctx: context.Context) -> None:
-        await ctx.reply.start(200, [("Content-Type", "text/event-stream")])
-        await ctx.reply.write(b"id: 1\ndata: a\n\n")
+        await ctx.response_writer.start(
+            200, [("Content-Type", "text/event-stream")]
+        )
+        await ctx.response_writer.write(b"id: 1\ndata: a\n\n")
         self.started.set()
         await asyncio.Event().wait()
 
--- a/tests/test_model_relay.py
+++ b/tests/test_model_relay.py
@@ -66,7 +66,7 @@
         del now
         return model.Fleet(leaving_endpoint_ids=self.leaving)
 
-    async def learn_of(self, endpoint_id, wait_s):
+    async def wait_until_listed(self, endpoint_id, wait_s):
         del endpoint_id, wait_s
 
     def remove_endpoint(self, name):
@@ -79,9 +79,9 @@
 class _FakeEngineCalls:
     """Engine calls that succeed; hooks run while they are in progress."""
 
-    prefill_runs = False
-    closing_ends_work = True
-    resumes_elsewhere = True
+    prefill_counts_as_execution = False
+    disconnect_cancels = True
+    can_resume_elsewhere = True
 
     def __init__(self):
         self.on_prefill = self.on_decode = lambda: None
@@ -150,7 +150,7 @@
             progress=context.Progress(),
             ends_at=clock.now() + 60,
             connection=None,
-            kept=None,
+            exported_prefill=None,
             stall_s=None,
         )
 
@@ -255,6 +255,6 @@
 
     def test_exported_prefill_of_an_earlier_attempt_is_discarded(self):
         harness = _Harness(prefill="d")
-        harness.ctx.kept = "handle"
+        harness.ctx.exported_prefill = "handle"
         harness.run()
         assert harness.calls.discarded == ["handle"]
--- a/tests/test_plain_walk.py
+++ b/tests/test_plain_call_outcomes.py
@@ -128,14 +128,14 @@
         idempotency_key="",
         endpoint=None,
         stall_s=None,
-        reply=None,
+        response_writer=None,
     )
 
-    async def send_answer(_, response):
+    async def relay_response(_, response):
         statuses.append(response.status)
 
     async def run(monkeypatch):
-        monkeypatch.setattr(plain_relay, "send_answer", send_answer)
+        monkeypatch.setattr(plain_relay, "relay_response", relay_response)
         try:
             await placement(ctx, plain_relay.PlainRelay(servers))
         except errors.EntryError as error:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -341,7 +341,7 @@
             )
             for name in ("d0", "d1"):
                 site.engines[name].cut.set()
-            rest = await answers.read_broken(response)
+            rest = await answers.read_until_error(response)
             return begin, rest, site.runs()
 
         begin, rest, runs = _on_site(scenario)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -41,7 +41,7 @@
 
         async def scenario():
             world = world_lib.World(_snapshot("a"))
-            waiting = asyncio.create_task(world.learn_of("b", _LONG_S))
+            waiting = asyncio.create_task(world.wait_until_listed("b", _LONG_S))
             await asyncio.sleep(0)
             assert not waiting.done()
             world.update(_snapshot("a", "c"), model.Fleet())
@@ -57,11 +57,11 @@
         async def scenario():
             world = world_lib.World(_snapshot("a", "gone"))
             world.update(_snapshot("a"), model.Fleet())
-            await world.learn_of(name, _LONG_S)
+            await world.wait_until_listed(name, _LONG_S)
 
         asyncio.run(asyncio.wait_for(scenario(), _LONG_S / 2))
 
     def test_the_wait_ends(self):
         world = world_lib.World(_snapshot("a"))
-        asyncio.run(world.learn_of("b", 0.01))
+        asyncio.run(world.wait_until_listed("b", 0.01))
         assert "b" not in world.snapshot.endpoints_by_id
