--- a/src/cowsliprill/entry/__init__.py
+++ b/src/cowsliprill/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process that callers talk to."""
+"""The entry process: the HTTP front end that callers send requests to."""
--- a/src/cowsliprill/entry/__main__.py
+++ b/src/cowsliprill/entry/__main__.py
@@ -18,14 +18,14 @@
 
 
 def main() -> int:
-    """Runs the process.
+    """Runs the entry process until it is stopped.
 
     Returns:
       The exit code.
     """
     return launcher.run(
         "cowsliprill-entry",
-        "Takes callers' requests and places them on engines and services.",
+        "Accepts callers' requests and routes them to engines and services.",
         _serve,
     )
 
--- a/src/cowsliprill/entry/answers.py
+++ b/src/cowsliprill/entry/answers.py
@@ -1,4 +1,8 @@
-"""Answers that this process gives by itself: models, tickets, not found."""
+"""Parts of the HTTP API that the entry process serves itself.
+
+These are the model list, the issue of tickets and the response for unknown
+paths; none of them needs an engine or a plain service.
+"""
 
 import dataclasses
 import json
@@ -21,7 +25,7 @@
 
 
 async def list_models(ctx: context.Context) -> None:
-    """Answers `GET /v1/models` with the model services of the caller."""
+    """Serves `GET /v1/models`: the model services of the calling customer."""
     services = resolve.services_of(ctx.customer, ctx.snapshot)
     data = [
         {"id": name, "object": "model", "owned_by": service.customer}
@@ -31,21 +35,28 @@
     await _send_json(ctx, _OK, {"object": "list", "data": data})
 
 
-async def refuse_path(ctx: context.Context) -> None:
-    """Answers any path that isn't served."""
+async def raise_path_not_found(ctx: context.Context) -> None:
+    """Serves unknown paths.
+
+    Args:
+      ctx: The request.
+
+    Raises:
+      errors.EntryError: Always, with `PATH_NOT_FOUND`.
+    """
     raise errors.EntryError(
-        errors.Code.PATH_NOT_FOUND, f"There is nothing at {ctx.call.path}."
+        errors.Code.PATH_NOT_FOUND, f"No resource at {ctx.call.path}."
     )
 
 
 @dataclasses.dataclass(slots=True)
 class IssueTicket:
-    """Answers `POST /v1/tickets`.
+    """Serves `POST /v1/tickets`.
 
     Attributes:
-      book: The tickets of this incarnation.
-      gate: Knows whether the process is leaving.
-      forwarder: Reaches the processes that stay.
+      book: Ticket store of this incarnation.
+      gate: Request gate; says whether the process is draining.
+      forwarder: Forwards requests to other entry processes.
     """
 
     book: tickets.TicketBook
@@ -53,14 +64,18 @@
     forwarder: forward.Forwarder
 
     async def __call__(self, ctx: context.Context) -> None:
-        """Gives out a ticket for one request of a service."""
+        """Issues a ticket for one request to a service.
+
+        A draining process lets another process issue the ticket if one can be
+        reached.
+        """
         fields = schema.parse_json(ctx.call.body)
         request = schema.validate(schema.TicketRequest, fields)
         service = resolve.find_service(
             request.service, ctx.customer, ctx.snapshot
         )
-        leaving = self.gate.draining and not ctx.call.forwarded
-        if leaving and await self.forwarder.issue_elsewhere(ctx):
+        should_delegate = self.gate.draining and not ctx.call.forwarded
+        if should_delegate and await self.forwarder.issue_elsewhere(ctx):
             return
         ticket = self.book.issue(ctx.customer.id, service.id, clock.now())
         await _send_json(
--- a/src/cowsliprill/entry/authorization.py
+++ b/src/cowsliprill/entry/authorization.py
@@ -1,4 +1,4 @@
-"""Whether a caller's API key may be honoured now."""
+"""Checks that a request's API key is still valid."""
 
 import dataclasses
 
@@ -6,44 +6,45 @@
 from cowsliprill.entry import errors
 from cowsliprill.entry import world as world_lib
 
-# Another VM may have newer settings, and this one may within a moment.
+# Short, because another VM may have fresher settings, and this one may soon.
 _RETRY_AFTER_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Authorization:
-    """Checks keys when a request arrives, and again before each attempt.
+    """Checks API keys when a request arrives and again before each attempt.
 
     Attributes:
-      source: Tells whether the settings are recent enough.
-      world: The settings in force.
+      source: Decides whether the settings are fresh enough to accept keys.
+      world: Current settings.
     """
 
     source: world_lib.Source
     world: world_lib.World
 
     def check(self, ctx: context.Context) -> None:
-        """Checks that a request's key may be honoured now.
+        """Checks that a request's API key is valid now.
 
-        A request may have waited since it arrived; its key may be revoked by
-        now.
+        The key may have been revoked while the request was queued.
 
         Args:
           ctx: The request.
 
         Raises:
-          errors.EntryError: It may not be honoured.
+          errors.EntryError: The key is unknown or revoked, or the settings are
+            too old to tell.
         """
         if not ctx.key_hash:
             return
         if not self.source.honours_keys():
             raise errors.EntryError(
                 errors.Code.SETTINGS_UNCONFIRMED,
-                "This process can't tell whether the API key still holds.",
+                "The settings are too old to tell whether the API key is"
+                " still valid.",
                 run=ctx.progress.run,
                 retry_after_s=_RETRY_AFTER_S,
             )
         if ctx.key_hash not in self.world.snapshot.customers_by_key_hash:
             raise errors.EntryError(
-                errors.Code.INVALID_API_KEY, "The API key isn't known."
+                errors.Code.INVALID_API_KEY, "The API key is unknown."
             )
--- a/src/cowsliprill/entry/context.py
+++ b/src/cowsliprill/entry/context.py
@@ -1,4 +1,4 @@
-"""What is known of one request on its way through the filters."""
+"""Per-request state that the filters share, and the filter chain itself."""
 
 import dataclasses
 from collections.abc import Awaitable
@@ -17,17 +17,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """What the caller sent.
+    """HTTP request as the caller sent it.
 
     Attributes:
       method: HTTP method.
       path: Path without the query.
       query: Query without the question mark.
-      headers: Headers.
-      body: Body.
-      fault: What is wrong with its size, None if nothing.
-      forwarded: Whether a peer passed it on because of its ticket.
-      uri: Path and query exactly as sent, where they must stay unchanged.
+      headers: Request headers.
+      body: Request body; incomplete if the request is refused for its size.
+      fault: Error with which the request is refused before it reaches the
+        filters (size limits, shutdown, forwarding by a stranger), or None.
+      forwarded: Whether a peer forwarded the request because of its ticket.
+      uri: Path and query exactly as sent, for services that get them unchanged.
     """
 
     method: str
@@ -41,23 +42,23 @@
 
     @property
     def target(self) -> str:
-        """Path and query."""
+        """Path and query, joined by a question mark if there is a query."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Generation:
-    """A model request, as checked.
+    """Validated parameters of a model request.
 
     Attributes:
-      request: The checked body, None where bodies are passed on unread.
-      fields: The body's fields as the caller sent them.
-      path: The engines' path of this kind of request.
-      prompt_tokens: Estimated tokens of the prompt.
-      prefix_hashes: Hashes of its first blocks, salted by the customer.
-      output_tokens: Limit of the answer.
-      expected_tokens: The caller's own guess of the answer's length, 0 for
-        none.
+      request: Validated body, None where bodies are passed on unparsed.
+      fields: Fields of the body as the caller sent them.
+      path: Path of this kind of request at the engines.
+      prompt_tokens: Estimated number of prompt tokens.
+      prefix_hashes: Hashes of the first blocks of the prompt, salted by the
+        customer so that no customer can observe another's cached prefixes.
+      output_tokens: Limit of output tokens.
+      expected_tokens: Caller's own estimate of the output tokens, 0 for none.
     """
 
     request: schema.GenerationRequest | None = None
@@ -71,22 +72,22 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Progress:
-    """How far a request has come; read for logs, metrics and errors.
+    """Progress of a request, for logs, metrics and errors.
 
     Attributes:
-      run: What may be said of whether it was run. It never turns back from
-        UNKNOWN to NO.
-      prefills: Prefills started.
-      prefills_used: Prefills whose decode gave a token.
-      first_token_at: When the first token was there, 0 if none was.
-      last_token_at: When the last token was there.
-      tokens: Tokens that the caller was sent.
-      attempts: Attempts made.
-      resumes: Tries to resume its stream since the last new token.
-      resumed_at_token: The last token when it was last resumed.
-      prefilled_at: When the newest prefill was finished.
-      last_event_id: Id of the last event that the caller was sent.
-      outcome: The request's end, for logs and metrics.
+      run: Whether the request was executed, as far as known. Once an attempt
+        has ended as UNKNOWN, the value stays UNKNOWN.
+      prefills: Number of prefills started.
+      prefills_used: Number of prefills whose decode produced a token.
+      first_token_at: Time of the first token in seconds, 0 if there is none.
+      last_token_at: Time of the last token in seconds.
+      tokens: Number of tokens sent to the caller.
+      attempts: Number of attempts made.
+      resumes: Attempts to resume the stream since the last new token.
+      resumed_at_token: Number of the last token at the latest resumption.
+      prefilled_at: Time in seconds at which the latest prefill finished.
+      last_event_id: Id of the last event sent to the caller.
+      outcome: Outcome of the request, for logs and metrics.
     """
 
     run: messages.Run = messages.Run.NO
@@ -105,43 +106,49 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Context:
-    """One request; each filter fills in what it finds out.
+    """One request and what the filters have determined about it so far.
+
+    The text after "set by" names the filter that fills an attribute in.
 
     Attributes:
       number: Number of the request within this incarnation.
-      request_id: `<incarnation>.<number>`, in every log line about it.
-      call: What the caller sent.
-      reply: Where the answer goes.
-      arrived_at: Time of arrival, seconds.
-      snapshot: Settings in force at arrival; they hold for all of the request.
-      caller_id: The caller's own id of this attempt, for logs; empty for none.
-      customer: The calling customer; by `identify`.
-      key_hash: Digest of the API key that must hold until it runs, empty for
-        none; by `identify`.
-      route: The route called, None where callers name a service; by `route`.
-      service: The service called; by `resolve` or `route`.
-      generation: The model request, None for plain calls; by `resolve`.
-      service_path: Rest of the path of a plain call; by `resolve`.
-      priority: The service's priority with the caller's offset; by `urgency`.
-      deadline: Latest useful time of the first token; by `urgency`.
-      ends_at: When the final answer is due; by `urgency`.
-      useful_until: Latest time of the first token at which the answer is still
-        of some use, 0 if that is the deadline; by `urgency`.
-      time_given_s: How long the caller says that it will wait, 0 if it says
-        nothing.
-      stated_tokens: Tokens of prompt and longest answer as the caller states
-        them, 0 if it doesn't.
-      stall_s: Silence after which the present call is given up, None to wait
-        until the end; by `placement`.
-      connection: An open connection to the decode engine of the present
-        attempt, not used yet.
-      kept: A finished prefill that no decode engine has fetched yet.
-      idempotency_key: Key or ticket, empty for none; by `idempotency`.
-      survives_caller: Whether the run goes on without its caller; by
+      request_id: `<incarnation>.<number>`, in every log line of the request.
+      call: HTTP request as the caller sent it.
+      reply: Writer of the response.
+      arrived_at: Time of arrival in seconds.
+      snapshot: Settings at arrival; used for the whole request.
+      caller_id: Caller's own id of this attempt, for logs; empty for none.
+      customer: Calling customer; set by `identify`.
+      key_hash: Digest of the API key, which must still be valid at each
+        attempt; empty for none; set by `identify`.
+      route: Matched route, None where callers name a service; set by `route`.
+      service: Requested service; set by `resolve` or `route`.
+      generation: Model request, None for plain services; set by `resolve`.
+      service_path: Path at the plain service; set by `resolve`.
+      priority: Priority of the service plus the caller's offset; set by
+        `urgency`.
+      deadline: Time in seconds by which the first token is due; set by
+        `urgency` or `arrival`.
+      ends_at: Time in seconds by which the complete response is due; set by
+        `urgency` or `arrival`.
+      useful_until: Time in seconds until which a late first token is still of
+        use, 0 if only until the deadline; set by `arrival`.
+      time_given_s: Timeout that the caller declares in seconds, 0 for none.
+      stated_tokens: Sum of prompt tokens and limit of output tokens that the
+        caller declares, 0 for none.
+      stall_s: Read timeout of the current call to an endpoint in seconds, None
+        to wait until the response is due; set by the relay or the placement.
+      connection: Open, unused connection to the decode engine of the current
+        attempt.
+      kept: Exported KV cache of a finished prefill that no decode engine has
+        fetched yet.
+      idempotency_key: Idempotency key or ticket, empty for none; set by
         `idempotency`.
-      start: Where the present attempt runs; by `placement`.
-      endpoint: Endpoint of a plain call; by `placement`.
-      progress: How far it has come.
+      survives_caller: Whether the request continues after its caller has
+        disconnected; set by `idempotency`.
+      start: Engines chosen for the current attempt; set by `model_placement`.
+      endpoint: Endpoint of a plain service; set by `plain_placement`.
+      progress: Progress of the request.
     """
 
     number: int
@@ -177,23 +184,23 @@
 Filter = Callable[[Context, Handle], Awaitable[None]]
 
 
-def chain(filters: list[Filter], last: Handle) -> Handle:
-    """Joins filters into one handler.
+def chain(filters: list[Filter], final_handler: Handle) -> Handle:
+    """Composes filters and a final handler into one handler.
 
     Args:
-      filters: The filters, outermost first.
-      last: What the innermost filter passes the request to.
+      filters: Filters, outermost first.
+      final_handler: Handler that the innermost filter passes the request to.
 
     Returns:
-      The handler.
+      The composed handler.
     """
-    handle = last
+    handle = final_handler
     for outer in reversed(filters):
-        handle = _link(outer, handle)
+        handle = _wrap(outer, handle)
     return handle
 
 
-def _link(outer: Filter, inner: Handle) -> Handle:
+def _wrap(outer: Filter, inner: Handle) -> Handle:
     async def handle(ctx: Context) -> None:
         await outer(ctx, inner)
 
--- a/src/cowsliprill/entry/core.py
+++ b/src/cowsliprill/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry process as a whole: its parts, its start and its end."""
+"""The entry process: wiring of its components, startup and shutdown."""
 
 import asyncio
 import random
@@ -45,30 +45,32 @@
 
 _NONCE_BYTES = 4
 _SECRET_BYTES = 32
-_CANCELS_SETTLE_S = 2.0
+_CANCEL_FLUSH_TIMEOUT_S = 2.0
 _SEED_BITS = 32
 _MAX_HEADER_BYTES = 131_072
-# Bodies are bounded by the gate, which answers in our own shape.
+# tornado's own limit is out of reach: the request gate limits bodies and
+# responds with an error in the API's format.
 _MAX_BODY_BYTES = 2**40
-_IDLE_CONNECTION_S = 75.0
+_IDLE_CONNECTION_TIMEOUT_S = 75.0
 
 
 class Entry:
     """One entry process.
 
     Args:
-      environment: What it was told about itself.
-      log: Its log.
-      source: Where settings and VM list come from.
-      make_dialect: Makes what callers and endpoints are spoken to with.
-      make_placing: Makes what decides where model requests run.
-      metrics: Its metrics, where other tasks of the process share them.
-      quotas: Keeps customers' quotas, None where none are kept.
+      environment: Configuration of the process.
+      log: Log of the process.
+      source: Provides settings and VM list.
+      make_dialect: Creates the dialect spoken with callers and endpoints.
+      make_placing: Creates the component that places model requests on engines.
+      metrics: Metrics of the process, None to create new ones.
+      quotas: Enforces the customers' quotas, None for no quotas.
 
     Attributes:
-      shell: Its servers, health and signals.
-      peer_routes: Further tornado routes of the peer port, set before `run`.
-      before_drain: Awaited when the process begins to leave.
+      shell: HTTP servers, health checks and signal handling of the process.
+      peer_routes: Additional tornado routes of the peer port, to be set before
+        `run`.
+      before_drain: Awaited when shutdown begins.
     """
 
     def __init__(
@@ -100,7 +102,7 @@
         )
         self._world = world_lib.World()
         self._budgets = retry.RetryBudgets()
-        self._servers = self._make_server_health()
+        self._servers = self._make_outlier_detector()
         self._http = http_client.HttpClient()
         self._dialect = make_dialect(
             dialect_lib.Tools(
@@ -141,7 +143,7 @@
         self.peer_routes: list[tuple] = []
         self.before_drain: Callable[[], Awaitable[None]] = _do_nothing
         self._public_server = None
-        self._reports: set[asyncio.Task] = set()
+        self._leaving_reports: set[asyncio.Task] = set()
 
     def _make_canceller(
         self, homes: home_client.HomeClient
@@ -158,18 +160,22 @@
         )
 
     async def run(self) -> None:
-        """Serves until a signal, then drains and returns."""
+        """Serves until SIGTERM or SIGINT, then drains and returns.
+
+        Raises:
+          Exception: A background task has failed.
+        """
         self._listen()
-        self._source.subscribe(self._take_world)
-        self._take_world()
+        self._source.subscribe(self._apply_cluster_state)
+        self._apply_cluster_state()
         tasks = [
             asyncio.create_task(work)
             for work in (self._source.run(), *self._placing.work())
         ]
         ended = asyncio.create_task(self.shell.run_until_stopped())
         await asyncio.wait([ended, *tasks], return_when=asyncio.FIRST_COMPLETED)
-        # A task that ends by itself is a fault of ours. Going on without it
-        # would look alive and serve nothing.
+        # A background task that ends by itself is a bug. Without the task the
+        # process would pass health checks but serve nothing.
         for task in tasks:
             if task.done():
                 task.result()
@@ -178,14 +184,15 @@
         self._http.close()
 
     def _listen(self) -> None:
-        # The peer port must be known before the first ticket names it, and
-        # tornado takes no call before this method is left.
+        # The store gets the peer port only after it is bound. No ticket can
+        # name a wrong port: tornado accepts no request before this method
+        # returns.
         book = tickets.TicketBook(
             self._incarnation,
             self._environment.port,
             secrets.token_bytes(_SECRET_BYTES),
         )
-        parts = self._parts(book)
+        parts = self._make_components(book)
         self.shell.listen(
             [
                 *routes.peer_routes(self._gate, parts, self._auth),
@@ -197,10 +204,10 @@
             self._dialect.application(self._gate, parts),
             max_header_size=_MAX_HEADER_BYTES,
             max_body_size=_MAX_BODY_BYTES,
-            idle_connection_timeout=_IDLE_CONNECTION_S,
+            idle_connection_timeout=_IDLE_CONNECTION_TIMEOUT_S,
         )
 
-    def _parts(self, book: tickets.TicketBook) -> routes.Parts:
+    def _make_components(self, book: tickets.TicketBook) -> routes.Parts:
         return routes.Parts(
             route=route.Route(self._random),
             identify_by_route=identify.IdentifyByRoute(self._authorization),
@@ -242,13 +249,13 @@
             book=book,
         )
 
-    def _make_server_health(self) -> server_health.ServerHealth:
+    def _make_outlier_detector(self) -> server_health.ServerHealth:
         off = self._environment.mechanisms_off
         if mechanisms.Mechanism.SERVER_COMPARISON in off:
             return server_health.Uncompared()
         return server_health.ServerHealth()
 
-    def _take_world(self) -> None:
+    def _apply_cluster_state(self) -> None:
         snapshot = self._source.snapshot
         self._world.update(snapshot, self._source.fleet)
         self._http.allowances_by_address = connections.allowances(
@@ -259,12 +266,12 @@
         self._servers.forget_except(snapshot.endpoints_by_id.keys())
         self._metrics.revision.set({}, snapshot.revision)
         if self._public_server is not None:
-            # tornado asks for it before each call that a connection brings.
+            # tornado reads this value before each request on a connection.
             parameters = self._public_server.conn_params
             parameters.header_timeout = snapshot.limits.idle_timeout_s
-        self._announce_world()
+        self._notify_scheduler()
 
-    def _announce_world(self) -> None:
+    def _notify_scheduler(self) -> None:
         fleet = self._world.fleet_at(clock.now())
         self._scheduling.post(
             messages.WorldChanged(self._world.snapshot, fleet)
@@ -275,16 +282,17 @@
         if self._world.is_leaving(endpoint_id, now):
             return
         self._log.event("endpoint_leaving", endpoint=endpoint_id)
-        self._world.note_leaving(endpoint_id, now + ttl_s)
-        self._announce_world()
-        # The scheduler has to hear too when the news expire.
-        asyncio.get_running_loop().call_later(ttl_s, self._announce_world)
-        # The request that met the draining answer doesn't wait for the report.
-        report = asyncio.create_task(
+        self._world.mark_leaving(endpoint_id, now + ttl_s)
+        self._notify_scheduler()
+        # The scheduler must also be notified when the leaving mark expires.
+        asyncio.get_running_loop().call_later(ttl_s, self._notify_scheduler)
+        # Published in a task of its own, so that the request whose response
+        # revealed the draining endpoint doesn't wait.
+        report_task = asyncio.create_task(
             self._source.report_leaving(endpoint_id, ttl_s)
         )
-        self._reports.add(report)
-        report.add_done_callback(self._reports.discard)
+        self._leaving_reports.add(report_task)
+        report_task.add_done_callback(self._leaving_reports.discard)
 
     def _unready_reason(self) -> str:
         if self._gate.draining:
@@ -307,10 +315,12 @@
         }
 
     async def _drain(self) -> None:
-        """Leaves without cutting a request.
+        """Shuts down gracefully.
 
-        The balancer goes on sending connections until it has seen that the
-        process isn't ready; closing the port before would refuse them.
+        The port stays open for the drain notice, because the load balancer
+        sends connections until its readiness check fails; closing the port
+        earlier would refuse these. Requests still in flight at the drain limit
+        are aborted.
         """
         notice_s = self._environment.drain_notice_s
         self._gate.draining = True
@@ -318,13 +328,13 @@
         await asyncio.sleep(notice_s)
         self._gate.closed = True
         self._public_server.stop()
-        cut = await self._gate.wait_until_empty(
+        remaining = await self._gate.wait_until_idle(
             self._environment.drain_limit_s - notice_s
         )
-        if cut:
-            self._log.warning("requests_cut", requests=cut)
-            self._gate.cut()
-        await self._canceller.settle(_CANCELS_SETTLE_S)
+        if remaining:
+            self._log.warning("requests_cut", requests=remaining)
+            self._gate.abort_all()
+        await self._canceller.settle(_CANCEL_FLUSH_TIMEOUT_S)
         await self._placing.hand_back()
 
 
--- a/src/cowsliprill/entry/dialect.py
+++ b/src/cowsliprill/entry/dialect.py
@@ -1,8 +1,9 @@
-"""How callers, engines and plain services speak: one pipeline, two dialects.
+"""Interface of a dialect: the wire protocols of one kind of deployment.
 
-Filters, scheduler and relays work on a `context.Context` and on `calls`.
-`native` is the product's own interface and engine protocol; another dialect
-translates the same calls to and from another wire.
+A dialect defines the protocols spoken with callers, engines and plain services.
+Filters, scheduler and relays are independent of it: they work on a
+`context.Context` and on the interfaces of `calls`. `native` implements the
+project's own API and engine protocol; `platform` translates to another one.
 """
 
 import dataclasses
@@ -23,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Tools:
-    """What a process has for its dialect.
+    """Dependencies that the entry process provides to a dialect.
 
     Attributes:
-      incarnation: This process.
+      incarnation: Identity of this process since its start.
       http: HTTP client for endpoints.
-      budgets: Budgets of retries.
-      metrics: The process's metrics.
-      log: The process's log.
+      budgets: Retry budgets of the services.
+      metrics: Metrics of the process.
+      log: Log of the process.
     """
 
     incarnation: identity.Incarnation
@@ -41,13 +42,13 @@
 
 
 class Dialect(errors.ErrorAnswers, Protocol):
-    """All that one dialect brings.
+    """One dialect: error format, clients of endpoints and public HTTP API.
 
     Attributes:
-      engines: Calls to engines.
-      services: Calls to plain services.
-      resumer: Goes on with broken streams at the engine that holds them, None
-        where engines drop what they have lost the connection of.
+      engines: Client of prefill and decode engines.
+      services: Client of plain services.
+      resumer: Resumes broken streams at the engine that still runs them; None
+        where engines drop a request when its connection is lost.
     """
 
     engines: calls.EngineCalls
@@ -57,4 +58,4 @@
     def application(
         self, gate: gate_lib.Gate, parts: routes.Parts
     ) -> web.Application:
-        """Returns what callers reach."""
+        """Returns the HTTP application of the public port."""
--- a/src/cowsliprill/entry/errors.py
+++ b/src/cowsliprill/entry/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the entry process, as callers see them."""
+"""Errors of the entry process and their HTTP representation for callers."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 
 class Code(enum.StrEnum):
-    """Codes of the callers' interface; the refusals' codes come besides."""
+    """Error codes of the public API, besides `messages.RefusalCode`."""
 
     INVALID_JSON = "invalid_json"
     INVALID_REQUEST = "invalid_request"
@@ -75,18 +75,19 @@
 
 
 class HomeError(errors.CowsliprillError):
-    """Raised when the home of an endpoint refuses an ask."""
+    """Raised when the coordinator of an endpoint fails to serve a request."""
 
     code = "home_failed"
 
 
 class EntryError(errors.CowsliprillError):
-    """A request's end without its answer.
+    """Raised when a request ends with an error instead of its response.
 
     Attributes:
       status: HTTP status.
-      run: What is known of whether the request was run.
-      retry_after_s: When the caller should come back, None for never.
+      run: Whether the request was executed, as far as known.
+      retry_after_s: Seconds after which the caller may retry, None if a retry
+        isn't suggested.
     """
 
     def __init__(
@@ -99,14 +100,14 @@
     ) -> None:
         super().__init__(message, code=code.value)
         self.status = _STATUS_BY_CODE.get(
-            Code(code.value) if code.value in _CODES else None,
+            Code(code.value) if code.value in _CODE_VALUES else None,
             http.HTTPStatus.SERVICE_UNAVAILABLE,
         )
         self.run = run
         self.retry_after_s = retry_after_s
 
     def body(self) -> bytes:
-        """Returns the JSON that the caller gets."""
+        """Returns the JSON body of the error response."""
         fields = {
             "code": self.code,
             "message": self.message,
@@ -117,27 +118,27 @@
         return json.dumps({"error": fields}).encode()
 
     def headers(self) -> dict[str, str]:
-        """Returns the headers of the answer."""
+        """Returns the headers of the error response."""
         headers = {"Content-Type": "application/json"}
         if self.retry_after_s is not None:
-            # The header holds whole seconds; rounding down would bring the
-            # caller back before there is room.
+            # The header holds whole seconds; with rounding down the caller
+            # would retry before there is capacity.
             headers["Retry-After"] = str(math.ceil(self.retry_after_s))
         if self.status == http.HTTPStatus.UNAUTHORIZED:
             headers["WWW-Authenticate"] = "Bearer"
         return headers
 
     def event(self) -> bytes:
-        """Returns the server-sent event that ends a broken stream."""
+        """Returns the server-sent event that reports a broken stream."""
         return b"data: " + self.body() + b"\n\n"
 
 
-_CODES = frozenset(code.value for code in Code)
+_CODE_VALUES = frozenset(code.value for code in Code)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ErrorAnswer:
-    """What a caller gets in place of an answer.
+    """HTTP response for an error.
 
     Attributes:
       status: HTTP status.
@@ -151,20 +152,20 @@
 
 
 class ErrorAnswers(Protocol):
-    """How one dialect tells callers of errors."""
+    """Formats errors for the callers of one dialect."""
 
     def error_answer(self, error: EntryError) -> ErrorAnswer:
-        """Returns what a caller gets for an error."""
+        """Returns the HTTP response for an error."""
 
     def error_event(self, error: EntryError) -> bytes:
-        """Returns what ends a stream that broke, empty for a bare cut."""
+        """Returns the last event of a broken stream, empty to send none."""
 
 
 class JsonAnswers:
-    """Errors as JSON, in the product's own interface."""
+    """Formats errors as JSON, as in the project's own API."""
 
     def error_answer(self, error: EntryError) -> ErrorAnswer:
-        """Returns the error's own status, headers and JSON."""
+        """Returns the error's status, headers and JSON body."""
         return ErrorAnswer(
             status=error.status,
             headers=tuple(error.headers().items()),
@@ -176,23 +177,28 @@
         return error.event()
 
 
-def of_status(status: int) -> EntryError:
-    """Returns the error for what tornado itself refuses or fails at.
+def from_status(status: int) -> EntryError:
+    """Returns the error for a status that tornado itself has set.
 
     Args:
       status: HTTP status.
 
     Returns:
-      The error; a failure of ours says nothing of whether the request ran.
+      The error; after an internal error (status 500 or above) it is unknown
+      whether the request was executed.
     """
     match status:
         case http.HTTPStatus.METHOD_NOT_ALLOWED:
-            return EntryError(Code.METHOD_NOT_ALLOWED, "No such method.")
+            return EntryError(
+                Code.METHOD_NOT_ALLOWED, "The HTTP method isn't supported."
+            )
         case _ if status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
-            return EntryError(Code.INVALID_REQUEST, "The request isn't valid.")
+            return EntryError(
+                Code.INVALID_REQUEST, "The HTTP request is malformed."
+            )
         case _:
             return EntryError(
                 Code.INTERNAL,
-                "Something went wrong here.",
+                "Internal error of the entry process.",
                 run=messages.Run.UNKNOWN,
             )
--- a/src/cowsliprill/entry/gate.py
+++ b/src/cowsliprill/entry/gate.py
@@ -1,4 +1,4 @@
-"""Where calls enter: numbers them, bounds their bodies, knows which run."""
+"""Request gate: numbers requests, limits bodies, tracks requests in flight."""
 
 import asyncio
 import dataclasses
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Gate:
-    """What the callers' and peers' handlers share.
+    """State shared by the HTTP handlers for callers and for peers.
 
     Attributes:
-      incarnation: This process.
-      world: The settings in force.
-      draining: Whether the process is leaving; it still serves.
-      closed: Whether it takes no more calls.
-      buffered_bytes: Bytes of bodies that are held in memory.
-      tasks: Requests in progress, by the tasks that handle them.
+      incarnation: Identity of this process since its start.
+      world: Current settings and VM list.
+      draining: Whether shutdown has begun; requests are still accepted.
+      closed: Whether new requests are refused.
+      buffered_bytes: Total size of the request bodies in memory.
+      tasks: Contexts of the requests in flight by the tasks that serve them.
     """
 
     incarnation: identity.Incarnation
@@ -40,13 +40,13 @@
 
     @property
     def limits(self) -> model.CallLimits:
-        """What the settings in force let callers send."""
+        """Size limits for requests from the current settings."""
         return self.world.snapshot.limits
 
-    def open(
+    def create_context(
         self, call: context.Call, reply: reply_lib.Reply
     ) -> context.Context:
-        """Gives a call its number and the settings that hold for it."""
+        """Creates the context of a request, with its id and settings."""
         number = self._next_number
         self._next_number += 1
         return context.Context(
@@ -61,10 +61,10 @@
     def run(
         self, handle: context.Handle, ctx: context.Context
     ) -> asyncio.Task[None]:
-        """Starts the handling of a request.
+        """Starts the task that serves a request.
 
         Args:
-          handle: Its filters.
+          handle: The filter chain of the request's path.
           ctx: The request.
 
         Returns:
@@ -75,53 +75,64 @@
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
         return task
 
-    async def wait_until_empty(self, limit_s: float) -> int:
-        """Waits until no request is in progress.
+    async def wait_until_idle(self, timeout_s: float) -> int:
+        """Waits until no request is in flight.
 
         Args:
-          limit_s: How long to wait.
+          timeout_s: Timeout in seconds.
 
         Returns:
-          Requests that are still in progress.
+          Number of requests that are still in flight.
         """
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 while self.tasks:
                     await asyncio.wait(self.tasks)
         except TimeoutError:
             pass
         return len(self.tasks)
 
-    def cut(self) -> None:
-        """Breaks off all requests in progress, so that callers notice."""
+    def abort_all(self) -> None:
+        """Aborts all requests in flight.
+
+        Each connection is closed without a proper end of the response, so that
+        the caller sees that the response is truncated.
+        """
         for task, ctx in list(self.tasks.items()):
             ctx.reply.abort()
             task.cancel()
 
-    def check_open(self) -> errors.EntryError | None:
-        """Returns why no call is taken now, None if it is.
+    def check_accepting(self) -> errors.EntryError | None:
+        """Returns the error for requests during shutdown, None if accepting.
 
-        Callers keep connections, and go on sending on them to a process that
-        the balancer has long left out. A call that is begun shortly before
-        the end would be cut; refused, it is sent again elsewhere.
+        Callers reuse connections and keep sending on them after the load
+        balancer has excluded this process. A request accepted shortly before
+        the process ends would be aborted; a refused one is retried elsewhere.
         """
         if not self.closed:
             return None
         return errors.EntryError(
-            errors.Code.LEAVING, "This process is leaving.", retry_after_s=0.0
+            errors.Code.LEAVING,
+            "This process is shutting down.",
+            retry_after_s=0.0,
         )
 
-    def check_room(self, size: int) -> errors.EntryError | None:
-        """Returns why a body of a size can't be taken, None if it can."""
+    def check_body_size(self, size: int) -> errors.EntryError | None:
+        """Returns the error for a body that is too large, None if it fits.
+
+        Args:
+          size: Bytes of the body, or of its next chunk.
+        """
         limit = self.limits.body_bytes
         if size > limit:
             return errors.EntryError(
-                errors.Code.BODY_TOO_LARGE, f"The body has over {limit} bytes."
+                errors.Code.BODY_TOO_LARGE,
+                f"The request body exceeds {limit} bytes.",
             )
         if self.buffered_bytes + size > _MAX_BUFFERED_BYTES:
             return errors.EntryError(
                 errors.Code.OVERLOADED,
-                "This process holds as many bodies as it can.",
+                "This process has no memory left to buffer request bodies.",
                 retry_after_s=_RETRY_AFTER_S,
             )
         return None
--- a/src/cowsliprill/entry/handlers.py
+++ b/src/cowsliprill/entry/handlers.py
@@ -1,4 +1,4 @@
-"""tornado handlers of the callers' interface and of the peers'."""
+"""tornado request handlers of the public port and of the peer port."""
 
 import asyncio
 import json
@@ -14,14 +14,14 @@
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import reply as reply_lib
 
-# A body beyond the limit is read and dropped up to so many times the limit, so
-# that its sender gets to read the 413; beyond, the connection is closed.
-_DROPPED_BODIES = 4
+# A body above the limit is read and discarded up to this multiple of the limit,
+# so that its sender gets to read the 413; above, the connection is closed.
+_MAX_DISCARDED_BODY_RATIO = 4
 
 
 @web.stream_request_body
 class CallHandler(web.RequestHandler):
-    """Reads one call and passes it to its filters."""
+    """Reads one request and runs the filter chain of its path."""
 
     SUPPORTED_METHODS = (
         "GET",
@@ -34,99 +34,103 @@
     )
 
     def initialize(self, gate: gate_lib.Gate, handle: context.Handle) -> None:
-        """Keeps what the handler needs.
+        """Sets up the handler.
 
         Args:
-          gate: Where calls enter.
-          handle: The filters of this path.
+          gate: Request gate of the process.
+          handle: Filter chain of this path.
         """
-        # An answer that was broken off must not be ended by tornado: its
-        # receiver would take it for whole.
+        # tornado must not finish an aborted response: its receiver would take
+        # the truncated response for a complete one.
         self._auto_finish = False
         self._gate = gate
         self._handle = handle
         self._chunks: list[bytes] = []
-        self._size = 0
-        self._held = 0
-        self._fault: errors.EntryError | None = None
+        self._received_bytes = 0
+        self._buffered_bytes = 0
+        self._rejection: errors.EntryError | None = None
         self._ctx: context.Context | None = None
         self._task: asyncio.Task | None = None
 
     def set_default_headers(self) -> None:
-        """Asks callers to come by another process when this one leaves."""
+        """Asks callers to reconnect to another process during shutdown."""
         self.clear_header("Server")
         gate = getattr(self, "_gate", None)
         if gate is not None and gate.draining:
             self.set_header("Connection", "close")
 
     def compute_etag(self) -> None:
-        """Computes none: answers are passed on as they are."""
+        """Returns no ETag, because responses are passed on unchanged."""
 
     async def prepare(self) -> None:
-        """Checks the sizes that are known before the body comes."""
-        self._fault = self._gate.check_open()
+        """Checks the sizes that are known before the body is received."""
+        self._rejection = self._gate.check_accepting()
         headers = self.request.headers
         size = sum(len(name) + len(value) for name, value in headers.get_all())
         limit = self._gate.limits.header_bytes
         if size + len(self.request.uri or "") > limit:
-            self._fault = self._fault or errors.EntryError(
+            self._rejection = self._rejection or errors.EntryError(
                 errors.Code.HEADERS_TOO_LARGE,
-                f"The headers have over {limit} bytes.",
+                f"The request headers exceed {limit} bytes.",
             )
         length = headers.get("Content-Length", "0")
         if length.isdigit():
-            self._fault = self._fault or self._gate.check_room(int(length))
-            if int(length) > self._max_dropped_bytes:
+            self._rejection = self._rejection or self._gate.check_body_size(
+                int(length)
+            )
+            if int(length) > self._max_discarded_bytes:
                 await self._serve()
 
     @property
-    def _max_dropped_bytes(self) -> int:
-        return self._gate.limits.body_bytes * _DROPPED_BODIES
+    def _max_discarded_bytes(self) -> int:
+        return self._gate.limits.body_bytes * _MAX_DISCARDED_BODY_RATIO
 
     def data_received(self, chunk: bytes) -> None:
-        """Takes a part of the body."""
-        self._size += len(chunk)
-        if self._size > self._max_dropped_bytes:
+        """Buffers a chunk of the body, unless the request is refused."""
+        self._received_bytes += len(chunk)
+        if self._received_bytes > self._max_discarded_bytes:
             self.request.connection.stream.close()
-        self._fault = self._fault or self._gate.check_room(len(chunk))
-        if self._size > self._gate.limits.body_bytes:
-            self._fault = self._gate.check_room(self._size)
-        if self._fault is None:
+        self._rejection = self._rejection or self._gate.check_body_size(
+            len(chunk)
+        )
+        if self._received_bytes > self._gate.limits.body_bytes:
+            self._rejection = self._gate.check_body_size(self._received_bytes)
+        if self._rejection is None:
             self._chunks.append(chunk)
-            self._held += len(chunk)
+            self._buffered_bytes += len(chunk)
             self._gate.buffered_bytes += len(chunk)
 
     async def get(self, *_: str) -> None:
-        """Serves the call."""
+        """Serves the request."""
         await self._serve()
 
     head = post = put = patch = delete = options = get
 
     def on_connection_close(self) -> None:
-        """Ends the request of a caller that is gone."""
+        """Cancels the request of a caller that has disconnected."""
         if self._task is None:
-            # It left amid its upload. Bytes that stayed counted would add up
-            # until every call is refused as one too many.
+            # The caller disconnected during its upload. Bytes that stayed
+            # counted would add up until every request is refused as overload.
             self._release_body()
         elif not self._ctx.survives_caller:
             self._task.cancel()
 
     def call(self, body: bytes) -> context.Call:
-        """Returns the caller's call."""
+        """Returns the request as the caller sent it."""
         return context.Call(
             method=self.request.method or "",
             path=self.request.path,
             query=self.request.query,
             headers=self.request.headers,
             body=body,
-            fault=self._fault,
+            fault=self._rejection,
             uri=self.request.uri or "",
         )
 
     async def _serve(self) -> None:
         body = b"".join(self._chunks)
         reply = reply_lib.HttpReply(self)
-        self._ctx = self._gate.open(self.call(body), reply)
+        self._ctx = self._gate.create_context(self.call(body), reply)
         reply.request_id = self._ctx.request_id
         self._task = self._gate.run(self._handle, self._ctx)
         try:
@@ -136,14 +140,15 @@
 
     def _release_body(self) -> None:
         self._chunks.clear()
-        self._gate.buffered_bytes -= self._held
-        self._held = 0
+        self._gate.buffered_bytes -= self._buffered_bytes
+        self._buffered_bytes = 0
 
     def send_error(self, status_code: int = 500, **kwargs: object) -> None:
-        """Cuts an answer that has begun; else answers with an error.
+        """Aborts a response that has begun; otherwise sends an error.
 
-        tornado would end a begun answer in good order, also when it is
-        cancelled as the process ends. Its caller would take it for whole.
+        tornado would properly finish a response that has begun, also when the
+        handler is cancelled because the process ends. The caller would take
+        the truncated response for a complete one.
         """
         if self._headers_written:
             self.request.connection.stream.close()
@@ -151,20 +156,20 @@
         super().send_error(status_code, **kwargs)
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answers what tornado itself refuses in the same JSON shape."""
+        """Sends errors of tornado itself in the JSON form of all errors."""
         del kwargs
         self.set_status(status_code)
-        error = errors.of_status(status_code)
+        error = errors.from_status(status_code)
         for name, value in error.headers().items():
             self.set_header(name, value)
         self.finish(error.body())
 
 
 class ForwardHandler(CallHandler):
-    """`POST /v1/forward`: a call whose ticket names this incarnation.
+    """`POST /v1/forward`: a request whose ticket this incarnation issued.
 
-    The peer is trusted with nothing: the call carries its caller's API key and
-    passes the same filters as if it had come here at first.
+    The peer isn't trusted beyond forwarding: the request carries its caller's
+    API key and passes the same filters as a request sent here directly.
     """
 
     def initialize(
@@ -173,19 +178,19 @@
         handles_by_prefix: list[tuple[str, context.Handle]],
         auth: peer_auth.PeerAuth,
     ) -> None:
-        """Keeps what the handler needs.
+        """Sets up the handler.
 
         Args:
-          gate: Where calls enter.
-          handles_by_prefix: Filters by the beginning of the path.
-          auth: Tells peers from strangers.
+          gate: Request gate of the process.
+          handles_by_prefix: Filter chains by path prefix; the first match wins.
+          auth: Verifies the signatures of peers.
         """
         super().initialize(gate, _not_found)
         self._auth = auth
         self._handles_by_prefix = handles_by_prefix
 
     def call(self, body: bytes) -> context.Call:
-        """Returns the call that the peer has passed on."""
+        """Returns the caller's request that the peer has forwarded."""
         headers = httputil.HTTPHeaders(self.request.headers)
         method = headers.pop(forward.METHOD_HEADER, "")
         target = headers.pop(forward.TARGET_HEADER, "")
@@ -202,7 +207,7 @@
             query=query,
             headers=headers,
             body=body,
-            fault=self._fault
+            fault=self._rejection
             or self._check_peer(body, signature)
             or self._check_owner(owner),
             forwarded=True,
@@ -214,7 +219,9 @@
         if self._auth.accepts(body, signature):
             return None
         return errors.EntryError(
-            errors.Code.NOT_A_PEER, "Only peers may pass requests on."
+            errors.Code.NOT_A_PEER,
+            "The signature isn't that of a peer; only peers may forward"
+            " requests.",
         )
 
     def _check_owner(self, owner: str) -> errors.EntryError | None:
@@ -225,22 +232,22 @@
 
 async def _not_found(ctx: context.Context) -> None:
     raise errors.EntryError(
-        errors.Code.PATH_NOT_FOUND, f"There is nothing at {ctx.call.path}."
+        errors.Code.PATH_NOT_FOUND, f"No resource at {ctx.call.path}."
     )
 
 
 class IncarnationHandler(web.RequestHandler):
-    """`GET /v1/incarnation`."""
+    """`GET /v1/incarnation`: the identity of this process since its start."""
 
     def initialize(self, incarnation: identity.Incarnation) -> None:
-        """Keeps what the handler needs.
+        """Sets up the handler.
 
         Args:
-          incarnation: This process.
+          incarnation: Identity of this process since its start.
         """
         self._incarnation = incarnation
 
     def get(self) -> None:
-        """Answers with this process's incarnation."""
+        """Sends the incarnation of this process."""
         self.set_header("Content-Type", "application/json")
         self.write(json.dumps({"incarnation": str(self._incarnation)}))
--- a/src/cowsliprill/entry/routes.py
+++ b/src/cowsliprill/entry/routes.py
@@ -1,4 +1,4 @@
-"""Which filters each path passes."""
+"""HTTP routes of the entry process and the filter chain of each."""
 
 import dataclasses
 
@@ -33,20 +33,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Parts:
-    """The filters that hold state, and the ends of the chains.
+    """Filters that hold state, and the final handlers of the chains.
 
     Attributes:
-      report: Reports each request's end.
-      route: Finds the services of calls that name none.
-      identify_by_route: Finds the customers of calls that name a route.
-      quota: Refuses what goes beyond a customer's quota.
-      idempotency: Lets each key run once.
-      admission: Bounds the requests at once.
-      model_placement: Places model requests.
-      plain_placement: Places plain calls.
-      model_relay: Runs attempts at model requests.
-      plain_relay: Makes plain calls.
-      book: Tickets of this incarnation.
+      report: Writes log line and metrics when a request ends; sends errors.
+      route: Selects the service of a request by host and path.
+      identify_by_route: Identifies the customer of a request with a route.
+      quota: Enforces the customers' quotas.
+      idempotency: Executes each idempotency key at most once.
+      admission: Limits the number of concurrent requests.
+      model_placement: Chooses engines for model requests and retries them.
+      plain_placement: Chooses endpoints of plain services and retries.
+      model_relay: Runs one attempt of a model request at its engines.
+      plain_relay: Sends a request to a plain service.
+      book: Ticket store of this incarnation.
     """
 
     report: report.Report
@@ -62,8 +62,8 @@
     book: tickets.TicketBook
 
 
-def generation(parts: Parts) -> context.Handle:
-    """Returns the chain of model requests."""
+def generation_chain(parts: Parts) -> context.Handle:
+    """Returns the filter chain for model requests."""
     return context.chain(
         [
             parts.report,
@@ -79,8 +79,8 @@
     )
 
 
-def plain(parts: Parts) -> context.Handle:
-    """Returns the chain of plain calls."""
+def plain_chain(parts: Parts) -> context.Handle:
+    """Returns the filter chain for requests to plain services."""
     return context.chain(
         [
             parts.report,
@@ -96,46 +96,49 @@
     )
 
 
-def _own(parts: Parts, method: str, last: context.Handle) -> context.Handle:
+def _authenticated_chain(
+    parts: Parts, method: str, final_handler: context.Handle
+) -> context.Handle:
     return context.chain(
-        [parts.report, accept.Accept((method,)), identify.identify], last
+        [parts.report, accept.Accept((method,)), identify.identify],
+        final_handler,
     )
 
 
-def _tickets(gate: gate_lib.Gate, parts: Parts) -> context.Handle:
+def _ticket_chain(gate: gate_lib.Gate, parts: Parts) -> context.Handle:
     issue = answers.IssueTicket(parts.book, gate, parts.idempotency.forwarder)
-    return _own(parts, "POST", issue)
+    return _authenticated_chain(parts, "POST", issue)
 
 
 def public_application(gate: gate_lib.Gate, parts: Parts) -> web.Application:
-    """Returns what callers reach."""
-    generate = generation(parts)
+    """Returns the HTTP application of the public port."""
+    generate = generation_chain(parts)
     chains_by_pattern = {
         protocol.COMPLETIONS_PATH: generate,
         protocol.CHAT_PATH: generate,
-        resolve.SERVICES_PATH + ".*": plain(parts),
-        MODELS_PATH: _own(parts, "GET", answers.list_models),
-        TICKETS_PATH: _tickets(gate, parts),
-        "/.*": context.chain([parts.report], answers.refuse_path),
+        resolve.SERVICES_PATH + ".*": plain_chain(parts),
+        MODELS_PATH: _authenticated_chain(parts, "GET", answers.list_models),
+        TICKETS_PATH: _ticket_chain(gate, parts),
+        "/.*": context.chain([parts.report], answers.raise_path_not_found),
     }
     return web.Application(
         [
             (pattern, handlers.CallHandler, {"gate": gate, "handle": handle})
             for pattern, handle in chains_by_pattern.items()
         ],
-        log_function=_log_nothing,
+        log_function=_suppress_access_log,
     )
 
 
 def routed_application(
     gate: gate_lib.Gate, parts: Parts, read_call: context.Filter
 ) -> web.Application:
-    """Returns what callers reach who name a host and a path.
+    """Returns the HTTP application that selects services by host and path.
 
     Args:
-      gate: Where calls enter.
-      parts: The filters that hold state, and the ends of the chains.
-      read_call: Reads a call's headers once its service is known.
+      gate: Request gate of the process.
+      parts: Filters that hold state, and the final handlers of the chains.
+      read_call: Filter that parses a request once its service is known.
     """
     by_kind = route.ByKind(
         generate=context.chain([parts.model_placement], parts.model_relay),
@@ -154,35 +157,37 @@
         ],
         by_kind,
     )
-    own = {"gate": gate, "handle": handle}
+    handler_arguments = {"gate": gate, "handle": handle}
     return web.Application(
-        [(".*", handlers.CallHandler, own)], log_function=_log_nothing
+        [(".*", handlers.CallHandler, handler_arguments)],
+        log_function=_suppress_access_log,
     )
 
 
 def peer_routes(
     gate: gate_lib.Gate, parts: Parts, auth: peer_auth.PeerAuth
 ) -> list[tuple]:
-    """Returns what peers reach."""
-    generate = generation(parts)
+    """Returns the tornado routes of the peer port."""
+    generate = generation_chain(parts)
     handles_by_prefix = [
         (protocol.COMPLETIONS_PATH, generate),
         (protocol.CHAT_PATH, generate),
-        (resolve.SERVICES_PATH, plain(parts)),
-        (TICKETS_PATH, _tickets(gate, parts)),
+        (resolve.SERVICES_PATH, plain_chain(parts)),
+        (TICKETS_PATH, _ticket_chain(gate, parts)),
     ]
     incarnation = {"incarnation": gate.incarnation}
-    forward = {
+    forward_arguments = {
         "gate": gate,
         "handles_by_prefix": handles_by_prefix,
         "auth": auth,
     }
     return [
         (peers.INCARNATION_PATH, handlers.IncarnationHandler, incarnation),
-        (peers.FORWARD_PATH, handlers.ForwardHandler, forward),
+        (peers.FORWARD_PATH, handlers.ForwardHandler, forward_arguments),
     ]
 
 
-def _log_nothing(handler: web.RequestHandler) -> None:
-    # The report filter writes one line a request, with its id and outcome.
+def _suppress_access_log(handler: web.RequestHandler) -> None:
+    # Replaces tornado's access log: the report filter writes one line for each
+    # request, with its id and outcome.
     del handler
--- a/src/cowsliprill/entry/schema.py
+++ b/src/cowsliprill/entry/schema.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, checked at the border by pydantic."""
+"""Pydantic models that validate the bodies of callers' requests."""
 
 import json
 from typing import Annotated
@@ -11,39 +11,39 @@
 from cowsliprill.entry import errors
 
 _Name = Annotated[str, pydantic.Field(min_length=1, max_length=200)]
-_Tokens = Annotated[int, pydantic.Field(ge=1)]
+_TokenCount = Annotated[int, pydantic.Field(ge=1)]
 _TokenId = Annotated[int, pydantic.Field(ge=0)]
 
 _Model = TypeVar("_Model", bound=pydantic.BaseModel)
 
 
 class _Request(pydantic.BaseModel):
-    # Further fields (temperature, stop, ...) are the engine's business and
-    # are passed on. Strict types: "5" for 5 is the caller's mistake, and the
-    # engine would refuse it only after the request has waited for a slot.
+    # Unknown fields (temperature, stop, ...) are passed on to the engine.
+    # Types are strict: "5" for 5 is the caller's mistake, and the engine would
+    # refuse it only after the request has waited for a slot.
     model_config = pydantic.ConfigDict(extra="allow", strict=True)
 
 
 class GenerationRequest(_Request):
-    """What both kinds of model requests share.
+    """Fields common to completion and chat requests.
 
     Attributes:
       model: Name of the service.
-      stream: Whether tokens are sent as they come.
-      max_tokens: Limit of the answer.
-      max_completion_tokens: The newer name of the same.
-      n: Number of answers; only one is served.
+      stream: Whether tokens are streamed as they are generated.
+      max_tokens: Limit of output tokens.
+      max_completion_tokens: Newer name of `max_tokens`; wins if both are set.
+      n: Number of completions; only 1 is supported.
     """
 
     model: _Name
     stream: bool = False
-    max_tokens: _Tokens | None = None
-    max_completion_tokens: _Tokens | None = None
+    max_tokens: _TokenCount | None = None
+    max_completion_tokens: _TokenCount | None = None
     n: Literal[1] = 1
 
     @property
     def output_limit(self) -> int | None:
-        """The limit of the answer, None if the caller names none."""
+        """Limit of output tokens, None if the caller sets none."""
         return self.max_completion_tokens or self.max_tokens
 
 
@@ -61,8 +61,8 @@
     """One message of a conversation.
 
     Attributes:
-      role: Who says it.
-      content: Text, or parts of which the texts count.
+      role: Role of the author, such as `user`.
+      content: Text, or a list of content parts of which only text is counted.
     """
 
     role: _Name
@@ -73,7 +73,7 @@
     """Body of `POST /v1/chat/completions`.
 
     Attributes:
-      messages: The conversation.
+      messages: Messages of the conversation, oldest first.
     """
 
     messages: Annotated[list[ChatMessage], pydantic.Field(min_length=1)]
@@ -90,13 +90,13 @@
 
 
 def parse_json(body: bytes) -> dict[str, Any]:
-    """Reads a body as a JSON object.
+    """Parses a request body as a JSON object.
 
     Args:
       body: The body.
 
     Returns:
-      The object's fields.
+      The fields of the object.
 
     Raises:
       errors.EntryError: The body isn't a JSON object.
@@ -105,30 +105,30 @@
         fields = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise errors.EntryError(
-            errors.Code.INVALID_JSON, "The body isn't valid JSON."
+            errors.Code.INVALID_JSON, "The request body isn't valid JSON."
         ) from error
     if not isinstance(fields, dict):
         raise errors.EntryError(
-            errors.Code.INVALID_JSON, "The body isn't a JSON object."
+            errors.Code.INVALID_JSON, "The request body isn't a JSON object."
         )
     return fields
 
 
-def validate(kind: type[_Model], fields: dict[str, Any]) -> _Model:
-    """Checks the fields of a body.
+def validate(model_class: type[_Model], fields: dict[str, Any]) -> _Model:
+    """Validates the fields of a request body.
 
     Args:
-      kind: The request's model.
-      fields: The fields.
+      model_class: Pydantic model of the request.
+      fields: Fields of the body.
 
     Returns:
-      The request.
+      The validated request.
 
     Raises:
       errors.EntryError: A field is missing or has a wrong type or value.
     """
     try:
-        return kind.model_validate(fields)
+        return model_class.model_validate(fields)
     except pydantic.ValidationError as error:
         first = error.errors(include_url=False, include_input=False)[0]
         path = ".".join(str(part) for part in first["loc"])
--- a/src/cowsliprill/entry/sinks.py
+++ b/src/cowsliprill/entry/sinks.py
@@ -1,4 +1,4 @@
-"""How tokens reach the caller: as they come, or all at once."""
+"""Writers of engine events to the caller, streamed or as one response."""
 
 import json
 from typing import Protocol
@@ -18,13 +18,13 @@
 
 
 class Sink(Protocol):
-    """Takes the checked events of one whole answer."""
+    """Receives the validated events of one response."""
 
     async def take(self, events: bytes) -> None:
-        """Takes events, in order."""
+        """Writes the next events of the stream."""
 
     async def end(self) -> None:
-        """Takes the end; the answer is whole."""
+        """Ends the response after the stream is complete."""
 
 
 class _StreamSink:
@@ -40,7 +40,7 @@
         await self._reply.end()
 
 
-class _WholeSink:
+class _BufferedSink:
     def __init__(self, reply: reply_lib.Reply) -> None:
         self._reply = reply
         self._collector = stream_lib.Collector()
@@ -54,20 +54,20 @@
 
 
 def sink_for(ctx: context.Context) -> Sink:
-    """Returns where the tokens of a request go."""
+    """Returns the sink for the response mode that a request asks for."""
     if ctx.generation.request.stream:
         return _StreamSink(ctx.reply)
-    return _WholeSink(ctx.reply)
+    return _BufferedSink(ctx.reply)
 
 
 class EventSink:
-    """Passes an engine's events on unchanged, under its own headers.
+    """Passes an engine's events on unchanged, with the engine's headers.
 
-    A stream that went on at another engine keeps the headers of the first.
+    A stream that is resumed at another engine keeps the headers of the first.
 
     Args:
       ctx: The request.
-      stream: The engine's stream.
+      stream: Event stream of the engine.
     """
 
     def __init__(
@@ -77,16 +77,16 @@
         self._stream = stream
 
     async def take(self, events: bytes) -> None:
-        """Passes events on."""
+        """Writes events to the caller."""
         reply = self._ctx.reply
         if not reply.started:
             headers = hop_headers.end_to_end(self._stream.headers)
             await reply.start(self._stream.status, headers.get_all())
         await reply.write(events)
-        # Noted once the caller's socket has them: a stream that goes on
-        # elsewhere must begin after what was really passed on.
+        # Set only after the socket has accepted the events: a resumed stream
+        # must continue after the last event that was really sent.
         self._ctx.progress.last_event_id = self._stream.last_id
 
     async def end(self) -> None:
-        """Ends the answer, which is whole."""
+        """Ends the response after the stream is complete."""
         await self._ctx.reply.end()
--- a/src/cowsliprill/entry/world.py
+++ b/src/cowsliprill/entry/world.py
@@ -1,4 +1,4 @@
-"""The settings and the VM list in force, as this process knows them."""
+"""Cluster state of this process: the current settings and VM list."""
 
 import asyncio
 import dataclasses
@@ -8,41 +8,48 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import ownership
 
-# Endpoints that are gone and remembered as such.
-_GONE_MAX = 1_000
+# Bounds the memory for the ids of removed endpoints.
+_MAX_REMOVED_ENDPOINTS = 1_000
 
 
 class Source(Protocol):
-    """Where settings and VM list come from: `settings.follower.Follower`.
+    """Provides settings and the VM list, as `settings.follower.Follower` does.
 
     Attributes:
-      snapshot: The settings in force.
-      fleet: The VM list with news.
+      snapshot: Current settings.
+      fleet: VM list with the endpoints that are leaving.
     """
 
     snapshot: model.Snapshot
     fleet: model.Fleet
 
     async def run(self) -> None:
-        """Follows for ever."""
+        """Keeps `snapshot` and `fleet` up to date until cancelled."""
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Has a function called after each change."""
+        """Registers a callback that runs after each change."""
 
     def honours_keys(self) -> bool:
-        """Returns whether API keys of the settings may be honoured now."""
+        """Returns whether the settings are fresh enough to accept API keys."""
 
     async def report_leaving(self, endpoint_id: str, ttl_s: float) -> None:
-        """Tells all VMs that an endpoint is leaving."""
+        """Publishes to all VMs that an endpoint is leaving.
+
+        Args:
+          endpoint_id: The endpoint.
+          ttl_s: Seconds after which the leaving notice expires.
+        """
 
 
 @dataclasses.dataclass(slots=True)
 class World:
-    """What the process's tasks read; only the follower's callback writes it.
+    """Settings and VM list shared by all tasks of the process.
+
+    Only the callback of the settings follower replaces them.
 
     Attributes:
-      snapshot: The settings in force.
-      fleet: The VM list with news.
+      snapshot: Current settings.
+      fleet: VM list as received, without the notices of `mark_leaving`.
     """
 
     snapshot: model.Snapshot = dataclasses.field(default_factory=model.Snapshot)
@@ -50,77 +57,89 @@
     _leaving_until_by_endpoint: dict[str, float] = dataclasses.field(
         default_factory=dict
     )
-    _homes_by_endpoint: dict[str, model.Vm | None] = dataclasses.field(
+    _coordinators_by_endpoint: dict[str, model.Vm | None] = dataclasses.field(
+        default_factory=dict
+    )
+    _removed_endpoints: dict[str, None] = dataclasses.field(
         default_factory=dict
     )
-    _gone: dict[str, None] = dataclasses.field(default_factory=dict)
     _updated: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def update(self, snapshot: model.Snapshot, fleet: model.Fleet) -> None:
-        """Takes new settings or a new VM list."""
+        """Replaces the settings and the VM list."""
         present = snapshot.endpoints_by_id.keys()
         for endpoint_id in self.snapshot.endpoints_by_id.keys() - present:
-            self._gone[endpoint_id] = None
-        while len(self._gone) > _GONE_MAX:
-            del self._gone[next(iter(self._gone))]
+            self._removed_endpoints[endpoint_id] = None
+        while len(self._removed_endpoints) > _MAX_REMOVED_ENDPOINTS:
+            del self._removed_endpoints[next(iter(self._removed_endpoints))]
         self.snapshot = snapshot
         self.fleet = fleet
-        self._homes_by_endpoint = {}
+        self._coordinators_by_endpoint = {}
         self._updated.set()
         self._updated = asyncio.Event()
 
-    async def learn_of(self, endpoint_id: str, wait_s: float) -> None:
-        """Waits for an endpoint that another VM knows and this one doesn't.
+    async def learn_of(self, endpoint_id: str, timeout_s: float) -> None:
+        """Waits until the settings contain an endpoint.
 
-        News of a new endpoint reach some VMs before others. One that was here
-        and is gone isn't waited for.
+        Updates that add an endpoint reach some VMs before others, so another
+        VM may name an endpoint that this process doesn't know yet. Returns at
+        once for an endpoint that has been removed.
 
         Args:
-          endpoint_id: The endpoint; empty for none.
-          wait_s: Longest time.
+          endpoint_id: The endpoint; empty returns at once.
+          timeout_s: Longest wait in seconds; no error is raised after it.
         """
         try:
-            async with asyncio.timeout(wait_s):
-                while self._is_unheard_of(endpoint_id):
+            async with asyncio.timeout(timeout_s):
+                while self._is_unknown(endpoint_id):
                     await self._updated.wait()
         except TimeoutError:
             pass
 
-    def _is_unheard_of(self, endpoint_id: str) -> bool:
+    def _is_unknown(self, endpoint_id: str) -> bool:
         return bool(
             endpoint_id
             and endpoint_id not in self.snapshot.endpoints_by_id
-            and endpoint_id not in self._gone
+            and endpoint_id not in self._removed_endpoints
         )
 
-    def note_leaving(self, endpoint_id: str, until: float) -> None:
-        """Notes an endpoint's own draining answer until its news expire.
+    def mark_leaving(self, endpoint_id: str, until: float) -> None:
+        """Marks an endpoint as leaving after it has responded that it drains.
 
-        The VM list hears of it through the settings process and the peers;
-        until then this process would go on sending work there.
+        The VM list gets the leaving notice only by way of the settings process
+        and the peers; without the mark this process would send requests to the
+        endpoint until then.
+
+        Args:
+          endpoint_id: The endpoint.
+          until: When the mark expires, in seconds.
         """
         self._leaving_until_by_endpoint[endpoint_id] = until
 
     def is_leaving(self, endpoint_id: str, now: float) -> bool:
-        """Returns whether an endpoint is known to be leaving."""
+        """Returns whether an endpoint is leaving by either kind of notice."""
         return endpoint_id in self.fleet_at(now).leaving_endpoint_ids
 
     def fleet_at(self, now: float) -> model.Fleet:
-        """Returns the VM list with this process's own news."""
-        own = {
+        """Returns the VM list with this process's own leaving marks added.
+
+        Args:
+          now: Current time in seconds.
+        """
+        marked = {
             endpoint_id
             for endpoint_id, until in self._leaving_until_by_endpoint.items()
             if until > now
         }
         return dataclasses.replace(
             self.fleet,
-            leaving_endpoint_ids=self.fleet.leaving_endpoint_ids | own,
+            leaving_endpoint_ids=self.fleet.leaving_endpoint_ids | marked,
         )
 
     def home_of(self, endpoint_id: str) -> model.Vm | None:
-        """Returns the VM that is home to an endpoint, None if there is none."""
-        if endpoint_id not in self._homes_by_endpoint:
-            self._homes_by_endpoint[endpoint_id] = ownership.home_of(
+        """Returns the coordinator VM of an endpoint, None if there is none."""
+        if endpoint_id not in self._coordinators_by_endpoint:
+            self._coordinators_by_endpoint[endpoint_id] = ownership.home_of(
                 endpoint_id, self.fleet.vms_by_id.values()
             )
-        return self._homes_by_endpoint[endpoint_id]
+        return self._coordinators_by_endpoint[endpoint_id]
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -81,8 +81,8 @@
                 asyncio.to_thread(_read_all, site.port)
             )
             await site.started.wait()
-            assert await site.gate.wait_until_empty(0.01) == 1
-            site.gate.cut()
+            assert await site.gate.wait_until_idle(0.01) == 1
+            site.gate.abort_all()
             return await asyncio.wait_for(reading, 10)
 
         answer = asyncio.run(scenario())
