--- a/tests/entry_site.py
+++ b/tests/entry_site.py
@@ -1,4 +1,8 @@
-"""An entry with stand-ins round it, all in one event loop, for tests."""
+"""Test fixture: entry processes with stand-in servers in one event loop.
+
+The stand-ins replace engines, plain services and the coordinator of all
+endpoints.
+"""
 
 import asyncio
 import contextlib
@@ -40,7 +44,7 @@
 
 
 class Source:
-    """Settings and VM list that a test sets itself."""
+    """Source of settings and VM list whose content a test sets."""
 
     def __init__(self) -> None:
         self.snapshot = model.Snapshot()
@@ -72,47 +76,47 @@
 
 
 class SlotsHandler(web.RequestHandler):
-    """A home that grants by the ledger, without waiting."""
+    """Serves slot demands: grants leases from the ledger, without waiting."""
 
-    def initialize(self, home) -> None:
-        self.home = home
+    def initialize(self, coordinator) -> None:
+        self.coordinator = coordinator
 
     def post(self) -> None:
         if not _is_signed(self.request):
             self.set_status(403)
             return
         request = codec.decode(slot_messages.SlotsRequest, self.request.body)
-        self.home.asked.append(request)
-        self.write(codec.encode(self.home.answer(request)))
+        self.coordinator.received_requests.append(request)
+        self.write(codec.encode(self.coordinator.answer(request)))
 
 
 class CancelsHandler(web.RequestHandler):
-    """Takes cancel orders over from an entry that leaves."""
+    """Serves pending cancellations of an entry process that shuts down."""
 
-    def initialize(self, home) -> None:
-        self.home = home
+    def initialize(self, coordinator) -> None:
+        self.coordinator = coordinator
 
     def post(self) -> None:
         if not _is_signed(self.request):
             self.set_status(403)
             return
         request = codec.decode(slot_messages.CancelsRequest, self.request.body)
-        self.home.cancels.extend(request.cancels)
+        self.coordinator.cancels.extend(request.cancels)
         self.write({})
 
 
-class Home:
-    """The home of all endpoints."""
+class FakeCoordinator:
+    """Stand-in for the coordinator of all endpoints."""
 
     def __init__(self) -> None:
         self.ledgers: dict[str, slots.SlotLedger] = {}
-        self.asked: list[slot_messages.SlotsRequest] = []
+        self.received_requests: list[slot_messages.SlotsRequest] = []
         self.cancels: list[slot_messages.CancelOrder] = []
-        own = {"home": self}
+        handler_arguments = {"coordinator": self}
         self.server = shell.Server(
             [
-                (peers.SLOTS_PATH, SlotsHandler, own),
-                (peers.CANCELS_PATH, CancelsHandler, own),
+                (peers.SLOTS_PATH, SlotsHandler, handler_arguments),
+                (peers.CANCELS_PATH, CancelsHandler, handler_arguments),
             ],
             HOST,
             0,
@@ -141,7 +145,7 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a caller got."""
+    """HTTP response as a caller received it."""
 
     status: int
     headers: Any
@@ -152,11 +156,11 @@
 
 
 class Site:
-    """An entry or two, a home, four engines and two plain services."""
+    """Entry processes, a coordinator, four engines and three plain services."""
 
     def __init__(self, drain_notice_s: float = 0.0) -> None:
         self.drain_notice_s = drain_notice_s
-        self.home = Home()
+        self.coordinator = FakeCoordinator()
         self.engines: dict[str, engine_lib.Engine] = {}
         self._engine_servers: list[shell.Server] = []
         self.services: dict[str, service_lib.Service] = {}
@@ -212,48 +216,56 @@
             slots=slots_,
             checks_idempotency_keys=checks,
         )
-        self.home.ledgers[endpoint_id] = slots.SlotLedger(endpoint_id, slots_)
+        self.coordinator.ledgers[endpoint_id] = slots.SlotLedger(
+            endpoint_id, slots_
+        )
 
     def snapshot(self, revision: int = 1, **changes: Any) -> model.Snapshot:
-        firm = {"kind": model.ServiceKind.MODEL, "pool": "engines"}
-        plain = {
+        model_fields = {"kind": model.ServiceKind.MODEL, "pool": "engines"}
+        plain_fields = {
             "kind": model.ServiceKind.PLAIN,
             "methods": ("GET", "POST"),
             "timeout_s": 5.0,
         }
-        booking = {**plain, "idempotency": model.Idempotency.UNREPEATABLE}
+        booking_fields = {
+            **plain_fields,
+            "idempotency": model.Idempotency.UNREPEATABLE,
+        }
         services = [
             model.Service(
                 id="umurongo/brief",
                 customer="umurongo",
                 name="brief",
                 model="standin",
-                **firm,
+                **model_fields,
                 **changes,
             ),
             model.Service(
-                id="zarqa/summary", customer="zarqa", name="summary", **firm
+                id="zarqa/summary",
+                customer="zarqa",
+                name="summary",
+                **model_fields,
             ),
             model.Service(
                 id="umurongo/booking",
                 customer="umurongo",
                 name="booking",
                 pool="desk",
-                **booking,
+                **booking_fields,
             ),
             model.Service(
                 id="umurongo/safe-booking",
                 customer="umurongo",
                 name="safe-booking",
                 pool="safe",
-                **booking,
+                **booking_fields,
             ),
             model.Service(
                 id="umurongo/lookup",
                 customer="umurongo",
                 name="lookup",
                 pool="desk",
-                **plain,
+                **plain_fields,
             ),
         ]
         customers = [
@@ -288,7 +300,7 @@
                     host=HOST,
                     availability_zone="gasabo",
                     role=model.VmRole.ENTRY,
-                    dispatch_port=self.home.server.port,
+                    dispatch_port=self.coordinator.server.port,
                     entry_ports=(entry.shell.port,),
                 )
                 for number, entry in enumerate(self.entries)
@@ -337,7 +349,7 @@
             entry.shell.stop()
         await asyncio.wait_for(asyncio.gather(*self.tasks), 20)
         await self._stack.aclose()
-        await self.home.server.stop()
+        await self.coordinator.server.stop()
         self.http.close()
 
     def url_port(self, entry: int = 0) -> int:
@@ -353,7 +365,7 @@
         customer: str = "umurongo/amahoro",
         entry: int = 0,
     ) -> exchange.Response:
-        """Sends a call and leaves its answer open."""
+        """Sends a request and returns its response before the body is read."""
         if not isinstance(body, bytes):
             body = json.dumps(body).encode()
         key = {"Authorization": f"Bearer {KEYS[customer]}"} if customer else {}
@@ -368,7 +380,7 @@
         )
 
     async def call(self, *arguments: Any, **named: Any) -> Answer:
-        """Sends a call and reads its whole answer."""
+        """Sends a request and reads its complete response."""
         response = await self.open(*arguments, **named)
         body = await response.read(1 << 24)
         return Answer(response.status, response.headers, body)
@@ -380,14 +392,16 @@
         receive_buffer: int = 65_536,
         cut: int = 0,
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Posts all but the last `cut` bytes and reads nothing yet."""
-        bare = socket.socket()
-        bare.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
-        bare.setblocking(False)
+        """Sends a POST request without the last `cut` bytes of its body."""
+        raw_socket = socket.socket()
+        raw_socket.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer
+        )
+        raw_socket.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(bare, (HOST, self.url_port()))
+        await loop.sock_connect(raw_socket, (HOST, self.url_port()))
         reader, writer = await asyncio.open_connection(
-            sock=bare, limit=receive_buffer
+            sock=raw_socket, limit=receive_buffer
         )
         content = json.dumps(body).encode()
         head = (
@@ -399,23 +413,23 @@
         return reader, writer
 
     async def raw_post(self, path: str, body: Any) -> bytes:
-        """Posts over a bare connection; returns all bytes until its end."""
+        """Sends a POST request; returns all bytes until the connection ends."""
         reader, writer = await self.raw_open(path, body)
         answer = await reader.read()
         writer.close()
         return answer
 
     def status(self, entry: int = 0) -> dict[str, Any]:
-        """Returns what an entry's `GET /v1/status` answers."""
+        """Returns the content of `GET /v1/status` of an entry process."""
         return self.entries[entry].shell.status()
 
     async def cut_engines(self) -> None:
-        """Closes all connections of the engines, which listen no more."""
+        """Stops the engines' servers and closes their connections."""
         for server in self._engine_servers:
             await server.stop()
 
     async def until_free(self) -> None:
-        """Waits until no engine holds anything; fails after ten seconds."""
+        """Waits until no engine holds a request; fails after ten seconds."""
         await until(
             lambda: (
                 not any(
@@ -426,7 +440,10 @@
         )
 
     async def until_held(self, kind: str, stage: str) -> None:
-        """Waits until an engine of a kind holds a request in a stage."""
+        """Waits until an engine of a kind holds a request in a stage.
+
+        Fails after ten seconds.
+        """
         await until(
             lambda: any(
                 request.stage == stage
@@ -438,14 +455,14 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Waits for a condition of a stand-in; fails after ten seconds."""
+    """Polls until a condition is true; fails after ten seconds."""
     async with asyncio.timeout(10):
-        while not condition():  # noqa: ASYNC110 stand-ins tell no events
+        while not condition():  # noqa: ASYNC110 stand-ins emit no events
             await asyncio.sleep(0.002)
 
 
 async def until_still(value: Callable[[], int]) -> None:
-    """Waits until a value has not changed for forty polls in a row."""
+    """Waits until a value stays the same for 40 polls, 2 ms apart."""
     last, same = value(), 0
     while same < 40:
         await asyncio.sleep(0.002)
@@ -457,12 +474,13 @@
 async def running(
     entries: int = 1, drain_notice_s: float = 0.0, **changes: Any
 ):
-    """Runs a site for one test.
+    """Runs a site for the duration of one test.
 
     Args:
-      entries: Entry processes, each on a VM of its own.
-      drain_notice_s: How long a leaving one still takes requests.
-      **changes: Fields of the service `brief`.
+      entries: Number of entry processes, each on its own VM.
+      drain_notice_s: Seconds for which a draining entry process still accepts
+        requests.
+      **changes: Changed fields of the service `brief`.
     """
     site = Site(drain_notice_s)
     await site.start(entries)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The callers' interface, with stand-ins of all that is behind it."""
+"""Tests of the public API with stand-ins for engines and other processes."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
     return asyncio.run(scenario())
 
 
-def _refused(answer: entry_site.Answer, status: int, code: str) -> bool:
+def _is_error(answer: entry_site.Answer, status: int, code: str) -> bool:
     error = answer.json()["error"]
     assert error["run"] == "no"
     assert error["message"]
@@ -27,16 +27,16 @@
 
 
 class TestGeneration:
-    """Model requests that go well."""
+    """Responses of successful model requests."""
 
-    def test_stream(self):
+    def test_streamed_response(self):
         answer = _call("POST", _COMPLETIONS, {**_PROMPT, "stream": True})
         assert answer.status == 200
         assert answer.headers["Content-Type"].startswith("text/event-stream")
         assert answer.body.endswith(b"data: [DONE]\n\n")
         assert answer.body.count(b"data: {") == 5
 
-    def test_whole(self):
+    def test_response_without_streaming(self):
         answer = _call("POST", _COMPLETIONS, _PROMPT)
         fields = answer.json()
         assert fields["object"] == "text_completion"
@@ -51,13 +51,13 @@
         assert message["role"] == "assistant"
         assert len(message["content"].split()) == 3
 
-    def test_models_are_the_callers_own(self):
+    def test_model_list_has_only_the_callers_services(self):
         answer = _call("GET", "/v1/models", customer="zarqa")
         assert [model["id"] for model in answer.json()["data"]] == ["summary"]
 
 
 class TestPlainCalls:
-    """Calls of plain services are passed whole."""
+    """Requests to plain services are passed on unchanged."""
 
     def test_method_path_headers_and_body(self):
         answer = _call("POST", "/services/lookup/bags/7?x=1", b"\x00bag", {})
@@ -66,13 +66,13 @@
         assert fields["path"] == "/bags/7?x=1"
         assert fields["received"] == "\x00bag"
 
-    def test_other_method(self):
+    def test_method_that_the_service_excludes(self):
         answer = _call("DELETE", "/services/lookup/bags/7")
-        assert _refused(answer, 405, "method_not_allowed")
+        assert _is_error(answer, 405, "method_not_allowed")
 
 
 class TestRefusals:
-    """What isn't a request of this caller gets a clear error."""
+    """Invalid or unauthorized requests get the right status and code."""
 
     @pytest.mark.parametrize(
         ("body", "code"),
@@ -90,36 +90,40 @@
         ],
     )
     def test_bad_body(self, body, code):
-        assert _refused(_call("POST", _COMPLETIONS, body), 400, code)
+        assert _is_error(_call("POST", _COMPLETIONS, body), 400, code)
 
     def test_unknown_key(self):
         answer = _call("POST", _COMPLETIONS, _PROMPT, customer="")
-        assert _refused(answer, 401, "invalid_api_key")
+        assert _is_error(answer, 401, "invalid_api_key")
         wrong = {"Authorization": "Bearer wrong"}
         answer = _call("POST", _COMPLETIONS, _PROMPT, wrong, customer="")
-        assert _refused(answer, 401, "invalid_api_key")
+        assert _is_error(answer, 401, "invalid_api_key")
 
-    def test_rivals_service_looks_like_none(self):
-        """Existence isn't told: both answers are the same but for the name."""
+    def test_service_of_another_customer_looks_nonexistent(self):
+        """Error responses must not reveal which services other customers have.
+
+        The responses for a foreign and for a nonexistent service are identical
+        but for the name.
+        """
         body = {**_PROMPT, "model": "summary"}
-        rivals = _call("POST", _COMPLETIONS, body)
-        nobodys = _call("POST", _COMPLETIONS, {**body, "model": "nothing"})
-        assert _refused(rivals, 404, "service_not_found")
-        assert rivals.body == nobodys.body.replace(b"nothing", b"summary")
+        foreign = _call("POST", _COMPLETIONS, body)
+        unknown = _call("POST", _COMPLETIONS, {**body, "model": "nothing"})
+        assert _is_error(foreign, 404, "service_not_found")
+        assert foreign.body == unknown.body.replace(b"nothing", b"summary")
 
     def test_unknown_path(self):
-        assert _refused(_call("GET", "/v2"), 404, "path_not_found")
+        assert _is_error(_call("GET", "/v2"), 404, "path_not_found")
 
     def test_large_body(self):
         answer = _call("POST", _COMPLETIONS, b"x" * 9_000_000)
-        assert _refused(answer, 413, "body_too_large")
+        assert _is_error(answer, 413, "body_too_large")
         answer = _call("POST", "/services/lookup/", b"x" * 2_000_000)
-        assert _refused(answer, 413, "body_too_large")
+        assert _is_error(answer, 413, "body_too_large")
 
     def test_large_headers(self):
         headers = {f"X-Large-{number}": "x" * 1000 for number in range(20)}
         answer = _call("POST", _COMPLETIONS, _PROMPT, headers)
-        assert _refused(answer, 431, "headers_too_large")
+        assert _is_error(answer, 431, "headers_too_large")
 
     @pytest.mark.parametrize(
         "headers",
@@ -133,9 +137,9 @@
     )
     def test_bad_header(self, headers):
         answer = _call("POST", _COMPLETIONS, _PROMPT, headers)
-        assert _refused(answer, 400, "invalid_header")
+        assert _is_error(answer, 400, "invalid_header")
 
-    def test_process_lives_on(self):
+    def test_valid_request_succeeds_after_invalid_ones(self):
         async def scenario():
             async with entry_site.running() as site:
                 for body in (b"\xff", b"{}", b"null", b"{}" * 1_000_000):
@@ -152,18 +156,19 @@
                 return await site.call("GET", "/v1/models", entry=1)
 
         answer = asyncio.run(scenario())
-        assert _refused(answer, 503, "not_ready")
+        assert _is_error(answer, 503, "not_ready")
         assert answer.headers["Retry-After"] == "1"
 
 
 class TestBrokenUploads:
-    """Callers leave amid their uploads."""
+    """Callers that disconnect during the upload of a request body."""
 
-    def test_their_bytes_are_given_back(self):
-        """Three callers in turn send most of a large body and leave.
+    def test_buffered_bytes_are_released(self):
+        """Guards against a leak in the count of buffered body bytes.
 
-        Were their bytes still counted, the next caller would be refused for
-        want of room, and so would everyone after it.
+        Three callers in turn send most of a large body and disconnect. If
+        their bytes stayed counted, the next caller and all after it would be
+        refused as overload.
         """
 
         async def scenario():
@@ -187,13 +192,13 @@
 
 
 class TestScheduling:
-    """What reaches the scheduler and the homes."""
+    """Queueing, slot demands and leases."""
 
-    def test_full_engines_refuse_at_once_or_in_time(self):
-        """More requests than slots come at once.
+    def test_requests_beyond_the_slots_wait_or_are_refused(self):
+        """More requests than slots arrive at once.
 
-        Those beyond the slots wait; those that wait too long are told so, with
-        a time to come back.
+        Those beyond the slots are queued; those that would wait too long are
+        refused with a `Retry-After` header, and must not fail otherwise.
         """
 
         async def scenario():
@@ -214,10 +219,11 @@
                 assert answer.json()["error"]["run"] == "no"
                 assert int(answer.headers["Retry-After"]) >= 1
 
-    def test_one_call_outstanding_a_home(self):
-        """A burst of requests doesn't become a burst of asks.
+    def test_slot_demands_are_merged_while_one_is_in_flight(self):
+        """A burst of requests must not become a burst of slot demands.
 
-        Each ask states all, so asks sent while one is under way are merged.
+        Each demand states the total, so demands that arise while one is in
+        flight to a coordinator are merged into the next.
         """
 
         async def scenario():
@@ -226,24 +232,24 @@
                     site.call("POST", _COMPLETIONS, _PROMPT) for _ in range(40)
                 ]
                 await asyncio.gather(*calls)
-                return len(site.home.asked)
+                return len(site.coordinator.received_requests)
 
         assert asyncio.run(scenario()) < 120
 
-    def test_leases_are_handed_back(self):
+    def test_leases_are_returned_at_shutdown(self):
         async def scenario():
             async with entry_site.running() as site:
                 await site.call("POST", _COMPLETIONS, _PROMPT)
-            return site.home.asked[-1]
+            return site.coordinator.received_requests[-1]
 
         last = asyncio.run(scenario())
         assert {ask.want for ask in last.asks} == {0}
 
 
 class TestLog:
-    """One line for each request's end."""
+    """One log line at the end of each request."""
 
-    def test_line(self):
+    def test_request_ended_line(self):
         async def scenario():
             async with entry_site.running() as site:
                 await site.call("POST", _COMPLETIONS, _PROMPT)
@@ -262,9 +268,9 @@
 
 
 class TestErrors:
-    """Errors have one shape."""
+    """All errors have the same JSON form."""
 
-    def test_shape(self):
+    def test_fields(self):
         answer = _call("GET", "/nothing")
         assert set(json.loads(answer.body)["error"]) == {
             "code",
--- a/tests/test_entry_gone.py
+++ b/tests/test_entry_gone.py
@@ -1,4 +1,4 @@
-"""No engine memory stays held for a caller that is gone."""
+"""Tests that engine memory is freed when a caller disconnects."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 _SLOW = {"slow_factor": 1_000.0}
 
 
-async def _gone_in(site: entry_site.Site, kind: str, stage: str) -> None:
+async def _disconnect_in(site: entry_site.Site, kind: str, stage: str) -> None:
     call = asyncio.create_task(site.open("POST", _COMPLETIONS, _LONG))
     await site.until_held(kind, stage)
     call.cancel()
@@ -23,17 +23,17 @@
     await site.until_free()
 
 
-def _misbehave(site: entry_site.Site, kind: str, fields: dict) -> None:
+def _inject_faults(site: entry_site.Site, kind: str, fields: dict) -> None:
     for name, engine in site.engines.items():
         if name.startswith(kind):
             engine.conduct.set(fields)
 
 
-class TestCallerGone:
-    """A caller closes its connection; its engines must be free soon after.
+class TestCallerDisconnects:
+    """A caller closes its connection; its engine slots must be freed soon.
 
-    Otherwise the slot stays taken until the answer nobody reads is complete,
-    and other callers wait for it or are refused.
+    Otherwise a slot stays in use until the unread response is complete, and
+    other callers wait for the slot or are refused.
     """
 
     @pytest.mark.parametrize(
@@ -47,29 +47,31 @@
         ],
         ids=["prefill", "between", "transfer", "before-token", "decode"],
     )
-    def test_in_each_stage(self, kind, stage, prefill, decode):
+    def test_during_each_stage(self, kind, stage, prefill, decode):
         async def scenario():
             async with entry_site.running() as site:
-                _misbehave(site, "prefill", prefill)
-                _misbehave(site, "decode", decode)
-                await _gone_in(site, kind, stage)
+                _inject_faults(site, "prefill", prefill)
+                _inject_faults(site, "decode", decode)
+                await _disconnect_in(site, kind, stage)
 
         asyncio.run(scenario())
 
     def test_while_queued(self):
-        """It waits for a slot when its caller leaves.
+        """A caller disconnects while its request is queued for a slot.
 
-        It must not be started later, when a slot comes free.
+        The request must not be started later, when a slot becomes free.
         """
 
         async def scenario():
             async with entry_site.running() as site:
-                _misbehave(site, "decode", {"stall_at_token": 1})
+                _inject_faults(site, "decode", {"stall_at_token": 1})
                 held = [
                     asyncio.create_task(site.open("POST", _COMPLETIONS, _LONG))
                     for _ in range(8)
                 ]
-                await entry_site.until(lambda: _held(site, "decode") == 8)
+                await entry_site.until(
+                    lambda: _held_requests(site, "decode") == 8
+                )
                 queued = asyncio.create_task(
                     site.open("POST", _COMPLETIONS, _LONG)
                 )
@@ -95,10 +97,10 @@
         ],
         ids=["refused", "lost", "late"],
     )
-    def test_cancel_order_fails(self, fault):
-        """The order to the engine is refused, lost or answered late.
+    def test_cancellation_is_retried_until_acknowledged(self, fault):
+        """An engine refuses or loses a cancellation, or acknowledges it late.
 
-        It is sent again until the engine acknowledges it.
+        The cancellation must be sent again until the engine acknowledges it.
         """
 
         async def scenario():
@@ -107,7 +109,7 @@
                     site.open("POST", _COMPLETIONS, _LONG)
                 )
                 await site.until_held("decode", "decode")
-                _misbehave(site, "decode", fault)
+                _inject_faults(site, "decode", fault)
                 (await call).close()
                 await site.until_free()
                 await entry_site.until(
@@ -116,29 +118,29 @@
 
         asyncio.run(scenario())
 
-    def test_leaving_entry_hands_its_cancels_over(self):
-        """The entry is shut down while an engine acknowledges no cancel.
+    def test_pending_cancellations_are_handed_over_at_shutdown(self):
+        """The entry process shuts down while an engine refuses cancellations.
 
-        The order would be lost with the process, so the endpoint's home gets
-        it.
+        A pending cancellation would be lost with the process, so it must be
+        handed over to the coordinator of the endpoint.
         """
 
         async def scenario():
             async with entry_site.running() as site:
                 response = await site.open("POST", _COMPLETIONS, _LONG)
-                _misbehave(site, "decode", {"cancel": "refuse"})
+                _inject_faults(site, "decode", {"cancel": "refuse"})
                 response.close()
                 await entry_site.until(
                     lambda: site.status()["pending_cancels"] > 0
                 )
-            return [order.request_id for order in site.home.cancels]
+            return [order.request_id for order in site.coordinator.cancels]
 
         handed_over = asyncio.run(scenario())
         assert len(handed_over) == 1
         assert handed_over[0].startswith("vm-0.e0.")
 
 
-def _held(site: entry_site.Site, kind: str) -> int:
+def _held_requests(site: entry_site.Site, kind: str) -> int:
     return sum(
         len(engine.memory.held_requests())
         for name, engine in site.engines.items()
--- a/tests/test_entry_time.py
+++ b/tests/test_entry_time.py
@@ -1,4 +1,7 @@
-"""Processes that wake up late: leases and deadlines that have run out."""
+"""Tests of an entry process that resumes after a suspension of its VM.
+
+Leases and deadlines may have expired in between.
+"""
 
 import asyncio
 import types
@@ -14,13 +17,13 @@
 from cowsliprill.entry.filters import plain_placement
 
 _BODY = {"model": "brief", "prompt": "a case file " * 40, "max_tokens": 3}
-_SLEPT_S = 100.0
+_SUSPENDED_S = 100.0
 
 
-def _oversleep(monkeypatch, module) -> None:
-    """Has a module act as if the VM had been suspended just before."""
-    late = types.SimpleNamespace(now=lambda: clock.now() + _SLEPT_S)
-    monkeypatch.setattr(module, "clock", late)
+def _simulate_suspension(monkeypatch, module) -> None:
+    """Advances a module's clock as if the VM had just been suspended."""
+    advanced = types.SimpleNamespace(now=lambda: clock.now() + _SUSPENDED_S)
+    monkeypatch.setattr(module, "clock", advanced)
 
 
 def _call(*arguments, **named):
@@ -45,65 +48,67 @@
 
 
 class TestLeases:
-    """Until when an endpoint may be used."""
-
-    def test_ends(self):
-        held = leases.Leases()
-        assert not held.allow("decode-0", 1.0, 1.0)
-        held.grant(_lease(3.0), 1.0)
-        assert held.allow("decode-0", 1.0, 2.9)
-        assert not held.allow("decode-0", 1.0, 3.0)
-
-    def test_renewal_keeps_a_decision(self):
-        held = leases.Leases()
-        held.grant(_lease(3.0), 1.0)
-        held.grant(_lease(4.0), 2.0)
-        assert held.allow("decode-0", 1.5, 3.5)
-
-    def test_a_lease_after_a_gap_is_for_new_decisions_only(self):
-        """The process slept past its lease and got a new one on waking.
-
-        Meanwhile its slot was given to another entry. The decode of a prefill
-        from before would be one too many.
+    """How long a lease allows requests to be sent to an endpoint."""
+
+    def test_lease_expires(self):
+        granted = leases.Leases()
+        assert not granted.allow("decode-0", 1.0, 1.0)
+        granted.grant(_lease(3.0), 1.0)
+        assert granted.allow("decode-0", 1.0, 2.9)
+        assert not granted.allow("decode-0", 1.0, 3.0)
+
+    def test_renewal_without_a_gap_keeps_earlier_decisions_valid(self):
+        granted = leases.Leases()
+        granted.grant(_lease(3.0), 1.0)
+        granted.grant(_lease(4.0), 2.0)
+        assert granted.allow("decode-0", 1.5, 3.5)
+
+    def test_lease_after_a_gap_allows_new_decisions_only(self):
+        """The process is suspended past its lease, then gets a new one.
+
+        In between, its slot may have been leased to another entry process. The
+        decode of a prefill decided before the gap would exceed the slots.
         """
-        held = leases.Leases()
-        held.grant(_lease(3.0), 1.0)
-        held.grant(_lease(9.0), 7.0)
-        assert not held.allow("decode-0", 1.5, 7.5)
-        assert held.allow("decode-0", 7.0, 7.5)
-
-    def test_a_fall_back_after_a_gap_is_for_new_decisions_only(self):
-        """As above, but on waking the home can't be reached."""
-        held = leases.Leases()
-        held.grant(_lease(3.0), 1.0)
-        held.fall_back(("decode-0",), 7.0)
-        assert not held.allow("decode-0", 1.5, 7.5)
-        assert held.allow("decode-0", 7.0, 7.5)
-
-    def test_a_fall_back_lasts_while_it_is_confirmed(self):
-        """The home stays away, and some engine is asked for seldom.
-
-        Its share ended here but not in the scheduler, and callers got
-        `endpoint_failed` although the engine was idle.
+        granted = leases.Leases()
+        granted.grant(_lease(3.0), 1.0)
+        granted.grant(_lease(9.0), 7.0)
+        assert not granted.allow("decode-0", 1.5, 7.5)
+        assert granted.allow("decode-0", 7.0, 7.5)
+
+    def test_fallback_after_a_gap_allows_new_decisions_only(self):
+        """As above, but the coordinator is unreachable after the suspension."""
+        granted = leases.Leases()
+        granted.grant(_lease(3.0), 1.0)
+        granted.fall_back(("decode-0",), 7.0)
+        assert not granted.allow("decode-0", 1.5, 7.5)
+        assert granted.allow("decode-0", 7.0, 7.5)
+
+    def test_fallback_lasts_while_it_is_confirmed(self):
+        """Guards against a fallback share that ends before the scheduler's.
+
+        The coordinator stays unreachable and an engine is rarely used. Its
+        fallback share expired in the leases but not in the scheduler, so
+        callers got `endpoint_failed` although the engine was idle.
         """
-        held = leases.Leases()
-        held.fall_back(("decode-0",), 1.0)
+        granted = leases.Leases()
+        granted.fall_back(("decode-0",), 1.0)
         for now in (2.0, 3.0, 4.0):
-            held.confirm_fallbacks(now)
-        assert held.allow("decode-0", 1.0, 5.0)
-        held.confirm_fallbacks(60.0)
-        assert not held.allow("decode-0", 1.0, 60.0)
+            granted.confirm_fallbacks(now)
+        assert granted.allow("decode-0", 1.0, 5.0)
+        granted.confirm_fallbacks(60.0)
+        assert not granted.allow("decode-0", 1.0, 60.0)
 
 
-class TestOversleeping:
-    """The VM is suspended between a decision and the act that it allows."""
+class TestSuspension:
+    """The VM is suspended between a placement decision and its execution."""
 
-    def test_no_work_is_placed_on_an_old_lease(self, monkeypatch):
-        """Its home has given the slot to another entry long ago.
+    def test_no_request_is_sent_on_an_expired_lease(self, monkeypatch):
+        """The coordinator has leased the slot to another entry process.
 
-        The engine would hold more than its slots, or refuse another's work.
+        The engine would hold more requests than it has slots, or refuse those
+        of the other process.
         """
-        _oversleep(monkeypatch, model_relay)
+        _simulate_suspension(monkeypatch, model_relay)
         answer, held, _, log = _call("POST", "/v1/completions", _BODY)
         assert held == []
         assert answer.status == 502
@@ -111,9 +116,9 @@
         assert 'reason="its lease has run out"' in log
 
     @pytest.mark.parametrize("service", ["lookup", "booking"])
-    def test_no_call_is_begun_after_its_deadline(self, monkeypatch, service):
-        """The caller has given up; a pickup made now would surprise it."""
-        _oversleep(monkeypatch, plain_placement)
+    def test_no_request_is_sent_after_its_deadline(self, monkeypatch, service):
+        """The caller has given up and doesn't expect any effect by now."""
+        _simulate_suspension(monkeypatch, plain_placement)
         path = f"/services/{service}/slots"
         answer, _, runs, _ = _call("POST", path, b"", {})
         assert runs == 0
@@ -122,13 +127,14 @@
 
 
 class TestSubmission:
-    """What the scheduler hears of a request."""
+    """The event with which a request is submitted to the scheduler."""
 
-    def test_prefixes_differ_by_firm(self, monkeypatch):
-        """Rival firms send the same prompt.
+    def test_prefix_hashes_differ_by_customer(self, monkeypatch):
+        """Guards against a side channel through cached prefixes.
 
-        Were the second sent where the first one's prefix is cached, its
-        answer's speed would tell of the first.
+        Two customers send the same prompt. If the second request went to the
+        engine with the first one's cached prefix, its fast response would
+        reveal the first request.
         """
         submitted = []
         submit = scheduling.Scheduling.submit
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -1,4 +1,4 @@
-"""Tests of `entry.handlers` over real connections."""
+"""Tests of the request handlers of the entry process over real connections."""
 
 import asyncio
 import socket
@@ -28,15 +28,17 @@
 
 
 class _Site:
-    """One server whose calls stream for ever."""
+    """A server whose responses are streams that never end."""
 
     def __init__(self) -> None:
         self.gate = gate_lib.Gate(
             identity.Incarnation("vm", "e0", "0"), world_lib.World()
         )
         self.started = asyncio.Event()
-        own = {"gate": self.gate, "handle": self._handle}
-        application = web.Application([(".*", handlers.CallHandler, own)])
+        handler_arguments = {"gate": self.gate, "handle": self._handle}
+        application = web.Application(
+            [(".*", handlers.CallHandler, handler_arguments)]
+        )
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
         self.server = httpserver.HTTPServer(application)
@@ -49,14 +51,15 @@
         await asyncio.Event().wait()
 
 
-class TestEndOfTheProcess:
-    """A process ends amid a stream, its time to drain being over."""
+class TestProcessExit:
+    """A process ends during a stream, after its drain timeout."""
 
-    def test_a_cut_stream_doesnt_look_whole(self):
-        """The event loop cancels all that runs as it closes.
+    def test_cancelled_stream_is_not_properly_ended(self):
+        """Guards against truncated streams that look complete.
 
-        tornado then ends the answer in good order: its caller takes half a
-        summary for the whole, and never asks for the rest.
+        The event loop cancels all tasks when it closes. tornado would then
+        properly end the response: the caller would take half of it for the
+        complete response and not request the rest.
         """
 
         async def scenario():
@@ -65,8 +68,8 @@
                 asyncio.to_thread(_read_all, site.port)
             )
             await site.started.wait()
-            own = {asyncio.current_task(), reading}
-            for task in asyncio.all_tasks() - own:
+            unaffected = {asyncio.current_task(), reading}
+            for task in asyncio.all_tasks() - unaffected:
                 task.cancel()
             return await asyncio.wait_for(reading, 10)
 
@@ -74,7 +77,7 @@
         assert b"data: a" in answer
         assert not answer.endswith(_LAST_CHUNK)
 
-    def test_what_is_left_when_the_time_is_over_is_cut(self):
+    def test_requests_left_after_the_drain_timeout_are_aborted(self):
         async def scenario():
             site = _Site()
             reading = asyncio.create_task(
--- a/tests/test_own_site.py
+++ b/tests/test_own_site.py
@@ -1,4 +1,4 @@
-"""Tests of `tools.own_site`: deployments of our own."""
+"""Tests of `tools.own_site`, which derives site files from a base site."""
 
 import pathlib
 import tomllib
@@ -33,12 +33,12 @@
 
 
 class TestOwnSite:
-    """Only what is ours differs."""
+    """A derived site differs from its base only where its file says so."""
 
     @pytest.mark.parametrize(
         "path", sorted(pathlib.Path("deploy/sites").glob("*.toml")), ids=str
     )
-    def test_each_of_ours(self, tmp_path, path):
+    def test_each_derived_site(self, tmp_path, path):
         base = tmp_path / "theirs.toml"
         base.write_text(tomli_w.dumps(_BASE))
         (tmp_path / "wire.json").write_text("{}")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""Tests of `entry.world`."""
+"""Tests of the cluster state of the entry process."""
 
 import asyncio
 
@@ -29,14 +29,14 @@
 
 
 class TestNewEndpoints:
-    """A pool's home knows a new engine before this process does."""
+    """The coordinator of a pool knows a new engine before this process does."""
 
-    def test_news_of_it_are_waited_for(self):
-        """A release replaces engines one after the other.
+    def test_unknown_endpoint_is_waited_for(self):
+        """Guards against failed attempts during a rolling release of engines.
 
-        The home places requests on each new one at once. Given up because
-        this VM hasn't heard of it, they would be tried again and again while
-        their time runs out.
+        The coordinator places requests on a new engine at once. If attempts
+        failed because this VM hasn't received the update yet, they would be
+        retried until their time is used up.
         """
 
         async def scenario():
@@ -53,7 +53,7 @@
         asyncio.run(asyncio.wait_for(scenario(), _LONG_S / 2))
 
     @pytest.mark.parametrize("name", ["a", "", "gone"])
-    def test_what_is_known_or_gone_is_not(self, name):
+    def test_known_or_removed_endpoint_is_not_waited_for(self, name):
         async def scenario():
             world = world_lib.World(_snapshot("a", "gone"))
             world.update(_snapshot("a"), model.Fleet())
@@ -61,7 +61,7 @@
 
         asyncio.run(asyncio.wait_for(scenario(), _LONG_S / 2))
 
-    def test_the_wait_ends(self):
+    def test_wait_times_out(self):
         world = world_lib.World(_snapshot("a"))
         asyncio.run(world.learn_of("b", 0.01))
         assert "b" not in world.snapshot.endpoints_by_id
