--- a/src/cowsliprill/entry/context.py
+++ b/src/cowsliprill/entry/context.py
@@ -129,8 +129,8 @@
         `urgency`.
       deadline: Time in seconds by which the first token is due; set by
         `urgency` or `arrival`.
-      ends_at: Time in seconds by which the complete response is due; set by
-        `urgency` or `arrival`.
+      ends_at: Time in seconds by which the complete response must have
+        been sent; set by `urgency` or `arrival`.
       useful_until: Time in seconds until which a late first token is still of
         use, 0 if only until the deadline; set by `arrival`.
       time_given_s: Timeout that the caller declares in seconds, 0 for none.
@@ -140,12 +140,12 @@
         to wait until the response is due; set by the relay or the placement.
       connection: Open, unused connection to the decode engine of the current
         attempt.
-      kept: Exported KV cache of a finished prefill that no decode engine has
-        fetched yet.
+      kept: Exported KV cache of a finished prefill that no decode
+        engine has fetched yet.
       idempotency_key: Idempotency key or ticket, empty for none; set by
         `idempotency`.
-      survives_caller: Whether the request continues after its caller has
-        disconnected; set by `idempotency`.
+      survives_caller: Whether the request continues after its
+        caller has disconnected; set by `idempotency`.
       start: Engines chosen for the current attempt; set by `model_placement`.
       endpoint: Endpoint of a plain service; set by `plain_placement`.
       progress: Progress of the request.
