--- a/tests/entry_site.py
+++ b/tests/entry_site.py
@@ -156,7 +156,7 @@
 
 
 class Site:
-    """Entry processes, a coordinator, four engines and three plain services."""
+    """Entry processes, a coordinator, engines and servers of plain services."""
 
     def __init__(self, drain_notice_s: float = 0.0) -> None:
         self.drain_notice_s = drain_notice_s
