--- a/src/cowsliprill/entry/authorization.py
+++ b/src/cowsliprill/entry/authorization.py
@@ -2,9 +2,9 @@
 
 import dataclasses
 
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import world as world_lib
 
 # Short, because another VM may have fresher settings, and this one may soon.
 _RETRY_AFTER_S = 0.3
@@ -16,11 +16,11 @@
 
     Attributes:
       source: Decides whether the settings are fresh enough to accept keys.
-      world: Current settings.
+      cluster_state: Current settings.
     """
 
-    source: world_lib.Source
-    world: world_lib.World
+    source: cluster_state_lib.ClusterStateSource
+    cluster_state: cluster_state_lib.ClusterState
 
     def check(self, ctx: context.Context) -> None:
         """Checks that a request's API key is valid now.
@@ -44,7 +44,10 @@
                 run=ctx.progress.run,
                 retry_after_s=_RETRY_AFTER_S,
             )
-        if ctx.key_hash not in self.world.snapshot.customers_by_key_hash:
+        if (
+            ctx.key_hash
+            not in self.cluster_state.snapshot.customers_by_key_hash
+        ):
             raise errors.EntryError(
                 errors.Code.INVALID_API_KEY, "The API key is unknown."
             )
--- a/src/cowsliprill/entry/canceller.py
+++ b/src/cowsliprill/entry/canceller.py
@@ -18,9 +18,9 @@
 from cowsliprill.decisions import model
 from cowsliprill.dispatch import messages as dispatch_messages
 from cowsliprill.engines import engine_client
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import errors
-from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
@@ -61,7 +61,7 @@
     Args:
       client: Client of engines.
       homes: Calls the homes.
-      world: The settings and the VM list.
+      cluster_state: The settings and the VM list.
       metrics: The process's metrics.
       log: The process's log.
       random_source: Spreads the retries.
@@ -71,14 +71,14 @@
         self,
         client: engine_client.EngineClient,
         homes: coordinator_client.CoordinatorClient,
-        world: world_lib.World,
+        cluster_state: cluster_state_lib.ClusterState,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
         random_source: random.Random,
     ) -> None:
         self._client = client
         self._homes = homes
-        self._world = world
+        self._cluster_state = cluster_state
         self._metrics = metrics
         self._log = log
         self._random = random_source
@@ -104,7 +104,9 @@
         """
         pending = self._pending_by_endpoint.get(endpoint_id)
         if pending is None:
-            endpoint = self._world.snapshot.endpoints_by_id.get(endpoint_id)
+            endpoint = self._cluster_state.snapshot.endpoints_by_id.get(
+                endpoint_id
+            )
             if endpoint is None:
                 self._log.warning(
                     "cancel_without_endpoint",
@@ -160,7 +162,7 @@
         orders_by_vm: dict[str, list[cancel_queue.Cancellation]] = {}
         vms_by_id: dict[str, model.Vm] = {}
         for endpoint_id, pending in self._pending_by_endpoint.items():
-            vm = self._world.coordinator_of(endpoint_id)
+            vm = self._cluster_state.coordinator_of(endpoint_id)
             if vm is None:
                 continue
             vms_by_id[vm.id] = vm
--- a/src/cowsliprill/entry/world.py
+++ b/src/cowsliprill/entry/cluster_state.py
@@ -12,7 +12,7 @@
 _MAX_REMOVED_ENDPOINTS = 1_000
 
 
-class Source(Protocol):
+class ClusterStateSource(Protocol):
     """Provides settings and the VM list, as `settings.follower.Follower` does.
 
     Attributes:
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class World:
+class ClusterState:
     """Settings and VM list shared by all tasks of the process.
 
     Only the callback of the settings follower replaces them.
--- a/src/cowsliprill/entry/context.py
+++ b/src/cowsliprill/entry/context.py
@@ -25,7 +25,7 @@
       query: Query without the question mark.
       headers: Request headers.
       body: Request body; incomplete if the request is refused for its size.
-      fault: Error with which the request is refused before it reaches the
+      rejection: Error with which the request is refused before it reaches the
         filters (size limits, shutdown, forwarding by a stranger), or None.
       forwarded: Whether a peer forwarded the request because of its ticket.
       uri: Path and query exactly as sent, for services that get them unchanged.
@@ -36,7 +36,7 @@
     query: str
     headers: httputil.HTTPHeaders
     body: bytes
-    fault: errors.EntryError | None = None
+    rejection: errors.EntryError | None = None
     forwarded: bool = False
     uri: str = ""
 
@@ -83,7 +83,8 @@
       last_token_at: Time of the last token in seconds.
       tokens: Number of tokens sent to the caller.
       attempts: Number of attempts made.
-      resumes_since_token: Attempts to resume the stream since the last new token.
+      resumes_since_token: Attempts to resume the stream since the last new
+        token.
       resumed_at_token: Number of the last token at the latest resumption.
       prefilled_at: Time in seconds at which the latest prefill finished.
       last_event_id: Id of the last event sent to the caller.
@@ -129,12 +130,12 @@
         `urgency`.
       deadline: Time in seconds by which the first token is due; set by
         `urgency` or `arrival`.
-      ends_at: Time in seconds by which the complete response must have
+      response_due_at: Time in seconds by which the complete response must have
         been sent; set by `urgency` or `arrival`.
       useful_until: Time in seconds until which a late first token is still of
         use, 0 if only until the deadline; set by `arrival`.
-      time_given_s: Timeout that the caller declares in seconds, 0 for none.
-      stated_tokens: Sum of prompt tokens and limit of output tokens that the
+      caller_timeout_s: Timeout that the caller declares in seconds, 0 for none.
+      declared_tokens: Sum of prompt tokens and limit of output tokens that the
         caller declares, 0 for none.
       stall_s: Read timeout of the current call to an endpoint in seconds, None
         to wait until the response is due; set by the relay or the placement.
@@ -144,7 +145,7 @@
         engine has fetched yet.
       idempotency_key: Idempotency key or ticket, empty for none; set by
         `idempotency`.
-      survives_caller: Whether the request continues after its
+      continues_after_disconnect: Whether the request continues after its
         caller has disconnected; set by `idempotency`.
       start: Engines chosen for the current attempt; set by `model_placement`.
       endpoint: Endpoint of a plain service; set by `plain_placement`.
@@ -166,25 +167,25 @@
     service_path: str = ""
     priority: int = 0
     deadline: float = 0.0
-    ends_at: float = 0.0
+    response_due_at: float = 0.0
     useful_until: float = 0.0
-    time_given_s: float = 0.0
-    stated_tokens: int = 0
+    caller_timeout_s: float = 0.0
+    declared_tokens: int = 0
     stall_s: float | None = None
     connection: http_client.Connection | None = None
     exported_prefill: Any = None
     idempotency_key: str = ""
-    survives_caller: bool = False
+    continues_after_disconnect: bool = False
     start: messages.Start | None = None
     endpoint: model.Endpoint | None = None
     progress: Progress = dataclasses.field(default_factory=Progress)
 
 
-Handle = Callable[[Context], Awaitable[None]]
-Filter = Callable[[Context, Handle], Awaitable[None]]
+Handler = Callable[[Context], Awaitable[None]]
+Filter = Callable[[Context, Handler], Awaitable[None]]
 
 
-def chain(filters: list[Filter], final_handler: Handle) -> Handle:
+def chain(filters: list[Filter], final_handler: Handler) -> Handler:
     """Composes filters and a final handler into one handler.
 
     Args:
@@ -200,7 +201,7 @@
     return handle
 
 
-def _wrap(outer: Filter, inner: Handle) -> Handle:
+def _wrap(outer: Filter, inner: Handler) -> Handler:
     async def handle(ctx: Context) -> None:
         await outer(ctx, inner)
 
--- a/src/cowsliprill/entry/core.py
+++ b/src/cowsliprill/entry/core.py
@@ -22,6 +22,7 @@
 from cowsliprill.engines import http_client
 from cowsliprill.entry import authorization
 from cowsliprill.entry import canceller
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import dialect as dialect_lib
 from cowsliprill.entry import gate as gate_lib
@@ -31,7 +32,6 @@
 from cowsliprill.entry import plain_relay
 from cowsliprill.entry import routes
 from cowsliprill.entry import ticket_forwarding
-from cowsliprill.entry import world as world_lib
 from cowsliprill.entry.filters import admission
 from cowsliprill.entry.filters import idempotency
 from cowsliprill.entry.filters import identify
@@ -77,7 +77,7 @@
         self,
         environment: environment_lib.Environment,
         log: log_lib.Log,
-        source: world_lib.Source,
+        source: cluster_state_lib.ClusterStateSource,
         make_dialect: Callable[[dialect_lib.Tools], dialect_lib.Dialect] = (
             native.make
         ),
@@ -100,7 +100,7 @@
         self._auth = peer_auth.PeerAuth(
             environment.peer_secret.get_secret_value()
         )
-        self._world = world_lib.World()
+        self._cluster_state = cluster_state_lib.ClusterState()
         self._budgets = retry_budget.RetryBudgets()
         self._outlier_detector = self._make_outlier_detector()
         self._http = http_client.HttpClient()
@@ -113,7 +113,7 @@
                 log=log,
             )
         )
-        self._gate = gate_lib.Gate(self._incarnation, self._world)
+        self._gate = gate_lib.Gate(self._incarnation, self._cluster_state)
         homes = coordinator_client.CoordinatorClient(self._http, self._auth)
         self._canceller = self._make_canceller(homes)
         self._placing = make_placing(
@@ -121,7 +121,7 @@
                 incarnation=self._incarnation,
                 availability_zone=environment.availability_zone,
                 homes=homes,
-                world=self._world,
+                cluster_state=self._cluster_state,
                 canceller=self._canceller,
                 metrics=self._metrics,
                 log=log,
@@ -131,7 +131,9 @@
         self._scheduling = self._placing.scheduling
         self._source = source
         self._quotas = quotas or quota.Unlimited()
-        self._authorization = authorization.Authorization(source, self._world)
+        self._authorization = authorization.Authorization(
+            source, self._cluster_state
+        )
         self.shell = process.Process(
             environment=environment,
             log=log,
@@ -153,7 +155,7 @@
         return canceller.Canceller(
             engine_client.EngineClient(self._http),
             homes,
-            self._world,
+            self._cluster_state,
             self._metrics,
             self._log,
             self._random,
@@ -192,16 +194,16 @@
             self._environment.port,
             secrets.token_bytes(_SECRET_BYTES),
         )
-        parts = self._make_components(ticket_store)
+        components = self._make_components(ticket_store)
         self.shell.listen(
             [
-                *routes.peer_routes(self._gate, parts, self._auth),
+                *routes.peer_routes(self._gate, components, self._auth),
                 *self.peer_routes,
             ]
         )
         ticket_store.port = self.shell.port
         self._public_server = self.shell.listen_public(
-            self._dialect.application(self._gate, parts),
+            self._dialect.application(self._gate, components),
             max_header_size=_MAX_HEADER_BYTES,
             max_body_size=_MAX_BODY_BYTES,
             idle_connection_timeout=_IDLE_CONNECTION_TIMEOUT_S,
@@ -209,8 +211,8 @@
 
     def _make_components(
         self, ticket_store: tickets.TicketStore
-    ) -> routes.Parts:
-        return routes.Parts(
+    ) -> routes.Components:
+        return routes.Components(
             route=route.Route(self._random),
             identify_by_route=identify.IdentifyByRoute(self._authorization),
             quota=quota.Quota(self._quotas),
@@ -219,7 +221,7 @@
                 ticket_store,
                 ticket_forwarding.TicketForwarder(
                     self._http,
-                    self._world,
+                    self._cluster_state,
                     self._auth,
                     self._environment.vm,
                     self._random,
@@ -231,7 +233,7 @@
             ),
             plain_placement=plain_placement.PlainPlacement(
                 self._environment.availability_zone,
-                self._world,
+                self._cluster_state,
                 self._budgets,
                 self._log,
                 self._random,
@@ -242,7 +244,7 @@
                 self._dialect.engines,
                 self._scheduling,
                 self._placing.permissions,
-                self._world,
+                self._cluster_state,
                 self._dialect.resumer,
                 self._report_leaving,
                 self._log,
@@ -259,7 +261,7 @@
 
     def _apply_cluster_state(self) -> None:
         snapshot = self._source.snapshot
-        self._world.update(snapshot, self._source.fleet)
+        self._cluster_state.update(snapshot, self._source.fleet)
         self._http.limits_by_address = connection_limits.limits_for_endpoints(
             snapshot, self._source.fleet
         )
@@ -274,17 +276,17 @@
         self._notify_scheduler()
 
     def _notify_scheduler(self) -> None:
-        fleet = self._world.fleet_at(clock.now())
+        fleet = self._cluster_state.fleet_at(clock.now())
         self._scheduling.post(
-            messages.ClusterStateChanged(self._world.snapshot, fleet)
+            messages.ClusterStateChanged(self._cluster_state.snapshot, fleet)
         )
 
     def _report_leaving(self, endpoint_id: str, ttl_s: float) -> None:
         now = clock.now()
-        if self._world.is_leaving(endpoint_id, now):
+        if self._cluster_state.is_leaving(endpoint_id, now):
             return
         self._log.event("endpoint_leaving", endpoint=endpoint_id)
-        self._world.mark_leaving(endpoint_id, now + ttl_s)
+        self._cluster_state.mark_leaving(endpoint_id, now + ttl_s)
         self._notify_scheduler()
         # The scheduler must also be notified when the leaving mark expires.
         asyncio.get_running_loop().call_later(ttl_s, self._notify_scheduler)
@@ -299,9 +301,9 @@
     def _unready_reason(self) -> str:
         if self._gate.draining:
             return "draining"
-        if not self._world.snapshot.revision:
+        if not self._cluster_state.snapshot.revision:
             return "no settings yet"
-        keys_required = self._world.snapshot.keys_required
+        keys_required = self._cluster_state.snapshot.keys_required
         if keys_required and not self._source.accepts_api_keys():
             return "settings unconfirmed"
         return ""
@@ -309,7 +311,7 @@
     def _status(self) -> dict[str, Any]:
         return {
             "incarnation": str(self._incarnation),
-            "revision": self._world.snapshot.revision,
+            "revision": self._cluster_state.snapshot.revision,
             "requests": len(self._gate.tasks),
             "buffered_bytes": self._gate.buffered_bytes,
             "pending_cancels": self._canceller.pending,
--- a/src/cowsliprill/entry/dialect.py
+++ b/src/cowsliprill/entry/dialect.py
@@ -41,7 +41,7 @@
     log: log_lib.Log
 
 
-class Dialect(errors.ErrorAnswers, Protocol):
+class Dialect(errors.ErrorFormatter, Protocol):
     """One dialect: error format, clients of endpoints and public HTTP API.
 
     Attributes:
@@ -56,6 +56,6 @@
     resumer: calls.Resumer | None
 
     def application(
-        self, gate: gate_lib.Gate, parts: routes.Parts
+        self, gate: gate_lib.Gate, components: routes.Components
     ) -> web.Application:
         """Returns the HTTP application of the public port."""
--- a/src/cowsliprill/entry/errors.py
+++ b/src/cowsliprill/entry/errors.py
@@ -30,7 +30,7 @@
     METHOD_NOT_ALLOWED = "method_not_allowed"
     IN_PROGRESS = "in_progress"
     KEY_REUSED = "idempotency_key_reused"
-    ANSWER_NOT_STORED = "answer_not_stored"
+    RESPONSE_NOT_STORED = "answer_not_stored"
     TICKET_INVALID = "ticket_invalid"
     TICKET_EXPIRED = "ticket_expired"
     TICKET_OWNER_GONE = "ticket_owner_gone"
@@ -63,7 +63,7 @@
     Code.METHOD_NOT_ALLOWED: http.HTTPStatus.METHOD_NOT_ALLOWED,
     Code.IN_PROGRESS: http.HTTPStatus.CONFLICT,
     Code.KEY_REUSED: http.HTTPStatus.UNPROCESSABLE_ENTITY,
-    Code.ANSWER_NOT_STORED: http.HTTPStatus.CONFLICT,
+    Code.RESPONSE_NOT_STORED: http.HTTPStatus.CONFLICT,
     Code.TICKET_INVALID: http.HTTPStatus.BAD_REQUEST,
     Code.TICKET_EXPIRED: http.HTTPStatus.GONE,
     Code.TICKET_OWNER_GONE: http.HTTPStatus.GONE,
@@ -137,7 +137,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class ErrorAnswer:
+class ErrorResponse:
     """HTTP response for an error.
 
     Attributes:
@@ -151,22 +151,22 @@
     body: bytes = b""
 
 
-class ErrorAnswers(Protocol):
+class ErrorFormatter(Protocol):
     """Formats errors for the callers of one dialect."""
 
-    def error_answer(self, error: EntryError) -> ErrorAnswer:
+    def error_response(self, error: EntryError) -> ErrorResponse:
         """Returns the HTTP response for an error."""
 
     def error_event(self, error: EntryError) -> bytes:
         """Returns the last event of a broken stream, empty to send none."""
 
 
-class JsonAnswers:
+class JsonErrorFormatter:
     """Formats errors as JSON, as in the project's own API."""
 
-    def error_answer(self, error: EntryError) -> ErrorAnswer:
+    def error_response(self, error: EntryError) -> ErrorResponse:
         """Returns the error's status, headers and JSON body."""
-        return ErrorAnswer(
+        return ErrorResponse(
             status=error.status,
             headers=tuple(error.headers().items()),
             body=error.body(),
--- a/src/cowsliprill/entry/filters/accept.py
+++ b/src/cowsliprill/entry/filters/accept.py
@@ -19,11 +19,11 @@
     methods: tuple[str, ...] = ()
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Lets the call pass or refuses it."""
-        if ctx.call.fault is not None:
-            raise ctx.call.fault
+        if ctx.call.rejection is not None:
+            raise ctx.call.rejection
         if self.methods and ctx.call.method not in self.methods:
             raise errors.EntryError(
                 errors.Code.METHOD_NOT_ALLOWED,
--- a/src/cowsliprill/entry/filters/admission.py
+++ b/src/cowsliprill/entry/filters/admission.py
@@ -25,7 +25,7 @@
     present: int = 0
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Lets the request pass or refuses it."""
         if self.present >= self.max_requests:
--- a/src/cowsliprill/entry/filters/arrival.py
+++ b/src/cowsliprill/entry/filters/arrival.py
@@ -24,12 +24,12 @@
     )
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Sets deadline, time of the end and time of the last use."""
         service = ctx.service
-        given_s = ctx.time_given_s or service.timeout_s
-        ctx.ends_at = ctx.arrived_at + min(given_s, service.timeout_s)
+        given_s = ctx.caller_timeout_s or service.timeout_s
+        ctx.response_due_at = ctx.arrived_at + min(given_s, service.timeout_s)
         # The target counts from the caller's first attempt. One that comes
         # back has less time left than others of its service have at first.
         time_spent_s = self.timeouts.time_spent_s(
@@ -37,8 +37,10 @@
         )
         ctx.deadline = ctx.arrived_at + service.ttft_target_s - time_spent_s
         if service.kind is model.ServiceKind.PLAIN:
-            ctx.deadline = ctx.ends_at
+            ctx.deadline = ctx.response_due_at
         elif service.patience_s:
             patience_s = service.patience_s * _PATIENCE_PART
-            ctx.useful_until = min(ctx.arrived_at + patience_s, ctx.ends_at)
+            ctx.useful_until = min(
+                ctx.arrived_at + patience_s, ctx.response_due_at
+            )
         await proceed(ctx)
--- a/src/cowsliprill/entry/filters/idempotency.py
+++ b/src/cowsliprill/entry/filters/idempotency.py
@@ -36,7 +36,7 @@
     )
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Runs the request, repeats its answer or refuses it."""
         key = ctx.call.headers.get(protocol.IDEMPOTENCY_KEY_HEADER, "")
@@ -81,7 +81,7 @@
         )
 
     async def _run(
-        self, ctx: context.Context, proceed: context.Handle, record: str
+        self, ctx: context.Context, proceed: context.Handler, record: str
     ) -> None:
         recording = response_writer_lib.RecordingResponseWriter(
             ctx.response_writer, self.recording_budget
@@ -90,7 +90,7 @@
         # A booking whose caller is gone has most likely been made. Going on to
         # its end costs no engine memory, and the caller's retry then learns
         # what became of it instead of "unknown".
-        ctx.survives_caller = (
+        ctx.continues_after_disconnect = (
             ctx.service.idempotency is model.Idempotency.NON_IDEMPOTENT
             and ctx.service.kind is model.ServiceKind.PLAIN
         )
@@ -176,7 +176,7 @@
             )
         case _:
             return errors.EntryError(
-                errors.Code.ANSWER_NOT_STORED,
+                errors.Code.RESPONSE_NOT_STORED,
                 "A request with this key has ended; its answer isn't stored.",
                 run=unknown,
             )
--- a/src/cowsliprill/entry/filters/identify.py
+++ b/src/cowsliprill/entry/filters/identify.py
@@ -60,7 +60,7 @@
     return customer
 
 
-async def identify(ctx: context.Context, proceed: context.Handle) -> None:
+async def identify(ctx: context.Context, proceed: context.Handler) -> None:
     """Finds the calling customer."""
     key_hash = key_hash_of(ctx.call.headers)
     ctx.customer = customer_of(key_hash, ctx.snapshot)
@@ -81,7 +81,7 @@
     authorization: authorization.Authorization
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Finds the customer or refuses the request."""
         ctx.customer = _ANONYMOUS
--- a/src/cowsliprill/entry/filters/model_placement.py
+++ b/src/cowsliprill/entry/filters/model_placement.py
@@ -48,14 +48,14 @@
     authorization: authorization.Authorization
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Runs attempts until one answers or the scheduler refuses."""
         self.budgets.of(ctx.service).deposit()
         decisions = self.scheduling.submit(_submit(ctx))
         answered = False
         try:
-            left_s = ctx.ends_at - clock.now()
+            left_s = ctx.response_due_at - clock.now()
             async with asyncio.timeout(left_s) as timeout:
                 await self._attempts(ctx, proceed, decisions)
             answered = True
@@ -78,7 +78,7 @@
     async def _attempts(
         self,
         ctx: context.Context,
-        proceed: context.Handle,
+        proceed: context.Handler,
         decisions: asyncio.Queue[messages.Decision],
     ) -> None:
         while True:
@@ -92,7 +92,7 @@
     async def _attempt(
         self,
         ctx: context.Context,
-        proceed: context.Handle,
+        proceed: context.Handler,
         start: messages.Start,
     ) -> bool:
         if not ctx.progress.tokens:
@@ -131,7 +131,9 @@
             waiting=refusal.waiting,
             wait_ms=round(min(refusal.wait_s, _LONG_S) * _MS_PER_S, 1),
             retry_after_ms=round(refusal.retry_after_s * _MS_PER_S, 1),
-            time_left_ms=round((ctx.ends_at - clock.now()) * _MS_PER_S, 1),
+            time_left_ms=round(
+                (ctx.response_due_at - clock.now()) * _MS_PER_S, 1
+            ),
         )
         return errors.EntryError(
             refusal.code,
--- a/src/cowsliprill/entry/filters/plain_placement.py
+++ b/src/cowsliprill/entry/filters/plain_placement.py
@@ -12,10 +12,10 @@
 from cowsliprill.decisions import retry_budget
 from cowsliprill.entry import attempts
 from cowsliprill.entry import authorization
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
 from cowsliprill.entry import plain_relay
-from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 
 # A server that hasn't answered within this multiple of the target has most
@@ -35,7 +35,7 @@
 
     Attributes:
       availability_zone: Where this process runs.
-      world: The settings and the VM list in force.
+      cluster_state: The settings and the VM list in force.
       budgets: Budgets of retries.
       log: The process's log.
       random_source: Breaks ties.
@@ -44,7 +44,7 @@
     """
 
     availability_zone: str
-    world: world_lib.World
+    cluster_state: cluster_state_lib.ClusterState
     budgets: retry_budget.RetryBudgets
     log: log_lib.Log
     random_source: random.Random
@@ -57,7 +57,7 @@
     )
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Makes calls until one is answered or none may follow."""
         self.budgets.of(ctx.service).deposit()
@@ -98,7 +98,9 @@
         budget = self.budgets.of(ctx.service)
         return _may_repeat(ctx) and budget.try_withdraw(ctx.progress.attempts)
 
-    async def _run(self, ctx: context.Context, proceed: context.Handle) -> None:
+    async def _run(
+        self, ctx: context.Context, proceed: context.Handler
+    ) -> None:
         endpoint_id = ctx.endpoint.id
         self._running_by_endpoint[endpoint_id] += 1
         try:
@@ -111,10 +113,10 @@
     def _choose(
         self, ctx: context.Context, tried: Collection[str]
     ) -> model.Endpoint:
-        leaving = self.world.fleet_at(clock.now()).leaving_endpoint_ids
+        leaving = self.cluster_state.fleet_at(clock.now()).leaving_endpoint_ids
         serving = [
             endpoint
-            for endpoint in self.world.snapshot.endpoints_by_id.values()
+            for endpoint in self.cluster_state.snapshot.endpoints_by_id.values()
             if endpoint.kind is model.EndpointKind.PLAIN
             and endpoint.pool == ctx.service.pool
             and endpoint.id not in leaving
@@ -148,7 +150,7 @@
         endpoint = ctx.endpoint
         peer_ids = [
             other.id
-            for other in self.world.snapshot.endpoints_by_id.values()
+            for other in self.cluster_state.snapshot.endpoints_by_id.values()
             if other.pool == endpoint.pool and other.id != endpoint.id
         ]
         now = clock.now()
--- a/src/cowsliprill/entry/filters/quota.py
+++ b/src/cowsliprill/entry/filters/quota.py
@@ -45,7 +45,7 @@
     admission: Admission
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Lets the request pass or refuses it."""
         quota = ctx.customer.quota
@@ -71,4 +71,4 @@
 def _cost(ctx: context.Context, quota: model.Quota) -> float:
     if not quota.by_tokens:
         return 1.0
-    return float(ctx.stated_tokens or quota.plain_cost)
+    return float(ctx.declared_tokens or quota.plain_cost)
--- a/src/cowsliprill/entry/filters/report.py
+++ b/src/cowsliprill/entry/filters/report.py
@@ -28,12 +28,12 @@
 
     log: log_lib.Log
     metrics: metrics_lib.Metrics
-    answers: errors.ErrorAnswers = dataclasses.field(
-        default_factory=errors.JsonAnswers
+    answers: errors.ErrorFormatter = dataclasses.field(
+        default_factory=errors.JsonErrorFormatter
     )
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Passes the request on and reports its end, whatever it is."""
         try:
@@ -63,7 +63,7 @@
     ) -> None:
         try:
             if not ctx.response_writer.started:
-                answer = self.answers.error_answer(error)
+                answer = self.answers.error_response(error)
                 await response_writer_lib.send(
                     ctx.response_writer,
                     answer.status,
--- a/src/cowsliprill/entry/filters/resolve.py
+++ b/src/cowsliprill/entry/filters/resolve.py
@@ -75,7 +75,7 @@
 
 
 async def resolve_generation(
-    ctx: context.Context, proceed: context.Handle
+    ctx: context.Context, proceed: context.Handler
 ) -> None:
     """Checks a model request and finds its service."""
     fields = schema.parse_json(ctx.call.body)
@@ -92,7 +92,7 @@
     await proceed(ctx)
 
 
-async def resolve_plain(ctx: context.Context, proceed: context.Handle) -> None:
+async def resolve_plain(ctx: context.Context, proceed: context.Handler) -> None:
     """Finds the service of a plain call."""
     name, slash, rest = ctx.call.path[len(SERVICES_PATH) :].partition("/")
     service = find_service(name, ctx.customer, ctx.snapshot)
--- a/src/cowsliprill/entry/filters/route.py
+++ b/src/cowsliprill/entry/filters/route.py
@@ -20,7 +20,7 @@
     random_source: random.Random
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
         """Finds the service or refuses the call."""
         host = ctx.call.headers.get("Host", "")
@@ -47,8 +47,8 @@
       plain: Handles plain calls.
     """
 
-    generate: context.Handle
-    plain: context.Handle
+    generate: context.Handler
+    plain: context.Handler
 
     async def __call__(self, ctx: context.Context) -> None:
         """Passes the call on."""
--- a/src/cowsliprill/entry/filters/urgency.py
+++ b/src/cowsliprill/entry/filters/urgency.py
@@ -26,7 +26,7 @@
     return int(text)
 
 
-async def urgency(ctx: context.Context, proceed: context.Handle) -> None:
+async def urgency(ctx: context.Context, proceed: context.Handler) -> None:
     """Reads the caller's priority and deadline.
 
     A caller may only lower its priority: any other rule would have every
@@ -44,5 +44,5 @@
         deadline_ms = _integer(ctx, DEADLINE_HEADER, 1, _MAX_DEADLINE_MS)
         wait_s = deadline_ms / _MS_PER_S
     ctx.deadline = ctx.arrived_at + wait_s
-    ctx.ends_at = ctx.arrived_at + ctx.service.timeout_s
+    ctx.response_due_at = ctx.arrived_at + ctx.service.timeout_s
     await proceed(ctx)
--- a/src/cowsliprill/entry/gate.py
+++ b/src/cowsliprill/entry/gate.py
@@ -6,10 +6,10 @@
 from cowsliprill import clock
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import model
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
 from cowsliprill.entry import response_writer as response_writer_lib
-from cowsliprill.entry import world as world_lib
 
 _MAX_BUFFERED_BYTES = 16_777_216
 _RETRY_AFTER_S = 1.0
@@ -21,7 +21,7 @@
 
     Attributes:
       incarnation: Identity of this process since its start.
-      world: Current settings and VM list.
+      cluster_state: Current settings and VM list.
       draining: Whether shutdown has begun; requests are still accepted.
       closed: Whether new requests are refused.
       buffered_bytes: Total size of the request bodies in memory.
@@ -29,7 +29,7 @@
     """
 
     incarnation: identity.Incarnation
-    world: world_lib.World
+    cluster_state: cluster_state_lib.ClusterState
     draining: bool = False
     closed: bool = False
     buffered_bytes: int = 0
@@ -41,7 +41,7 @@
     @property
     def limits(self) -> model.HttpLimits:
         """Size limits for requests from the current settings."""
-        return self.world.snapshot.limits
+        return self.cluster_state.snapshot.limits
 
     def create_context(
         self,
@@ -57,11 +57,11 @@
             call=call,
             response_writer=response_writer,
             arrived_at=clock.now(),
-            snapshot=self.world.snapshot,
+            snapshot=self.cluster_state.snapshot,
         )
 
     def run(
-        self, handle: context.Handle, ctx: context.Context
+        self, handle: context.Handler, ctx: context.Context
     ) -> asyncio.Task[None]:
         """Starts the task that serves a request.
 
--- a/src/cowsliprill/entry/handlers.py
+++ b/src/cowsliprill/entry/handlers.py
@@ -33,7 +33,7 @@
         "OPTIONS",
     )
 
-    def initialize(self, gate: gate_lib.Gate, handle: context.Handle) -> None:
+    def initialize(self, gate: gate_lib.Gate, handle: context.Handler) -> None:
         """Sets up the handler.
 
         Args:
@@ -112,7 +112,7 @@
             # The caller disconnected during its upload. Bytes that stayed
             # counted would add up until every request is refused as overload.
             self._release_body()
-        elif not self._ctx.survives_caller:
+        elif not self._ctx.continues_after_disconnect:
             self._task.cancel()
 
     def call(self, body: bytes) -> context.Call:
@@ -123,7 +123,7 @@
             query=self.request.query,
             headers=self.request.headers,
             body=body,
-            fault=self._rejection,
+            rejection=self._rejection,
             uri=self.request.uri or "",
         )
 
@@ -175,7 +175,7 @@
     def initialize(
         self,
         gate: gate_lib.Gate,
-        handles_by_prefix: list[tuple[str, context.Handle]],
+        handles_by_prefix: list[tuple[str, context.Handler]],
         auth: peer_auth.PeerAuth,
     ) -> None:
         """Sets up the handler.
@@ -207,7 +207,7 @@
             query=query,
             headers=headers,
             body=body,
-            fault=self._rejection
+            rejection=self._rejection
             or self._check_peer(body, signature)
             or self._check_owner(owner),
             forwarded=True,
--- a/src/cowsliprill/entry/model_relay.py
+++ b/src/cowsliprill/entry/model_relay.py
@@ -11,11 +11,11 @@
 from cowsliprill.engines import protocol
 from cowsliprill.entry import attempts
 from cowsliprill.entry import calls as calls_lib
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
 from cowsliprill.entry import placing
 from cowsliprill.entry import sinks
-from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 
 ReportLeaving = Callable[[str, float], None]
@@ -50,7 +50,7 @@
       calls: Calls to engines.
       scheduling: Receives an event for each stage of an attempt.
       leases: Slot leases; checked right before work is sent to an engine.
-      world: Cluster state: settings snapshot and VM list.
+      cluster_state: Cluster state: settings snapshot and VM list.
       resumer: Resumes broken streams on the same engine, None where engines
         drop a request when its connection is lost.
       report_leaving: Called with endpoint ID and TTL in seconds when an engine
@@ -61,7 +61,7 @@
     calls: calls_lib.EngineCalls
     scheduling: placing.Scheduling
     leases: placing.Permissions
-    world: world_lib.World
+    cluster_state: cluster_state_lib.ClusterState
     resumer: calls_lib.Resumer | None
     report_leaving: ReportLeaving
     log: log_lib.Log
@@ -94,7 +94,7 @@
         # The pool's coordinator may know new engines before this process does.
         # Without this wait the attempt would fail, and its retries as well.
         for endpoint_id in (start.prefill_id, start.decode_id):
-            await self.world.wait_until_listed(
+            await self.cluster_state.wait_until_listed(
                 endpoint_id, _NEW_ENDPOINT_WAIT_S
             )
 
@@ -267,7 +267,7 @@
                 self.scheduling.post(
                     messages.Progress(ctx.number, progress.tokens)
                 )
-            await sink.take(events)
+            await sink.write_events(events)
         await sink.end()
 
     def _can_resume_elsewhere(
@@ -285,8 +285,8 @@
         # The coordinator that placed the request may have older state than this
         # process, after a pause or delayed updates. A leaving engine would end
         # in the middle of the output.
-        endpoint = self.world.snapshot.endpoints_by_id.get(endpoint_id)
-        leaving = self.world.fleet_at(clock.now()).leaving_endpoint_ids
+        endpoint = self.cluster_state.snapshot.endpoints_by_id.get(endpoint_id)
+        leaving = self.cluster_state.fleet_at(clock.now()).leaving_endpoint_ids
         if endpoint is None or endpoint_id in leaving:
             reason = (
                 "the endpoint is leaving"
@@ -398,4 +398,4 @@
 
 def _remaining_time_s(ctx: context.Context) -> float:
     # A timeout of 0 would mean a timer that never fires.
-    return max(ctx.ends_at - clock.now(), _MIN_TIMEOUT_S)
+    return max(ctx.response_due_at - clock.now(), _MIN_TIMEOUT_S)
--- a/src/cowsliprill/entry/native.py
+++ b/src/cowsliprill/entry/native.py
@@ -143,7 +143,7 @@
     )
 
 
-class NativeDialect(errors.JsonAnswers):
+class NativeDialect(errors.JsonErrorFormatter):
     """Implements `dialect.Dialect` with the native protocols.
 
     Args:
@@ -168,10 +168,10 @@
         self.resumer = resumer
 
     def application(
-        self, gate: gate_lib.Gate, parts: routes.Parts
+        self, gate: gate_lib.Gate, components: routes.Components
     ) -> web.Application:
         """Returns the web application of the public API."""
-        return routes.public_application(gate, parts)
+        return routes.public_application(gate, components)
 
 
 def _engine_body(ctx: context.Context) -> dict[str, Any]:
--- a/src/cowsliprill/entry/placing.py
+++ b/src/cowsliprill/entry/placing.py
@@ -17,11 +17,11 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import scheduler as scheduler_lib
 from cowsliprill.entry import canceller as canceller_lib
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import leases as leases_lib
 from cowsliprill.entry import scheduling as scheduling_lib
 from cowsliprill.entry import slot_asker
-from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.pool_scheduling import client as scheduling_client
@@ -83,7 +83,7 @@
       incarnation: This process.
       availability_zone: Where it runs.
       homes: Calls homes.
-      world: The settings and the VM list.
+      cluster_state: The settings and the VM list.
       canceller: Takes cancel orders.
       metrics: The process's metrics.
       log: The process's log.
@@ -93,7 +93,7 @@
     incarnation: identity.Incarnation
     availability_zone: str
     homes: coordinator_client.CoordinatorClient
-    world: world_lib.World
+    cluster_state: cluster_state_lib.ClusterState
     canceller: canceller_lib.Canceller | canceller_lib.NoOrders
     metrics: metrics_lib.Metrics
     log: log_lib.Log
@@ -129,7 +129,7 @@
             tools.homes,
             self.scheduling,
             self.permissions,
-            tools.world,
+            tools.cluster_state,
             tools.metrics,
             tools.log,
         )
@@ -175,7 +175,7 @@
         self.scheduling = scheduling_client.PoolSchedulingClient(
             str(tools.incarnation),
             post,
-            tools.world,
+            tools.cluster_state,
             tools.log,
         )
 
--- a/src/cowsliprill/entry/routes.py
+++ b/src/cowsliprill/entry/routes.py
@@ -8,10 +8,10 @@
 from cowsliprill import peers
 from cowsliprill.decisions import tickets
 from cowsliprill.engines import protocol
-from cowsliprill.entry import answers
 from cowsliprill.entry import context
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import handlers
+from cowsliprill.entry import local_responses
 from cowsliprill.entry import model_relay
 from cowsliprill.entry import plain_relay
 from cowsliprill.entry.filters import accept
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Parts:
+class Components:
     """Filters that hold state, and the final handlers of the chains.
 
     Attributes:
@@ -62,66 +62,74 @@
     ticket_store: tickets.TicketStore
 
 
-def generation_chain(parts: Parts) -> context.Handle:
+def generation_chain(components: Components) -> context.Handler:
     """Returns the filter chain for model requests."""
     return context.chain(
         [
-            parts.report,
+            components.report,
             accept.Accept(("POST",)),
             identify.identify,
             resolve.resolve_generation,
             urgency.urgency,
-            parts.idempotency,
-            parts.admission,
-            parts.model_placement,
+            components.idempotency,
+            components.admission,
+            components.model_placement,
         ],
-        parts.model_relay,
+        components.model_relay,
     )
 
 
-def plain_chain(parts: Parts) -> context.Handle:
+def plain_chain(components: Components) -> context.Handler:
     """Returns the filter chain for requests to plain services."""
     return context.chain(
         [
-            parts.report,
+            components.report,
             accept.Accept(),
             identify.identify,
             resolve.resolve_plain,
             urgency.urgency,
-            parts.idempotency,
-            parts.admission,
-            parts.plain_placement,
+            components.idempotency,
+            components.admission,
+            components.plain_placement,
         ],
-        parts.plain_relay,
+        components.plain_relay,
     )
 
 
 def _authenticated_chain(
-    parts: Parts, method: str, final_handler: context.Handle
-) -> context.Handle:
+    components: Components, method: str, final_handler: context.Handler
+) -> context.Handler:
     return context.chain(
-        [parts.report, accept.Accept((method,)), identify.identify],
+        [components.report, accept.Accept((method,)), identify.identify],
         final_handler,
     )
 
 
-def _ticket_chain(gate: gate_lib.Gate, parts: Parts) -> context.Handle:
-    issue = answers.IssueTicket(
-        parts.ticket_store, gate, parts.idempotency.forwarder
+def _ticket_chain(
+    gate: gate_lib.Gate, components: Components
+) -> context.Handler:
+    issue = local_responses.IssueTicket(
+        components.ticket_store, gate, components.idempotency.forwarder
     )
-    return _authenticated_chain(parts, "POST", issue)
+    return _authenticated_chain(components, "POST", issue)
 
 
-def public_application(gate: gate_lib.Gate, parts: Parts) -> web.Application:
+def public_application(
+    gate: gate_lib.Gate, components: Components
+) -> web.Application:
     """Returns the HTTP application of the public port."""
-    generate = generation_chain(parts)
+    generate = generation_chain(components)
     chains_by_pattern = {
         protocol.COMPLETIONS_PATH: generate,
         protocol.CHAT_PATH: generate,
-        resolve.SERVICES_PATH + ".*": plain_chain(parts),
-        MODELS_PATH: _authenticated_chain(parts, "GET", answers.list_models),
-        TICKETS_PATH: _ticket_chain(gate, parts),
-        "/.*": context.chain([parts.report], answers.raise_path_not_found),
+        resolve.SERVICES_PATH + ".*": plain_chain(components),
+        MODELS_PATH: _authenticated_chain(
+            components, "GET", local_responses.list_models
+        ),
+        TICKETS_PATH: _ticket_chain(gate, components),
+        "/.*": context.chain(
+            [components.report], local_responses.raise_path_not_found
+        ),
     }
     return web.Application(
         [
@@ -133,29 +141,33 @@
 
 
 def routed_application(
-    gate: gate_lib.Gate, parts: Parts, read_call: context.Filter
+    gate: gate_lib.Gate, components: Components, parse_call: context.Filter
 ) -> web.Application:
     """Returns the HTTP application that selects services by host and path.
 
     Args:
       gate: Request gate of the process.
-      parts: Filters that hold state, and the final handlers of the chains.
-      read_call: Filter that parses a request once its service is known.
+      components: Filters that hold state, and the final handlers of the chains.
+      parse_call: Filter that parses a request once its service is known.
     """
     by_kind = route.ByKind(
-        generate=context.chain([parts.model_placement], parts.model_relay),
-        plain=context.chain([parts.plain_placement], parts.plain_relay),
+        generate=context.chain(
+            [components.model_placement], components.model_relay
+        ),
+        plain=context.chain(
+            [components.plain_placement], components.plain_relay
+        ),
     )
     handle = context.chain(
         [
-            parts.report,
+            components.report,
             accept.Accept(),
-            parts.route,
-            parts.identify_by_route,
-            read_call,
+            components.route,
+            components.identify_by_route,
+            parse_call,
             arrival.Arrival(),
-            parts.quota,
-            parts.admission,
+            components.quota,
+            components.admission,
         ],
         by_kind,
     )
@@ -167,15 +179,15 @@
 
 
 def peer_routes(
-    gate: gate_lib.Gate, parts: Parts, auth: peer_auth.PeerAuth
+    gate: gate_lib.Gate, components: Components, auth: peer_auth.PeerAuth
 ) -> list[tuple]:
     """Returns the tornado routes of the peer port."""
-    generate = generation_chain(parts)
+    generate = generation_chain(components)
     handles_by_prefix = [
         (protocol.COMPLETIONS_PATH, generate),
         (protocol.CHAT_PATH, generate),
-        (resolve.SERVICES_PATH, plain_chain(parts)),
-        (TICKETS_PATH, _ticket_chain(gate, parts)),
+        (resolve.SERVICES_PATH, plain_chain(components)),
+        (TICKETS_PATH, _ticket_chain(gate, components)),
     ]
     incarnation = {"incarnation": gate.incarnation}
     forward_arguments = {
--- a/src/cowsliprill/entry/sinks.py
+++ b/src/cowsliprill/entry/sinks.py
@@ -20,7 +20,7 @@
 class Sink(Protocol):
     """Receives the validated events of one response."""
 
-    async def take(self, events: bytes) -> None:
+    async def write_events(self, events: bytes) -> None:
         """Writes the next events of the stream."""
 
     async def end(self) -> None:
@@ -33,7 +33,7 @@
     ) -> None:
         self._response_writer = response_writer
 
-    async def take(self, events: bytes) -> None:
+    async def write_events(self, events: bytes) -> None:
         if not self._response_writer.started:
             await self._response_writer.start(_OK, _STREAM_HEADERS)
         await self._response_writer.write(events)
@@ -49,7 +49,7 @@
         self._response_writer = response_writer
         self._response_builder = stream_lib.ResponseBuilder()
 
-    async def take(self, events: bytes) -> None:
+    async def write_events(self, events: bytes) -> None:
         self._response_builder.add(events)
 
     async def end(self) -> None:
@@ -66,7 +66,7 @@
     return _BufferedSink(ctx.response_writer)
 
 
-class EventSink:
+class PassthroughSink:
     """Passes an engine's events on unchanged, with the engine's headers.
 
     A stream that is resumed at another engine keeps the headers of the first.
@@ -82,7 +82,7 @@
         self._ctx = ctx
         self._stream = stream
 
-    async def take(self, events: bytes) -> None:
+    async def write_events(self, events: bytes) -> None:
         """Writes events to the caller."""
         response_writer = self._ctx.response_writer
         if not response_writer.started:
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_asker.py
@@ -15,10 +15,10 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.dispatch import messages as slot_messages
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import leases as leases_lib
 from cowsliprill.entry import scheduling as scheduling_lib
-from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
@@ -52,7 +52,7 @@
       homes: Calls the homes.
       scheduling: The scheduler's task: takes grants, tells the standing.
       leases: Where ends of leases are kept.
-      world: The VM list in force.
+      cluster_state: The VM list in force.
       metrics: The process's metrics.
       log: The process's log.
     """
@@ -63,7 +63,7 @@
         homes: coordinator_client.CoordinatorClient,
         scheduling: scheduling_lib.Scheduling,
         leases: leases_lib.Leases,
-        world: world_lib.World,
+        cluster_state: cluster_state_lib.ClusterState,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
     ) -> None:
@@ -71,7 +71,7 @@
         self._homes = homes
         self._scheduling = scheduling
         self._leases = leases
-        self._world = world
+        self._cluster_state = cluster_state
         self._metrics = metrics
         self._log = log
         self._homes_by_vm: dict[str, _Home] = {}
@@ -99,7 +99,7 @@
             self._scheduling.renew()
 
     def _forget_gone_homes(self) -> None:
-        vms_by_id = self._world.fleet.vms_by_id
+        vms_by_id = self._cluster_state.fleet.vms_by_id
         for vm_id in self._homes_by_vm.keys() - vms_by_id.keys():
             self._homes_by_vm.pop(vm_id).task.cancel()
 
@@ -118,7 +118,7 @@
         # The statement itself has to go out, not one made up later: the
         # scheduler counts on each of its statements, so that one which is
         # never sent would have it give back slots that it was granted.
-        vm = self._world.coordinator_of(ask.endpoint_id)
+        vm = self._cluster_state.coordinator_of(ask.endpoint_id)
         if vm is None:
             self._give_up((ask.endpoint_id,))
             return
@@ -239,7 +239,7 @@
     ) -> dict[str, tuple[model.Vm, list[messages.SlotDemand]]]:
         asks_by_vm: dict[str, tuple[model.Vm, list[messages.SlotDemand]]] = {}
         for ask in asks:
-            vm = self._world.coordinator_of(ask.endpoint_id)
+            vm = self._cluster_state.coordinator_of(ask.endpoint_id)
             if vm is not None:
                 asks_by_vm.setdefault(vm.id, (vm, []))[1].append(ask)
         return asks_by_vm
--- a/src/cowsliprill/entry/ticket_forwarding.py
+++ b/src/cowsliprill/entry/ticket_forwarding.py
@@ -20,9 +20,9 @@
 from cowsliprill.engines import exchange
 from cowsliprill.engines import hop_headers
 from cowsliprill.engines import http_client
+from cowsliprill.entry import cluster_state
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import world
 
 METHOD_HEADER = "X-Forwarded-Method"
 TARGET_HEADER = "X-Forwarded-Target"
@@ -40,14 +40,14 @@
 
     Attributes:
       client: HTTP client.
-      world: Cluster state; its VM list gives the addresses.
+      cluster_state: Cluster state; its VM list gives the addresses.
       auth: Signs forwarded bodies.
       vm_id: ID of this VM.
       random_source: Shuffles the peers that tickets are requested from.
     """
 
     client: http_client.HttpClient
-    world: world.World
+    cluster_state: cluster_state.ClusterState
     auth: peer_auth.PeerAuth
     vm_id: str
     random_source: random.Random
@@ -148,7 +148,7 @@
     def _peer_addresses(self) -> list[tuple[str, int]]:
         return [
             (vm.host, port)
-            for vm in self.world.fleet.vms_by_id.values()
+            for vm in self.cluster_state.fleet.vms_by_id.values()
             if vm.role is model.VmRole.ENTRY
             and vm.state is model.VmState.LIVE
             and vm.id != self.vm_id
@@ -158,7 +158,7 @@
     def _owner_vm(self, ticket: tickets.Ticket) -> model.Vm | None:
         # Host and port are checked against the VM list. Otherwise a forged
         # ticket could make this process call an arbitrary address.
-        vm = self.world.fleet.vms_by_id.get(ticket.incarnation.vm)
+        vm = self.cluster_state.fleet.vms_by_id.get(ticket.incarnation.vm)
         if vm is None or ticket.port not in vm.entry_ports:
             return None
         return vm
--- a/src/cowsliprill/platform/callers.py
+++ b/src/cowsliprill/platform/callers.py
@@ -13,7 +13,7 @@
 _MS_PER_S = 1_000
 
 
-async def read_call(ctx: context.Context, proceed: context.Handle) -> None:
+async def parse_call(ctx: context.Context, proceed: context.Handler) -> None:
     """Reads the headers of a call whose service is known.
 
     Args:
@@ -28,9 +28,9 @@
     ctx.priority = ctx.service.priority
     if ctx.customer.priority is not None:
         ctx.priority = ctx.customer.priority
-    ctx.time_given_s = _time_given_s(ctx.call.headers)
+    ctx.caller_timeout_s = _time_given_s(ctx.call.headers)
     prompt_tokens, output_tokens = _tokens(ctx.call.headers)
-    ctx.stated_tokens = prompt_tokens + output_tokens
+    ctx.declared_tokens = prompt_tokens + output_tokens
     if ctx.service.kind is model.ServiceKind.MODEL:
         ctx.generation = _generation(
             ctx.call.headers, prompt_tokens, output_tokens
@@ -40,7 +40,7 @@
     await proceed(ctx)
 
 
-def error_answer(error: errors.EntryError) -> errors.ErrorAnswer:
+def error_response(error: errors.EntryError) -> errors.ErrorResponse:
     """Writes an error as the platform's clients understand it.
 
     Their status alone says whether a request may be sent again: 503 promises
@@ -53,14 +53,14 @@
       The answer.
     """
     if error.status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
-        return errors.ErrorAnswer(
+        return errors.ErrorResponse(
             status=error.status, headers=_retry_after(error)
         )
     if error.run is messages.Executed.UNKNOWN:
         timeout = error.status == http.HTTPStatus.GATEWAY_TIMEOUT
         status = http.HTTPStatus.BAD_GATEWAY
-        return errors.ErrorAnswer(status=error.status if timeout else status)
-    return errors.ErrorAnswer(
+        return errors.ErrorResponse(status=error.status if timeout else status)
+    return errors.ErrorResponse(
         status=http.HTTPStatus.SERVICE_UNAVAILABLE,
         headers=_retry_after(error) or ((headers_lib.RETRY_AFTER, "0.000"),),
     )
--- a/src/cowsliprill/platform/dialect.py
+++ b/src/cowsliprill/platform/dialect.py
@@ -29,14 +29,14 @@
         self.services = engines.Services(tools.http)
 
     def application(
-        self, gate: gate_lib.Gate, parts: routes.Parts
+        self, gate: gate_lib.Gate, components: routes.Components
     ) -> web.Application:
         """Returns what callers reach."""
-        return routes.routed_application(gate, parts, callers.read_call)
+        return routes.routed_application(gate, components, callers.parse_call)
 
-    def error_answer(self, error: errors.EntryError) -> errors.ErrorAnswer:
+    def error_response(self, error: errors.EntryError) -> errors.ErrorResponse:
         """Returns what a caller gets for an error."""
-        return callers.error_answer(error)
+        return callers.error_response(error)
 
     def error_event(self, error: errors.EntryError) -> bytes:
         """Returns nothing: a cut alone tells clients that a stream broke."""
--- a/src/cowsliprill/platform/engines.py
+++ b/src/cowsliprill/platform/engines.py
@@ -146,7 +146,7 @@
         self, ctx: context.Context, stream: event_stream.EventStream
     ) -> sinks.Sink:
         """Passes events on unchanged, under the engine's own headers."""
-        return sinks.EventSink(ctx, stream)
+        return sinks.PassthroughSink(ctx, stream)
 
     async def _free(self, prefilled: Prefilled) -> None:
         endpoint = prefilled.endpoint
@@ -182,7 +182,7 @@
         self, ctx: context.Context, progress: call_lib.CallProgress
     ) -> service_client.ServiceAnswer:
         """Calls `ctx.endpoint` once."""
-        timeout_s = max(ctx.ends_at - clock.now(), 1 / _MS_PER_S)
+        timeout_s = max(ctx.response_due_at - clock.now(), 1 / _MS_PER_S)
         response = await _send(
             self._http,
             ctx,
@@ -239,7 +239,7 @@
     ctx: context.Context, endpoint: model.Endpoint, extra: dict[str, str]
 ) -> httputil.HTTPHeaders:
     headers = hop_headers.end_to_end(ctx.call.headers, headers_lib.OURS)
-    left_ms = int((ctx.ends_at - clock.now()) * _MS_PER_S)
+    left_ms = int((ctx.response_due_at - clock.now()) * _MS_PER_S)
     headers[_HOST] = ctx.call.headers.get(_HOST, "")
     headers[headers_lib.DEADLINE] = str(max(left_ms, 1))
     headers[headers_lib.EXPECTED_ENGINE] = endpoint.id
--- a/src/cowsliprill/pool_scheduling/client.py
+++ b/src/cowsliprill/pool_scheduling/client.py
@@ -18,7 +18,7 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import pool_scheduler as pool_scheduler_lib
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.pool_scheduling import wire
 
@@ -72,7 +72,7 @@
         pool: str,
         entry: str,
         post: SendToCoordinator,
-        cluster_state: world_lib.World,
+        cluster_state: cluster_state_lib.ClusterState,
         log: log_lib.Log,
     ) -> None:
         self._pool = pool
@@ -327,7 +327,7 @@
         self,
         entry: str,
         post: SendToCoordinator,
-        cluster_state: world_lib.World,
+        cluster_state: cluster_state_lib.ClusterState,
         log: log_lib.Log,
     ) -> None:
         self._entry = entry
--- a/tests/entry_site.py
+++ b/tests/entry_site.py
@@ -43,7 +43,7 @@
 }
 
 
-class Source:
+class FakeClusterStateSource:
     """Source of settings and VM list whose content a test sets."""
 
     def __init__(self) -> None:
@@ -144,7 +144,7 @@
 
 
 @dataclasses.dataclass
-class Answer:
+class HttpResponse:
     """HTTP response as a caller received it."""
 
     status: int
@@ -167,7 +167,7 @@
         self.endpoints: dict[str, model.Endpoint] = {}
         self.entries: list[core.Entry] = []
         self.tasks: list[asyncio.Task] = []
-        self.sources: list[Source] = []
+        self.sources: list[FakeClusterStateSource] = []
         self.logs: list[io.StringIO] = []
         self.http = http_client.HttpClient()
         self._stack = contextlib.AsyncExitStack()
@@ -318,7 +318,7 @@
             peer_secret=SECRET,
         )
         stream = io.StringIO()
-        source = Source()
+        source = FakeClusterStateSource()
         log = log_lib.open_log(f"entry.{number}", stream)
         entry = core.Entry(environment, log, source)
         self.entries.append(entry)
@@ -352,7 +352,7 @@
         await self.coordinator.server.stop()
         self.http.close()
 
-    def url_port(self, entry: int = 0) -> int:
+    def public_port(self, entry: int = 0) -> int:
         return self.entries[entry].shell.public_port
 
     async def open(
@@ -371,7 +371,7 @@
         key = {"Authorization": f"Bearer {KEYS[customer]}"} if customer else {}
         return await self.http.call(
             HOST,
-            self.url_port(entry),
+            self.public_port(entry),
             method,
             path,
             {**key, **(headers or {})},
@@ -379,11 +379,11 @@
             fresh=True,
         )
 
-    async def call(self, *arguments: Any, **named: Any) -> Answer:
+    async def call(self, *arguments: Any, **named: Any) -> HttpResponse:
         """Sends a request and reads its complete response."""
         response = await self.open(*arguments, **named)
         body = await response.read(1 << 24)
-        return Answer(response.status, response.headers, body)
+        return HttpResponse(response.status, response.headers, body)
 
     async def raw_open(
         self,
@@ -399,7 +399,7 @@
         )
         raw_socket.setblocking(False)
         loop = asyncio.get_running_loop()
-        await loop.sock_connect(raw_socket, (HOST, self.url_port()))
+        await loop.sock_connect(raw_socket, (HOST, self.public_port()))
         reader, writer = await asyncio.open_connection(
             sock=raw_socket, limit=receive_buffer
         )
--- a/tests/test_world.py
+++ b/tests/test_cluster_state.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cowsliprill.decisions import model
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import cluster_state as cluster_state_lib
 
 _LONG_S = 30.0
 
@@ -40,14 +40,16 @@
         """
 
         async def scenario():
-            world = world_lib.World(_snapshot("a"))
-            waiting = asyncio.create_task(world.wait_until_listed("b", _LONG_S))
+            cluster_state = cluster_state_lib.ClusterState(_snapshot("a"))
+            waiting = asyncio.create_task(
+                cluster_state.wait_until_listed("b", _LONG_S)
+            )
             await asyncio.sleep(0)
             assert not waiting.done()
-            world.update(_snapshot("a", "c"), model.Fleet())
+            cluster_state.update(_snapshot("a", "c"), model.Fleet())
             await asyncio.sleep(0)
             assert not waiting.done()
-            world.update(_snapshot("a", "b"), model.Fleet())
+            cluster_state.update(_snapshot("a", "b"), model.Fleet())
             await waiting
 
         asyncio.run(asyncio.wait_for(scenario(), _LONG_S / 2))
@@ -55,13 +57,15 @@
     @pytest.mark.parametrize("name", ["a", "", "gone"])
     def test_known_or_removed_endpoint_is_not_waited_for(self, name):
         async def scenario():
-            world = world_lib.World(_snapshot("a", "gone"))
-            world.update(_snapshot("a"), model.Fleet())
-            await world.wait_until_listed(name, _LONG_S)
+            cluster_state = cluster_state_lib.ClusterState(
+                _snapshot("a", "gone")
+            )
+            cluster_state.update(_snapshot("a"), model.Fleet())
+            await cluster_state.wait_until_listed(name, _LONG_S)
 
         asyncio.run(asyncio.wait_for(scenario(), _LONG_S / 2))
 
     def test_wait_times_out(self):
-        world = world_lib.World(_snapshot("a"))
-        asyncio.run(world.wait_until_listed("b", 0.01))
-        assert "b" not in world.snapshot.endpoints_by_id
+        cluster_state = cluster_state_lib.ClusterState(_snapshot("a"))
+        asyncio.run(cluster_state.wait_until_listed("b", 0.01))
+        assert "b" not in cluster_state.snapshot.endpoints_by_id
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -11,7 +11,7 @@
 _COMPLETIONS = "/v1/completions"
 
 
-def _call(*arguments: Any, **named: Any) -> entry_site.Answer:
+def _call(*arguments: Any, **named: Any) -> entry_site.HttpResponse:
     async def scenario():
         async with entry_site.running() as site:
             return await site.call(*arguments, **named)
@@ -19,7 +19,7 @@
     return asyncio.run(scenario())
 
 
-def _is_error(answer: entry_site.Answer, status: int, code: str) -> bool:
+def _is_error(answer: entry_site.HttpResponse, status: int, code: str) -> bool:
     error = answer.json()["error"]
     assert error["run"] == "no"
     assert error["message"]
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -20,7 +20,7 @@
 
 def _call_with_decode_faults(
     body: dict, *faults: dict, **changes
-) -> tuple[entry_site.Answer, bool, entry_site.Site]:
+) -> tuple[entry_site.HttpResponse, bool, entry_site.Site]:
     """Sends a request while faults are injected into the decode engines."""
 
     async def scenario():
@@ -32,7 +32,7 @@
             raw_response = await site.open("POST", _COMPLETIONS, body)
             text, ended_cleanly = await answers.read_until_error(raw_response)
             await site.until_free()
-            response = entry_site.Answer(
+            response = entry_site.HttpResponse(
                 raw_response.status, raw_response.headers, text
             )
             return response, ended_cleanly, site
@@ -40,7 +40,7 @@
     return asyncio.run(scenario())
 
 
-def _tokens(response: entry_site.Answer) -> list[int]:
+def _tokens(response: entry_site.HttpResponse) -> list[int]:
     return [int(number) for number in _TOKEN.findall(response.body)]
 
 
@@ -168,7 +168,7 @@
         tags_by_response = [
             frozenset(re.findall(rb'"text": " ([0-9a-f]{8})-', response.body))
             for response in responses
-            if isinstance(response, entry_site.Answer)
+            if isinstance(response, entry_site.HttpResponse)
         ]
         nonempty_tags = [tags for tags in tags_by_response if tags]
         assert all(len(tags) == 1 for tags in nonempty_tags)
--- a/tests/test_entry_tickets.py
+++ b/tests/test_entry_tickets.py
@@ -46,7 +46,7 @@
     return asyncio.run(run())
 
 
-def _is_unknown(answer: entry_site.Answer, code: str) -> bool:
+def _is_unknown(answer: entry_site.HttpResponse, code: str) -> bool:
     error = answer.json()["error"]
     return (error["run"], error["code"]) == ("unknown", code)
 
@@ -294,7 +294,9 @@
                 _BODY,
             )
             body = await response.read(1_000)
-            return entry_site.Answer(response.status, response.headers, body)
+            return entry_site.HttpResponse(
+                response.status, response.headers, body
+            )
 
         answer, runs = _scenario(steps)
         assert runs == 0
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -8,10 +8,10 @@
 from tornado import web
 
 from cowsliprill.decisions import identity
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import context
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import handlers
-from cowsliprill.entry import world as world_lib
 
 _REQUEST = b"GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
@@ -32,7 +32,8 @@
 
     def __init__(self) -> None:
         self.gate = gate_lib.Gate(
-            identity.Incarnation("vm", "e0", "0"), world_lib.World()
+            identity.Incarnation("vm", "e0", "0"),
+            cluster_state_lib.ClusterState(),
         )
         self.started = asyncio.Event()
         handler_arguments = {"gate": self.gate, "handle": self._handle}
--- a/tests/test_model_relay.py
+++ b/tests/test_model_relay.py
@@ -110,20 +110,20 @@
     def sink(self, ctx, stream):
         del ctx, stream
 
-        async def take(events):
+        async def write_events(events):
             self.events.append(events)
 
         async def end():
             self.events.append(b"end")
 
-        return types.SimpleNamespace(take=take, end=end)
+        return types.SimpleNamespace(write_events=write_events, end=end)
 
 
 class _Harness:
     """A relay with fake collaborators and one request."""
 
     def __init__(self, prefill="p"):
-        self.world = _FakeClusterState()
+        self.cluster_state = _FakeClusterState()
         self.calls = _FakeEngineCalls()
         self.posted_events = []
         self.warnings = []
@@ -131,7 +131,7 @@
             calls=self.calls,
             scheduling=types.SimpleNamespace(post=self.posted_events.append),
             leases=types.SimpleNamespace(allow=lambda *_: True),
-            world=self.world,
+            cluster_state=self.cluster_state,
             resumer=None,
             report_leaving=lambda *_: None,
             log=types.SimpleNamespace(warning=self._warn),
@@ -146,9 +146,9 @@
             start=start,
             service=types.SimpleNamespace(resume=True),
             generation=types.SimpleNamespace(prompt_tokens=100),
-            snapshot=self.world.snapshot,
+            snapshot=self.cluster_state.snapshot,
             progress=context.Progress(),
-            ends_at=clock.now() + 60,
+            response_due_at=clock.now() + 60,
             connection=None,
             exported_prefill=None,
             stall_s=None,
@@ -172,7 +172,9 @@
         had free slots and could have fetched the exported prefill.
         """
         harness = _Harness()
-        harness.calls.on_prefill = lambda: harness.world.remove_endpoint("d")
+        harness.calls.on_prefill = lambda: (
+            harness.cluster_state.remove_endpoint("d")
+        )
         with pytest.raises(attempts.AttemptLost) as lost:
             harness.run()
         assert lost.value.unsent
@@ -189,7 +191,7 @@
         not send the request to an engine that is about to end.
         """
         harness = _Harness()
-        harness.world.leaving = frozenset({name})
+        harness.cluster_state.leaving = frozenset({name})
         with pytest.raises(attempts.AttemptLost) as lost:
             harness.run()
         assert lost.value.unsent
@@ -200,7 +202,7 @@
         harness = _Harness()
 
         def start_leaving():
-            harness.world.leaving = frozenset({"d"})
+            harness.cluster_state.leaving = frozenset({"d"})
 
         harness.calls.on_prefill = start_leaving
         with pytest.raises(attempts.AttemptLost) as lost:
@@ -214,7 +216,9 @@
         A removed engine keeps serving its open streams for a while.
         """
         harness = _Harness()
-        harness.calls.on_decode = lambda: harness.world.remove_endpoint("d")
+        harness.calls.on_decode = lambda: harness.cluster_state.remove_endpoint(
+            "d"
+        )
         harness.run()
         assert harness.calls.events == [b"one", b"two", b"end"]
 
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -14,7 +14,7 @@
         async with entry_site.running() as site:
             client = openai.AsyncOpenAI(
                 api_key=entry_site.KEYS[_USER],
-                base_url=f"http://{entry_site.HOST}:{site.url_port()}/v1",
+                base_url=f"http://{entry_site.HOST}:{site.public_port()}/v1",
                 max_retries=0,
             )
             async with client:
--- a/tests/test_plain_call_outcomes.py
+++ b/tests/test_plain_call_outcomes.py
@@ -106,13 +106,13 @@
             ratio=1.0, burst=9, attempts=_MAX_ATTEMPTS, failed_answers=True
         ),
     )
-    world = types.SimpleNamespace(
+    cluster_state = types.SimpleNamespace(
         snapshot=model.Snapshot(endpoints_by_id=endpoints),
         fleet_at=lambda now: model.Fleet(),
     )
     placement = plain_placement.PlainPlacement(
         availability_zone="a",
-        world=world,
+        cluster_state=cluster_state,
         budgets=retry_budget.RetryBudgets(),
         log=types.SimpleNamespace(warning=lambda *_, **__: None),
         random_source=random.Random(1),
--- a/tests/test_pool_scheduling.py
+++ b/tests/test_pool_scheduling.py
@@ -11,7 +11,7 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.decisions import rendezvous
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.pool_scheduling import client
 from cowsliprill.pool_scheduling import server
@@ -85,7 +85,9 @@
             )
             pool_scheduler.update(snapshot, _fleet(members_by_vm[vm.id]))
             self.pool_schedulers_by_vm[vm.id] = pool_scheduler
-        cluster_state = world_lib.World(snapshot, _fleet(entry_members))
+        cluster_state = cluster_state_lib.ClusterState(
+            snapshot, _fleet(entry_members)
+        )
         self.scheduling = client.PoolSchedulingClient(
             "entry-1", self._post, cluster_state, log
         )
