--- a/src/cowsliprill/entry/attempts.py
+++ b/src/cowsliprill/entry/attempts.py
@@ -1,22 +1,22 @@
-"""How one attempt at a request ends without an answer."""
+"""Exceptions for attempts at a request that failed without a response."""
 
 from cowsliprill.decisions import messages
 from cowsliprill.engines import service_client
 
 
 class AttemptLost(Exception):  # noqa: N818
-    """Raised when an attempt came to nothing and another may be made.
+    """Raised when an attempt failed in a way that may allow a retry.
 
     Attributes:
-      endpoint_id: The endpoint that failed or refused.
-      stage: Where the attempt was.
-      refused: Whether the endpoint refused, being full or draining.
-      unsent: Whether no engine has heard of the attempt.
-      unreachable: Whether no connection to the endpoint came about.
-      answered: Whether the endpoint itself answered that it failed.
-      kept_s: How long the attempt's finished prefill is kept yet.
-      resumable: Whether the rest of a broken stream may come from another
-        engine.
+      endpoint_id: ID of the endpoint that failed or refused.
+      stage: Stage at which the attempt failed.
+      refused: Whether the endpoint refused because it is full or draining.
+      unsent: Whether the attempt was sent to no engine.
+      unreachable: Whether no connection to the endpoint could be opened.
+      answered: Whether the endpoint itself responded that it failed.
+      kept_s: Seconds for which the KV cache of the attempt's finished prefill
+        is still kept for another decode engine.
+      resumable: Whether another engine may resume the broken stream.
       reason: One sentence for the log.
     """
 
@@ -46,13 +46,13 @@
 
 
 class PlainCallLost(Exception):  # noqa: N818
-    """Raised when a call to a plain service gave no answer.
+    """Raised when a call to a plain service failed.
 
     Attributes:
-      run: What is known of whether this call was run.
+      run: Whether this call was executed, as far as is known.
       reason: One sentence for the log.
-      answer: The server's own answer that it failed, None without one.
-      unsent: Whether no byte of the call has left.
+      answer: The server's error response, None if there was none.
+      unsent: Whether no byte of the call was sent.
     """
 
     def __init__(
--- a/src/cowsliprill/entry/calls.py
+++ b/src/cowsliprill/entry/calls.py
@@ -1,4 +1,4 @@
-"""The calls of one attempt, as the relays make them in any dialect."""
+"""Interfaces of the calls to endpoints, one implementation per API dialect."""
 
 from collections.abc import AsyncIterator
 from typing import Protocol
@@ -12,33 +12,39 @@
 
 
 class AnswerStream(Protocol):
-    """The answer of a decode engine; the iteration's end means it is whole.
+    """Output stream of a decode engine.
+
+    The iteration ends normally only if the stream is complete.
 
     Attributes:
-      tokens: Tokens that were delivered so far.
+      tokens: Number of tokens delivered so far.
     """
 
     tokens: int
 
     def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yields whole events; raises `engines.errors.StreamBroken`."""
+        """Yields whole events.
+
+        Raises:
+          engines.errors.StreamBroken: The stream is truncated or invalid.
+        """
 
     def close(self) -> None:
-        """Ends the reading, at any time."""
+        """Stops reading; allowed at any time."""
 
 
 class Prefilled(Protocol):
-    """A finished prefill whose KV cache waits to be fetched."""
+    """A finished prefill with an exported KV cache for a decode engine."""
 
 
 class EngineCalls(Protocol):
-    """The calls of one attempt at a model request.
+    """Engine calls of one attempt at a model request.
 
     Attributes:
-      prefill_runs: Whether a prefill counts as running the request.
-      closing_ends_work: Whether an engine drops a request when its connection
-        is closed. Otherwise cancel orders are sent.
-      resumes_elsewhere: Whether another engine may go on with a broken stream.
+      prefill_runs: Whether a prefill counts as executing the request.
+      closing_ends_work: Whether an engine aborts a request when its connection
+        is closed. Otherwise explicit cancellations are sent.
+      resumes_elsewhere: Whether another engine may resume a broken stream.
     """
 
     prefill_runs: bool
@@ -46,20 +52,25 @@
     resumes_elsewhere: bool
 
     def attempt_id(self, ctx: context.Context) -> str:
-        """Returns the id by which engines know the present attempt."""
+        """Returns the ID of the current attempt, as sent to engines."""
 
     async def prepare(
         self, ctx: context.Context, endpoint: model.Endpoint
     ) -> None:
-        """Makes sure that a decode engine can be reached, before the prefill.
+        """Checks before the prefill that the decode engine is reachable.
 
-        Raises `engines.errors.ConnectFailed`.
+        Raises:
+          engines.errors.ConnectFailed: No connection could be opened.
         """
 
     async def prefill(
         self, ctx: context.Context, endpoint: model.Endpoint, timeout_s: float
     ) -> Prefilled:
-        """Runs the prompt; raises `engines.errors.CallError`."""
+        """Runs the prefill of the prompt.
+
+        Raises:
+          engines.errors.CallError: The call failed.
+        """
 
     async def decode(
         self,
@@ -68,29 +79,36 @@
         prefilled: Prefilled | None,
         timeout_s: float,
     ) -> AnswerStream:
-        """Opens the answer; raises `engines.errors.CallError`.
+        """Starts decoding and opens the output stream.
+
+        Without `prefilled` the decode engine prefills the prompt itself.
 
-        Without `prefilled` the engine computes the prompt itself.
+        Raises:
+          engines.errors.CallError: The call failed.
         """
 
     def discard(self, prefilled: Prefilled) -> None:
-        """Has the memory of a prefill freed that no decode will fetch."""
+        """Has the engine free a KV cache that no decode engine will fetch."""
 
     def sink(self, ctx: context.Context, stream: AnswerStream) -> sinks.Sink:
-        """Returns where the stream's events go."""
+        """Returns the sink that sends the stream's events to the caller."""
 
 
 class PlainCalls(Protocol):
-    """The calls to plain services."""
+    """Calls to plain services."""
 
     async def call(
         self, ctx: context.Context, progress: call_lib.Progress
     ) -> service_client.ServiceAnswer:
-        """Calls `ctx.endpoint` once; raises `engines.errors.CallError`."""
+        """Calls `ctx.endpoint` once.
+
+        Raises:
+          engines.errors.CallError: The call failed.
+        """
 
 
 class Resumer(Protocol):
-    """Goes on with a broken stream at the engine that holds it."""
+    """Resumes a broken stream at the engine that runs the request."""
 
     async def resume(
         self,
@@ -99,4 +117,4 @@
         stream: AnswerStream,
         broken: engine_errors.StreamBroken,
     ) -> bool:
-        """Tries to; returns whether the stream goes on."""
+        """Tries to resume the stream; returns whether that succeeded."""
--- a/src/cowsliprill/entry/canceller.py
+++ b/src/cowsliprill/entry/canceller.py
@@ -1,11 +1,10 @@
-"""The task that owns cancel orders until the engines acknowledge them.
-
-A caller that is gone must not hold an engine's memory. Closing the connection
-to the engine isn't enough: engines go on with a request whose connection is
-cut, so that it can be resumed. Without the explicit order, sent until it is
-acknowledged, a lost order would leave a slot taken for good; one would notice
-`cowsliprill_pending_cancels` that doesn't fall, or decode engines that are
-full with nobody waiting.
+"""Sends cancellations to engines until the engines acknowledge them.
+
+A disconnected caller must not hold an engine's memory. Closing the connection
+to the engine isn't enough: engines continue a request whose connection breaks,
+so that its stream can be resumed. A cancellation that was lost without a retry
+would occupy a slot forever; the symptoms are a `cowsliprill_pending_cancels`
+that doesn't fall, or full decode engines while no request is queued.
 """
 
 import asyncio
@@ -24,23 +23,23 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
-_FIRST_BACK_OFF_S = 0.05
-_MAX_BACK_OFF_S = 2.0
-_HAND_OVER_S = 2.0
+_INITIAL_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 2.0
+_HANDOVER_TIMEOUT_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Pending:
+class _PendingCancellations:
     endpoint: model.Endpoint
     request_ids: collections.deque[str]
     task: asyncio.Task | None = None
 
 
 class NoOrders:
-    """Stands in where engines drop a request when its connection is closed.
+    """No-op canceller for engines that abort a request on disconnect.
 
     Attributes:
-      pending: Orders that are not yet acknowledged, always none.
+      pending: Number of unacknowledged cancellations, always 0.
     """
 
     pending = 0
@@ -49,62 +48,67 @@
         """Does nothing."""
 
     async def settle(self, timeout_s: float) -> None:
-        """Returns at once."""
+        """Does nothing."""
 
 
 class Canceller:
-    """Sends cancel orders.
+    """Sends cancellations to engines, with retries.
 
-    One task an engine sends its orders one after the other, so a dead engine
-    costs one attempt each back-off, however many orders wait for it.
+    One task per engine sends that engine's cancellations sequentially, so a
+    dead engine costs one attempt per backoff interval, however many
+    cancellations are pending.
 
     Args:
-      client: Client of engines.
-      homes: Calls the homes.
-      world: The settings and the VM list.
+      client: Client of the engines.
+      coordinator_client: Sends requests to coordinators.
+      cluster_state: The current settings snapshot and VM list.
       metrics: The process's metrics.
       log: The process's log.
-      random_source: Spreads the retries.
+      random_source: Jitters the retry delays.
     """
 
     def __init__(
         self,
         client: engine_client.EngineClient,
-        homes: home_client.HomeClient,
-        world: world_lib.World,
+        coordinator_client: home_client.HomeClient,
+        cluster_state: world_lib.World,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
         random_source: random.Random,
     ) -> None:
         self._client = client
-        self._homes = homes
-        self._world = world
+        self._coordinator_client = coordinator_client
+        self._cluster_state = cluster_state
         self._metrics = metrics
         self._log = log
         self._random = random_source
-        self._pending_by_endpoint: dict[str, _Pending] = {}
+        self._queues_by_endpoint: dict[str, _PendingCancellations] = {}
         self._idle = asyncio.Event()
         self._idle.set()
-        self._count()
+        self._update_pending_metric()
 
     @property
     def pending(self) -> int:
-        """Orders that are not yet acknowledged."""
+        """Number of cancellations that are not yet acknowledged."""
         return sum(
             len(pending.request_ids)
-            for pending in self._pending_by_endpoint.values()
+            for pending in self._queues_by_endpoint.values()
         )
 
     def order(self, endpoint_id: str, request_id: str) -> None:
-        """Takes over an order.
+        """Queues a cancellation.
+
+        The cancellation is dropped if the engine isn't in the settings.
 
         Args:
-          endpoint_id: The engine.
-          request_id: Text of the attempt id.
+          endpoint_id: ID of the engine.
+          request_id: Attempt ID as the engine knows it.
         """
-        pending = self._pending_by_endpoint.get(endpoint_id)
+        pending = self._queues_by_endpoint.get(endpoint_id)
         if pending is None:
-            endpoint = self._world.snapshot.endpoints_by_id.get(endpoint_id)
+            endpoint = self._cluster_state.snapshot.endpoints_by_id.get(
+                endpoint_id
+            )
             if endpoint is None:
                 self._log.warning(
                     "cancel_without_endpoint",
@@ -112,81 +116,87 @@
                     request=request_id,
                 )
                 return
-            pending = _Pending(endpoint, collections.deque())
-            self._pending_by_endpoint[endpoint_id] = pending
-            pending.task = asyncio.create_task(self._serve(pending))
+            pending = _PendingCancellations(endpoint, collections.deque())
+            self._queues_by_endpoint[endpoint_id] = pending
+            pending.task = asyncio.create_task(self._send_pending(pending))
         pending.request_ids.append(request_id)
         self._idle.clear()
-        self._count()
+        self._update_pending_metric()
 
     async def settle(self, timeout_s: float) -> None:
-        """Waits until all orders are acknowledged, then hands over the rest.
+        """Waits for acknowledgements, then hands the rest to coordinators.
 
         Args:
-          timeout_s: How long to wait.
+          timeout_s: How long to wait before the handover, in seconds.
         """
         try:
             async with asyncio.timeout(timeout_s):
                 await self._idle.wait()
         except TimeoutError:
             await self._hand_over()
-        for pending in self._pending_by_endpoint.values():
+        for pending in self._queues_by_endpoint.values():
             pending.task.cancel()
 
-    async def _serve(self, pending: _Pending) -> None:
-        back_off_s = _FIRST_BACK_OFF_S
+    async def _send_pending(self, pending: _PendingCancellations) -> None:
+        backoff_s = _INITIAL_BACKOFF_S
         while pending.request_ids:
             request_id = pending.request_ids[0]
             if await self._client.cancel(pending.endpoint, request_id):
                 pending.request_ids.popleft()
-                self._count()
+                self._update_pending_metric()
                 self._log.event(
                     "cancelled",
                     request=request_id,
                     endpoint=pending.endpoint.id,
                 )
-                back_off_s = _FIRST_BACK_OFF_S
+                backoff_s = _INITIAL_BACKOFF_S
                 continue
             self._metrics.events.inc({"event": "cancel_retried"})
-            # Another order may be acknowledged where this one isn't.
+            # The engine may acknowledge another cancellation though it failed
+            # this one.
             pending.request_ids.rotate(-1)
-            await asyncio.sleep(back_off_s * self._random.uniform(0.5, 1.0))
-            back_off_s = min(back_off_s * 2, _MAX_BACK_OFF_S)
-        del self._pending_by_endpoint[pending.endpoint.id]
-        if not self._pending_by_endpoint:
+            await asyncio.sleep(backoff_s * self._random.uniform(0.5, 1.0))
+            backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
+        del self._queues_by_endpoint[pending.endpoint.id]
+        if not self._queues_by_endpoint:
             self._idle.set()
 
     async def _hand_over(self) -> None:
-        orders_by_vm: dict[str, list[cancels.CancelOrder]] = {}
+        cancellations_by_vm: dict[str, list[cancels.CancelOrder]] = {}
         vms_by_id: dict[str, model.Vm] = {}
-        for endpoint_id, pending in self._pending_by_endpoint.items():
-            vm = self._world.home_of(endpoint_id)
+        for endpoint_id, pending in self._queues_by_endpoint.items():
+            vm = self._cluster_state.home_of(endpoint_id)
             if vm is None:
                 continue
             vms_by_id[vm.id] = vm
-            orders_by_vm.setdefault(vm.id, []).extend(
+            cancellations_by_vm.setdefault(vm.id, []).extend(
                 cancels.CancelOrder(
                     endpoint_id=endpoint_id, request_id=request_id
                 )
                 for request_id in pending.request_ids
             )
-        for vm_id, orders in orders_by_vm.items():
-            await self._send(vms_by_id[vm_id], orders)
+        for vm_id, cancellations in cancellations_by_vm.items():
+            await self._send_to_coordinator(vms_by_id[vm_id], cancellations)
 
-    async def _send(
-        self, vm: model.Vm, orders: list[cancels.CancelOrder]
+    async def _send_to_coordinator(
+        self, vm: model.Vm, cancellations: list[cancels.CancelOrder]
     ) -> None:
-        body = dispatch_messages.CancelsRequest(cancels=tuple(orders))
+        body = dispatch_messages.CancelsRequest(cancels=tuple(cancellations))
         try:
-            await self._homes.post(vm, peers.CANCELS_PATH, body, _HAND_OVER_S)
-            taken = True
+            await self._coordinator_client.post(
+                vm, peers.CANCELS_PATH, body, _HANDOVER_TIMEOUT_S
+            )
+            accepted = True
         except errors.HomeError:
-            taken = False
-        # Orders that the home didn't take are found by its sweep, once this
-        # incarnation is known to be gone.
+            accepted = False
+        # If the coordinator didn't accept the cancellations, its orphan
+        # detection finds these requests once this incarnation has ended.
         self._log.event(
-            "cancels_handed_over", vm=vm.id, orders=len(orders), taken=taken
+            "cancels_handed_over",
+            vm=vm.id,
+            orders=len(cancellations),
+            taken=accepted,
         )
 
-    def _count(self) -> None:
+    def _update_pending_metric(self) -> None:
         self._metrics.pending_cancels.set({}, self.pending)
--- a/src/cowsliprill/entry/leases.py
+++ b/src/cowsliprill/entry/leases.py
@@ -1,11 +1,12 @@
-"""What this process may place work on, and until when."""
+"""Expiry times of this process's slot leases and fallback shares."""
 
 import dataclasses
 
 from cowsliprill.decisions import messages
 
-# A permission without a lease ends so soon after it was last confirmed.
-FALLBACK_S = 2.0
+# How long a fallback share, used without a lease, stays valid after it was last
+# confirmed.
+FALLBACK_DURATION_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -13,32 +14,34 @@
     """Permission to use one endpoint.
 
     Attributes:
-      end: When it runs out.
-      since: It has held without a gap since then.
-      fallback: Whether it is a fall-back share and no lease.
+      expires_at: Expiry time in seconds.
+      held_since: Time in seconds since which the permission has been valid
+        without a gap.
+      fallback: Whether this is a fallback share instead of a lease.
     """
 
-    end: float = 0.0
-    since: float = 0.0
+    expires_at: float = 0.0
+    held_since: float = 0.0
     fallback: bool = False
 
-    def extend(self, end: float, now: float, *, fallback: bool) -> None:
-        if self.end <= now:
-            self.since = now
-        self.end = end
+    def extend(self, expires_at: float, now: float, *, fallback: bool) -> None:
+        if self.expires_at <= now:
+            self.held_since = now
+        self.expires_at = expires_at
         self.fallback = fallback
 
 
 @dataclasses.dataclass(slots=True)
 class Leases:
-    """Permissions by endpoint, asked for right before each act.
-
-    The scheduler decides on leases too, but between its decision and the act
-    this process may have been paused for minutes. Acting then would put work
-    on a slot that its home has long given to another entry; one would notice
-    `engine_full` refusals, or an engine that holds more than its slots. A new
-    lease that comes right after waking doesn't help: the slot of a decision
-    is only kept while the lease holds without a gap.
+    """Permissions by endpoint, checked right before a request is sent.
+
+    The scheduler checks leases too, but this process may be paused for minutes
+    between a decision and the call to the engine. The coordinator may have
+    leased the slot to another entry process since, and the call would overload
+    the engine: the symptoms are `engine_full` refusals, or an engine that runs
+    more requests than it has slots. A new lease that is granted right after the
+    pause doesn't cover earlier decisions: a decision keeps its slot only while
+    the lease is valid without a gap.
     """
 
     _permissions_by_endpoint: dict[str, _Permission] = dataclasses.field(
@@ -46,77 +49,79 @@
     )
 
     def grant(self, grant: messages.SlotGrant, now: float) -> None:
-        """Takes a home's grant.
+        """Records a coordinator's grant.
 
         Args:
           grant: The grant.
-          now: Time, seconds.
+          now: Current time in seconds.
         """
-        self._of(grant.endpoint_id).extend(
+        self._permission_of(grant.endpoint_id).extend(
             grant.expires_at, now, fallback=False
         )
 
     def fall_back(self, endpoint_ids: tuple[str, ...], now: float) -> None:
-        """Notes that the home of some endpoints gives no grant.
+        """Records that the coordinator of some endpoints grants no slots.
 
-        The scheduler then allows itself a small share until the home grants
-        again.
+        The scheduler then uses a small fallback share of the slots until the
+        coordinator grants slots again.
 
         Args:
-          endpoint_ids: The endpoints.
-          now: Time, seconds.
+          endpoint_ids: IDs of the endpoints.
+          now: Current time in seconds.
         """
         for endpoint_id in endpoint_ids:
-            self._of(endpoint_id).extend(now + FALLBACK_S, now, fallback=True)
+            self._permission_of(endpoint_id).extend(
+                now + FALLBACK_DURATION_S, now, fallback=True
+            )
 
     def confirm_fallbacks(self, now: float) -> None:
-        """Lets fall-back shares go on, as the scheduler does by itself.
+        """Extends the fallback shares, which the scheduler keeps on its own.
 
-        If they ended here while the scheduler still counts on them, callers
-        would get `endpoint_failed` without any try.
+        If a fallback share expired here while the scheduler still uses it,
+        callers would get `endpoint_failed` without an attempt.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
         """
         for permission in self._permissions_by_endpoint.values():
             if permission.fallback:
-                permission.extend(now + FALLBACK_S, now, fallback=True)
+                permission.extend(now + FALLBACK_DURATION_S, now, fallback=True)
 
     def allow(self, endpoint_id: str, decided_at: float, now: float) -> bool:
-        """Returns whether a decision may still be acted on.
+        """Returns whether a placement decision is still valid.
 
         Args:
-          endpoint_id: The endpoint.
-          decided_at: When the scheduler decided.
-          now: Time, seconds.
+          endpoint_id: ID of the endpoint.
+          decided_at: Time of the scheduler's decision in seconds.
+          now: Current time in seconds.
         """
         permission = self._permissions_by_endpoint.get(endpoint_id)
-        if permission is None or permission.end <= now:
+        if permission is None or permission.expires_at <= now:
             return False
-        return permission.since <= decided_at
+        return permission.held_since <= decided_at
 
     def endpoint_ids(self) -> list[str]:
-        """Lists the endpoints that have or had a lease."""
+        """Returns the IDs of endpoints with a current or expired lease."""
         return list(self._permissions_by_endpoint)
 
-    def earliest_end(self, now: float) -> float | None:
-        """Returns when the first of the leases runs out, None without one."""
-        ends = [
-            permission.end
+    def earliest_expiry(self, now: float) -> float | None:
+        """Returns the earliest future expiry time, None without any."""
+        expiry_times = [
+            permission.expires_at
             for permission in self._permissions_by_endpoint.values()
-            if permission.end > now
+            if permission.expires_at > now
         ]
-        return min(ends, default=None)
+        return min(expiry_times, default=None)
 
     def keep_only(self, endpoint_ids: set[str]) -> None:
-        """Forgets endpoints that the settings no longer name."""
+        """Removes all endpoints except the given ones."""
         self._permissions_by_endpoint = {
             endpoint_id: permission
             for endpoint_id, permission in self._permissions_by_endpoint.items()
             if endpoint_id in endpoint_ids
         }
 
-    def _of(self, endpoint_id: str) -> _Permission:
+    def _permission_of(self, endpoint_id: str) -> _Permission:
         return self._permissions_by_endpoint.setdefault(
             endpoint_id, _Permission()
         )
--- a/src/cowsliprill/entry/placing.py
+++ b/src/cowsliprill/entry/placing.py
@@ -1,8 +1,8 @@
-"""Who decides where model requests run: this entry by leases, or a home.
+"""Placement backends of an entry process.
 
-An entry with a scheduler of its own holds leases of slots from the homes of
-engines. Where all requests of a pool are placed at one home, it only sends
-them there.
+With `ByLeases` the process runs its own scheduler on slots that it leases from
+the engines' coordinators. With `ByCells` it sends the requests of each pool to
+the pool's coordinator, which places all of them.
 """
 
 import asyncio
@@ -28,66 +28,72 @@
 
 _SEED_BITS = 32
 
-# A decision of a home is acted on within a second, prefill and transfer
-# included. One that is older was made before this process stood still, and
-# its home may have given the slots to another entry since.
+# A coordinator's decision is normally carried out within a second, prefill and
+# KV transfer included. An older one dates from before a pause of this process,
+# and the coordinator may have given the slots to another entry process since.
 _DECISION_MAX_AGE_S = 2.0
 
 
 class Scheduling(Protocol):
-    """Where requests and events go, and decisions come from."""
+    """Interface to the scheduler, whether local or at a coordinator."""
 
     def submit(self, submit: messages.Submit) -> asyncio.Queue:
-        """Sends a request; returns the queue of decisions about it."""
+        """Submits a request; returns the queue of its decisions."""
 
     def post(self, event: messages.Event) -> None:
-        """Sends an event."""
+        """Sends an event to the scheduler."""
 
     def forget(self, request_id: int) -> None:
-        """Ends a request's queue of decisions."""
+        """Removes the decision queue of a request."""
 
 
 class Permissions(Protocol):
-    """Asked right before each act that a decision allows."""
+    """Checks right before a call that its placement decision is still valid."""
 
     def allow(self, endpoint_id: str, decided_at: float, now: float) -> bool:
-        """Returns whether the decision may still be acted on."""
+        """Returns whether a placement decision is still valid.
+
+        Args:
+          endpoint_id: ID of the endpoint.
+          decided_at: Time of the decision in seconds.
+          now: Current time in seconds.
+        """
 
 
 class Placing(Protocol):
-    """What an entry needs of whoever decides.
+    """Interface of a placement backend.
 
     Attributes:
-      scheduling: Takes requests and events.
-      permissions: Asked before each act.
+      scheduling: Receives requests and events.
+      permissions: Checked right before each call to an engine.
     """
 
     scheduling: Scheduling
     permissions: Permissions
 
     def world_changed(self, snapshot: model.Snapshot) -> None:
-        """Forgets what the settings no longer name."""
+        """Drops state of endpoints that are no longer in the settings."""
 
     def work(self) -> list[Awaitable[None]]:
-        """Returns what has to run as tasks."""
+        """Returns the awaitables to run as background tasks."""
 
     async def hand_back(self) -> None:
-        """Gives back what is held, as the last act of the process."""
+        """Returns all leased slots; call last at shutdown."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Tools:
-    """What a process has for placing its requests.
+    """Dependencies of a placement backend.
 
     Attributes:
-      incarnation: This process.
-      availability_zone: Where it runs.
-      homes: Calls homes.
-      world: The settings and the VM list.
-      canceller: Takes cancel orders.
+      incarnation: Incarnation of this process.
+      availability_zone: Availability zone of this process.
+      homes: Sends requests to coordinators.
+      world: The current settings snapshot and VM list.
+      canceller: Sends cancellations to engines.
       metrics: The process's metrics.
       log: The process's log.
-      random_source: Random numbers.
+      random_source: Random number generator.
     """
 
     incarnation: identity.Incarnation
@@ -104,14 +110,14 @@
 
 
 class ByLeases:
-    """A scheduler of the entry's own, with slots leased from the homes.
+    """Placement by a local scheduler on slots leased from the coordinators.
 
     Args:
-      tools: What the process has.
+      tools: Dependencies.
 
     Attributes:
-      scheduling: The scheduler's task.
-      permissions: The leases.
+      scheduling: Runs the scheduler.
+      permissions: The slot leases.
     """
 
     def __init__(self, tools: Tools) -> None:
@@ -124,7 +130,7 @@
             tools.incarnation,
             tools.canceller,
         )
-        self._asker = slot_asker.SlotAsker(
+        self._slot_lease_client = slot_asker.SlotAsker(
             tools.incarnation,
             tools.homes,
             self.scheduling,
@@ -135,41 +141,41 @@
         )
 
     def world_changed(self, snapshot: model.Snapshot) -> None:
-        """Forgets leases of endpoints that the settings no longer name."""
+        """Drops the leases of endpoints that are no longer in the settings."""
         self.permissions.keep_only(set(snapshot.endpoints_by_id))
 
     def work(self) -> list[Awaitable[None]]:
-        """Returns what has to run as tasks."""
-        return [self.scheduling.run(), self._asker.run()]
+        """Returns the awaitables to run as background tasks."""
+        return [self.scheduling.run(), self._slot_lease_client.run()]
 
     async def hand_back(self) -> None:
-        """Returns all leases."""
-        await self._asker.hand_back()
+        """Returns all leases to the coordinators."""
+        await self._slot_lease_client.hand_back()
 
 
-class FreshDecisions:
-    """Allows what was decided a short time ago."""
+class DecisionAgeCheck:
+    """Accepts placement decisions up to a maximum age."""
 
     def allow(self, endpoint_id: str, decided_at: float, now: float) -> bool:
-        """Returns whether the decision may still be acted on."""
+        """Returns whether a placement decision is still valid."""
         del endpoint_id
         return now - decided_at < _DECISION_MAX_AGE_S
 
 
 class ByCells:
-    """All requests of a pool are placed at its home.
+    """Placement of each pool's requests by the pool's coordinator.
 
     Args:
-      tools: What the process has.
-      post: Calls a home.
+      tools: Dependencies.
+      post: Sends a request to a coordinator.
 
     Attributes:
-      scheduling: Sends requests to homes.
-      permissions: Allows what was decided a short time ago.
+      scheduling: Sends requests and events to coordinators.
+      permissions: Accepts decisions up to a maximum age.
     """
 
     def __init__(self, tools: Tools, post: cells_client.Post) -> None:
-        self.permissions = FreshDecisions()
+        self.permissions = DecisionAgeCheck()
         self.scheduling = cells_client.CellScheduling(
             str(tools.incarnation),
             post,
@@ -178,11 +184,11 @@
         )
 
     def world_changed(self, snapshot: model.Snapshot) -> None:
-        """Does nothing: what is held, the homes hold."""
+        """Does nothing: slot state is kept by the coordinators."""
 
     def work(self) -> list[Awaitable[None]]:
-        """Returns what has to run as tasks."""
+        """Returns the awaitables to run as background tasks."""
         return [self.scheduling.run()]
 
     async def hand_back(self) -> None:
-        """Does nothing: a home forgets an entry that falls silent."""
+        """Does nothing: a coordinator times out an unresponsive process."""
--- a/src/cowsliprill/entry/scheduling.py
+++ b/src/cowsliprill/entry/scheduling.py
@@ -1,7 +1,8 @@
-"""The task that owns the scheduler.
+"""Task that runs the scheduler of an entry process.
 
-Events reach it through a queue. Decisions about a request go to that
-request's own queue, asks for slots to the homes, cancels to the canceller.
+Events arrive through one queue. Placement decisions go to a queue per request,
+slot demands to the client of the coordinators, and cancellations to the
+canceller.
 """
 
 import asyncio
@@ -21,17 +22,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Renewal:
-    """It is time to restate the standing with all endpoints."""
+class _RenewLeases:
+    """Has the scheduler emit its slot demand for all endpoints in use."""
 
 
 class Scheduling:
-    """Runs the scheduler.
+    """Feeds events to the scheduler and carries out its actions.
 
     Args:
-      scheduler: The decision code.
-      incarnation: This process, named in attempt ids.
-      canceller: Takes cancel orders.
+      scheduler: The scheduler, which does no I/O.
+      incarnation: Incarnation of this process, part of attempt IDs.
+      canceller: Sends cancellations to engines.
+
+    Attributes:
+      slot_demands: Queue of batches of slot demands to send.
     """
 
     def __init__(
@@ -43,22 +47,27 @@
         self._scheduler = scheduler
         self._incarnation = incarnation
         self._canceller = canceller
-        self._events: asyncio.Queue[messages.Event | _Renewal] = asyncio.Queue()
+        self._events: asyncio.Queue[messages.Event | _RenewLeases] = (
+            asyncio.Queue()
+        )
         self._decisions_by_request: dict[int, asyncio.Queue[Decision]] = {}
-        self.asks: asyncio.Queue[list[messages.SlotAsk]] = asyncio.Queue()
+        self.slot_demands: asyncio.Queue[list[messages.SlotAsk]] = (
+            asyncio.Queue()
+        )
 
     def post(self, event: messages.Event) -> None:
-        """Sends an event to the scheduler."""
+        """Queues an event for the scheduler."""
         self._events.put_nowait(event)
 
     def submit(self, submit: messages.Submit) -> asyncio.Queue[Decision]:
-        """Sends a request to the scheduler.
+        """Submits a request to the scheduler.
 
         Args:
           submit: The request.
 
         Returns:
-          The queue by which decisions about it come, until `forget`.
+          The queue that receives the decisions about the request until
+          `forget` is called.
         """
         decisions: asyncio.Queue[Decision] = asyncio.Queue()
         self._decisions_by_request[submit.request_id] = decisions
@@ -66,29 +75,30 @@
         return decisions
 
     def forget(self, request_id: int) -> None:
-        """Ends a request's queue of decisions."""
+        """Removes the decision queue of a request."""
         self._decisions_by_request.pop(request_id, None)
 
     def renew(self) -> None:
-        """Has the scheduler state its standing with all endpoints in use.
+        """Queues a lease renewal for all endpoints in use.
 
-        It does so after the events that came before. A statement made ahead
-        of a grant that still waits in the queue would give its slots back.
+        The renewal is handled after the events that are already queued. A
+        slot demand computed before a queued grant is handled would give back
+        the slots of that grant.
         """
-        self._events.put_nowait(_Renewal())
+        self._events.put_nowait(_RenewLeases())
 
     async def run(self) -> None:
-        """Handles events for ever."""
+        """Handles events until cancelled."""
         while True:
-            event = await self._next()
+            event = await self._next_event()
             now = clock.now()
-            if isinstance(event, _Renewal):
-                self.asks.put_nowait(self._scheduler.asks(now))
+            if isinstance(event, _RenewLeases):
+                self.slot_demands.put_nowait(self._scheduler.asks(now))
                 continue
             for action in self._scheduler.handle(event, now):
-                self._perform(action, now)
+                self._dispatch_action(action, now)
 
-    async def _next(self) -> messages.Event | _Renewal:
+    async def _next_event(self) -> messages.Event | _RenewLeases:
         if not self._events.empty():
             return self._events.get_nowait()
         now = clock.now()
@@ -102,29 +112,29 @@
         except TimeoutError:
             return messages.Tick()
 
-    def _perform(self, action: messages.Action, now: float) -> None:
+    def _dispatch_action(self, action: messages.Action, now: float) -> None:
         match action:
             case messages.Start(request_id=request_id):
                 start = dataclasses.replace(action, decided_at=now)
-                self._start(request_id, start)
+                self._deliver_start(request_id, start)
             case messages.Refuse(request_id=request_id):
                 decisions = self._decisions_by_request.get(request_id)
                 if decisions is not None:
                     decisions.put_nowait(action)
             case messages.CancelAttempt():
-                self._cancel(action)
+                self._enqueue_cancellations(action)
             case messages.SlotAsk():
-                self.asks.put_nowait([action])
+                self.slot_demands.put_nowait([action])
 
-    def _start(self, request_id: int, start: messages.Start) -> None:
+    def _deliver_start(self, request_id: int, start: messages.Start) -> None:
         decisions = self._decisions_by_request.get(request_id)
         if decisions is not None:
             decisions.put_nowait(start)
             return
-        # The caller left while the decision was on its way; its Cancel is in
-        # the queue behind, so the scheduler takes the slots back by itself.
+        # The caller disconnected before the decision was delivered. Its
+        # Cancel is already queued and makes the scheduler free the slots.
 
-    def _cancel(self, cancel: messages.CancelAttempt) -> None:
+    def _enqueue_cancellations(self, cancel: messages.CancelAttempt) -> None:
         attempt = identity.AttemptId(
             self._incarnation, cancel.request_id, cancel.attempt
         )
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_asker.py
@@ -1,7 +1,8 @@
-"""The task that asks the homes of endpoints for slots.
+"""Client that leases endpoint slots from the endpoints' coordinators.
 
-Each home has at most one call outstanding, whatever the rate of requests; a
-call states the whole standing of this process with all endpoints of the home.
+Each coordinator has at most one outstanding call, whatever the request rate.
+A call carries complete slot demands of this process, not differences, for the
+coordinator's endpoints.
 """
 
 import asyncio
@@ -22,37 +23,41 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
-# How long a home may hold back its answer while it has nothing to grant.
-_WAIT_S = 0.5
-_ANSWER_S = 1.0
-# A newer standing waits this long for the answer to the one before it, and
-# then replaces it: the home may be holding that answer back.
-_SUPERSEDE_S = 0.01
-_RENEW_S = 1.0
-_MIN_RENEW_S = 0.05
-_BACK_OFF_S = 0.25
+# How long a coordinator may hold a long poll open while it has nothing to
+# grant.
+_LONG_POLL_TIMEOUT_S = 0.5
+_RESPONSE_TIMEOUT_S = 1.0
+# Newer demands wait this long for the response to the previous call and then
+# supersede that call, which the coordinator may be holding open.
+_SUPERSEDE_DELAY_S = 0.01
+_MAX_RENEWAL_INTERVAL_S = 1.0
+_MIN_RENEWAL_INTERVAL_S = 0.05
+_ERROR_BACKOFF_S = 0.25
 
 
 @dataclasses.dataclass(slots=True)
-class _Home:
+class _Coordinator:
     vm: model.Vm
-    pending_by_endpoint: dict[str, messages.SlotAsk] = dataclasses.field(
-        default_factory=dict
+    pending_demands_by_endpoint: dict[str, messages.SlotAsk] = (
+        dataclasses.field(default_factory=dict)
+    )
+    has_pending: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
     )
-    news: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
     task: asyncio.Task | None = None
     reachable: bool = True
 
 
 class SlotAsker:
-    """Keeps this process's leases.
+    """Acquires, renews and returns this process's slot leases.
 
     Args:
-      incarnation: This process.
-      homes: Calls the homes.
-      scheduling: The scheduler's task: takes grants, tells the standing.
-      leases: Where ends of leases are kept.
-      world: The VM list in force.
+      incarnation: Incarnation of this process.
+      coordinator_client: Sends requests to coordinators.
+      scheduling: Runs the scheduler: receives grants and produces the slot
+        demands.
+      leases: Stores the expiry times of the leases.
+      cluster_state: The current settings snapshot and VM list.
       metrics: The process's metrics.
       log: The process's log.
     """
@@ -60,136 +65,163 @@
     def __init__(
         self,
         incarnation: identity.Incarnation,
-        homes: home_client.HomeClient,
+        coordinator_client: home_client.HomeClient,
         scheduling: scheduling_lib.Scheduling,
         leases: leases_lib.Leases,
-        world: world_lib.World,
+        cluster_state: world_lib.World,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
     ) -> None:
         self._entry = str(incarnation)
-        self._homes = homes
+        self._coordinator_client = coordinator_client
         self._scheduling = scheduling
         self._leases = leases
-        self._world = world
+        self._cluster_state = cluster_state
         self._metrics = metrics
         self._log = log
-        self._homes_by_vm: dict[str, _Home] = {}
+        self._coordinators_by_vm: dict[str, _Coordinator] = {}
 
     async def run(self) -> None:
-        """Passes on what the scheduler states, and has it restate in time."""
-        renewing = asyncio.create_task(self._renew())
+        """Sends the scheduler's slot demands and renews the leases, forever."""
+        renewal_task = asyncio.create_task(self._renew_leases())
         try:
             while True:
-                for ask in await self._scheduling.asks.get():
-                    self._enqueue(ask)
+                for demand in await self._scheduling.slot_demands.get():
+                    self._enqueue(demand)
         finally:
-            renewing.cancel()
-            for home in self._homes_by_vm.values():
-                home.task.cancel()
+            renewal_task.cancel()
+            for coordinator in self._coordinators_by_vm.values():
+                coordinator.task.cancel()
 
-    async def _renew(self) -> None:
+    async def _renew_leases(self) -> None:
         while True:
             now = clock.now()
-            end = self._leases.earliest_end(now)
-            renew_s = _RENEW_S if end is None else (end - now) / 2
-            await asyncio.sleep(min(max(renew_s, _MIN_RENEW_S), _RENEW_S))
-            self._forget_gone_homes()
+            expires_at = self._leases.earliest_expiry(now)
+            renewal_interval_s = (
+                _MAX_RENEWAL_INTERVAL_S
+                if expires_at is None
+                else (expires_at - now) / 2
+            )
+            await asyncio.sleep(
+                min(
+                    max(renewal_interval_s, _MIN_RENEWAL_INTERVAL_S),
+                    _MAX_RENEWAL_INTERVAL_S,
+                )
+            )
+            self._remove_stale_coordinators()
             self._leases.confirm_fallbacks(clock.now())
             self._scheduling.renew()
 
-    def _forget_gone_homes(self) -> None:
-        vms_by_id = self._world.fleet.vms_by_id
-        for vm_id in self._homes_by_vm.keys() - vms_by_id.keys():
-            self._homes_by_vm.pop(vm_id).task.cancel()
+    def _remove_stale_coordinators(self) -> None:
+        vms_by_id = self._cluster_state.fleet.vms_by_id
+        for vm_id in self._coordinators_by_vm.keys() - vms_by_id.keys():
+            self._coordinators_by_vm.pop(vm_id).task.cancel()
 
     async def hand_back(self) -> None:
-        """Returns all leases, as the last act of this process."""
-        asks_by_vm = self._by_home(
+        """Returns all leases to the coordinators; call last at shutdown."""
+        demands_by_vm = self._group_by_coordinator(
             [
                 messages.SlotAsk(endpoint_id=endpoint_id, in_use=0, want=0)
                 for endpoint_id in self._leases.endpoint_ids()
             ]
         )
-        calls = [self._call(vm, asks, 0.0) for vm, asks in asks_by_vm.values()]
+        calls = [
+            self._call(vm, demands, 0.0)
+            for vm, demands in demands_by_vm.values()
+        ]
         await asyncio.gather(*calls, return_exceptions=True)
 
-    def _enqueue(self, ask: messages.SlotAsk) -> None:
-        # The statement itself has to go out, not one made up later: the
-        # scheduler counts on each of its statements, so that one which is
-        # never sent would have it give back slots that it was granted.
-        vm = self._world.home_of(ask.endpoint_id)
+    def _enqueue(self, demand: messages.SlotAsk) -> None:
+        # Sends the scheduler's own demand rather than one built at sending
+        # time: the scheduler tracks each demand by sequence number, and would
+        # give granted slots back if one of them were never sent.
+        vm = self._cluster_state.home_of(demand.endpoint_id)
         if vm is None:
-            self._give_up((ask.endpoint_id,))
+            self._use_fallback_share((demand.endpoint_id,))
             return
-        home = self._homes_by_vm.get(vm.id)
-        if home is None:
-            home = _Home(vm)
-            home.task = asyncio.create_task(self._serve(home))
-            self._homes_by_vm[vm.id] = home
-        home.vm = vm
-        home.pending_by_endpoint[ask.endpoint_id] = ask
-        home.news.set()
-
-    async def _serve(self, home: _Home) -> None:
+        coordinator = self._coordinators_by_vm.get(vm.id)
+        if coordinator is None:
+            coordinator = _Coordinator(vm)
+            coordinator.task = asyncio.create_task(
+                self._send_pending(coordinator)
+            )
+            self._coordinators_by_vm[vm.id] = coordinator
+        coordinator.vm = vm
+        coordinator.pending_demands_by_endpoint[demand.endpoint_id] = demand
+        coordinator.has_pending.set()
+
+    async def _send_pending(self, coordinator: _Coordinator) -> None:
         while True:
-            await home.news.wait()
-            home.news.clear()
-            asks = list(home.pending_by_endpoint.values())
-            home.pending_by_endpoint.clear()
-            await self._ask(home, asks)
-
-    async def _ask(self, home: _Home, asks: list[messages.SlotAsk]) -> None:
-        wants_more = any(ask.want > ask.in_use for ask in asks)
+            await coordinator.has_pending.wait()
+            coordinator.has_pending.clear()
+            demands = list(coordinator.pending_demands_by_endpoint.values())
+            coordinator.pending_demands_by_endpoint.clear()
+            await self._send_demands(coordinator, demands)
+
+    async def _send_demands(
+        self, coordinator: _Coordinator, demands: list[messages.SlotAsk]
+    ) -> None:
+        needs_more_slots = any(
+            demand.want > demand.in_use for demand in demands
+        )
         call = asyncio.create_task(
-            self._call(home.vm, asks, _WAIT_S if wants_more else 0.0)
+            self._call(
+                coordinator.vm,
+                demands,
+                _LONG_POLL_TIMEOUT_S if needs_more_slots else 0.0,
+            )
         )
         try:
-            await self._until_superseded(home, call)
+            await self._wait_until_superseded(coordinator, call)
             if call.done():
-                self._take(home, call.result())
+                self._apply_response(coordinator, call.result())
                 return
-            # What isn't stated anew goes out again; the home knows repeated
-            # statements by their sequence.
-            for ask in asks:
-                home.pending_by_endpoint.setdefault(ask.endpoint_id, ask)
+            # Demands that no newer one replaces are sent again; the
+            # coordinator recognizes repeated demands by sequence number.
+            for demand in demands:
+                coordinator.pending_demands_by_endpoint.setdefault(
+                    demand.endpoint_id, demand
+                )
         except errors.CowsliprillError as error:
-            await self._fail(home, asks, error)
+            await self._handle_failure(coordinator, demands, error)
         finally:
             call.cancel()
 
-    async def _until_superseded(self, home: _Home, call: asyncio.Task) -> None:
-        news = asyncio.create_task(home.news.wait())
+    async def _wait_until_superseded(
+        self, coordinator: _Coordinator, call: asyncio.Task
+    ) -> None:
+        has_pending = asyncio.create_task(coordinator.has_pending.wait())
         try:
             await asyncio.wait(
-                [call, news], return_when=asyncio.FIRST_COMPLETED
+                [call, has_pending], return_when=asyncio.FIRST_COMPLETED
             )
             if not call.done():
-                await asyncio.wait([call], timeout=_SUPERSEDE_S)
+                await asyncio.wait([call], timeout=_SUPERSEDE_DELAY_S)
         finally:
-            news.cancel()
+            has_pending.cancel()
 
     async def _call(
-        self, vm: model.Vm, asks: list[messages.SlotAsk], wait_s: float
+        self, vm: model.Vm, demands: list[messages.SlotAsk], wait_s: float
     ) -> slot_messages.SlotsAnswer:
-        for ask in asks:
-            labels = {"endpoint": ask.endpoint_id, "state": "in_use"}
-            self._metrics.slots.set(labels, ask.in_use)
+        for demand in demands:
+            labels = {"endpoint": demand.endpoint_id, "state": "in_use"}
+            self._metrics.slots.set(labels, demand.in_use)
         request = slot_messages.SlotsRequest(
-            entry=self._entry, asks=tuple(asks), wait_s=wait_s
+            entry=self._entry, asks=tuple(demands), wait_s=wait_s
         )
-        # A lease's end is counted from before the call: whatever time the
-        # answer took, the home's own count of it ends later than ours.
+        # The expiry is computed from the time before the call, so that the
+        # lease ends here before it ends at the coordinator, however long the
+        # response took.
         sent_at = clock.now()
-        text = await self._homes.post(
-            vm, peers.SLOTS_PATH, request, wait_s + _ANSWER_S
+        response_body = await self._coordinator_client.post(
+            vm, peers.SLOTS_PATH, request, wait_s + _RESPONSE_TIMEOUT_S
         )
-        answer = codec.decode(slot_messages.SlotsAnswer, text)
-        for grant in answer.grants:
-            self._take_grant(grant, sent_at)
-        return answer
+        response = codec.decode(slot_messages.SlotsAnswer, response_body)
+        for grant in response.grants:
+            self._apply_grant(grant, sent_at)
+        return response
 
-    def _take_grant(
+    def _apply_grant(
         self, wire: slot_messages.WireGrant, sent_at: float
     ) -> None:
         grant = messages.SlotGrant(
@@ -209,37 +241,45 @@
         self._metrics.slots.set(labels, wire.slots)
         self._scheduling.post(grant)
 
-    def _take(self, home: _Home, answer: slot_messages.SlotsAnswer) -> None:
-        if not home.reachable:
-            self._log.event("home_reachable", vm=home.vm.id)
-        home.reachable = True
-        # A new home can't grant for one lease time. Waiting for it would have
-        # callers refused at each restart of a VM, so the small share serves.
-        without_grants = (*answer.not_home, *answer.unsettled)
-        if without_grants:
-            self._give_up(without_grants)
-
-    async def _fail(
-        self, home: _Home, asks: list[messages.SlotAsk], error: Exception
+    def _apply_response(
+        self, coordinator: _Coordinator, response: slot_messages.SlotsAnswer
     ) -> None:
-        if home.reachable:
+        if not coordinator.reachable:
+            self._log.event("home_reachable", vm=coordinator.vm.id)
+        coordinator.reachable = True
+        # A new coordinator can't grant slots for the duration of one lease.
+        # Waiting for that would refuse callers at each restart of a VM, so
+        # the scheduler uses its small fallback share meanwhile.
+        endpoint_ids_without_grant = (*response.not_home, *response.unsettled)
+        if endpoint_ids_without_grant:
+            self._use_fallback_share(endpoint_ids_without_grant)
+
+    async def _handle_failure(
+        self,
+        coordinator: _Coordinator,
+        demands: list[messages.SlotAsk],
+        error: Exception,
+    ) -> None:
+        if coordinator.reachable:
             self._log.warning(
-                "home_unreachable", vm=home.vm.id, reason=str(error)
+                "home_unreachable", vm=coordinator.vm.id, reason=str(error)
             )
-        home.reachable = False
-        self._give_up(tuple(ask.endpoint_id for ask in asks))
-        await asyncio.sleep(_BACK_OFF_S)
+        coordinator.reachable = False
+        self._use_fallback_share(
+            tuple(demand.endpoint_id for demand in demands)
+        )
+        await asyncio.sleep(_ERROR_BACKOFF_S)
 
-    def _give_up(self, endpoint_ids: tuple[str, ...]) -> None:
+    def _use_fallback_share(self, endpoint_ids: tuple[str, ...]) -> None:
         self._leases.fall_back(endpoint_ids, clock.now())
         self._scheduling.post(messages.HomeUnreachable(endpoint_ids))
 
-    def _by_home(
-        self, asks: list[messages.SlotAsk]
+    def _group_by_coordinator(
+        self, demands: list[messages.SlotAsk]
     ) -> dict[str, tuple[model.Vm, list[messages.SlotAsk]]]:
-        asks_by_vm: dict[str, tuple[model.Vm, list[messages.SlotAsk]]] = {}
-        for ask in asks:
-            vm = self._world.home_of(ask.endpoint_id)
+        demands_by_vm: dict[str, tuple[model.Vm, list[messages.SlotAsk]]] = {}
+        for demand in demands:
+            vm = self._cluster_state.home_of(demand.endpoint_id)
             if vm is not None:
-                asks_by_vm.setdefault(vm.id, (vm, []))[1].append(ask)
-        return asks_by_vm
+                demands_by_vm.setdefault(vm.id, (vm, []))[1].append(demand)
+        return demands_by_vm
--- a/tests/test_slot_asker.py
+++ b/tests/test_slot_asker.py
@@ -37,7 +37,7 @@
     """A scheduler's task that states what the test says."""
 
     def __init__(self) -> None:
-        self.asks = asyncio.Queue()
+        self.slot_demands = asyncio.Queue()
         self.posted = asyncio.Queue()
 
     def renew(self) -> None:
@@ -100,7 +100,7 @@
 
         async def scenario(homes, scheduling) -> None:
             ask = _ask("draft-d1", sequence=7, held=2)
-            scheduling.asks.put_nowait([ask])
+            scheduling.slot_demands.put_nowait([ask])
             assert await homes.asked.get() == (ask,)
 
         _run(scenario)
@@ -114,10 +114,10 @@
 
         async def scenario(homes, scheduling) -> None:
             first, second = _ask("draft-d1", 1), _ask("draft-p1", 2)
-            scheduling.asks.put_nowait([first, second])
+            scheduling.slot_demands.put_nowait([first, second])
             assert await homes.asked.get() == (first, second)
             newer = _ask("draft-p1", 3)
-            scheduling.asks.put_nowait([newer])
+            scheduling.slot_demands.put_nowait([newer])
             assert set(await homes.asked.get()) == {first, newer}
 
         _run(scenario)
@@ -134,7 +134,7 @@
         """
 
         async def scenario(homes, scheduling) -> None:
-            scheduling.asks.put_nowait([_ask("draft-d1", 1)])
+            scheduling.slot_demands.put_nowait([_ask("draft-d1", 1)])
             await homes.asked.get()
             grant = slot_messages.WireGrant(
                 endpoint_id="draft-d1", slots=0, expires_in_s=2.0, sequence=1
