--- a/src/cowsliprill/entry/filters/__init__.py
+++ b/src/cowsliprill/entry/filters/__init__.py
@@ -1,1 +1,1 @@
-"""The filters that each request passes, in order; each has one job."""
+"""Filter chain (middleware) that handles each request in order."""
--- a/src/cowsliprill/entry/filters/accept.py
+++ b/src/cowsliprill/entry/filters/accept.py
@@ -1,4 +1,4 @@
-"""Whether a call can be taken at all."""
+"""Filter that rejects malformed calls and calls before readiness."""
 
 import dataclasses
 
@@ -10,10 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accept:
-    """Refuses calls of the wrong method or size, or before any settings.
+    """Rejects calls of the wrong method or size, or before settings arrive.
 
     Attributes:
-      methods: HTTP methods of the path, empty for any.
+      methods: HTTP methods allowed on the path, empty for any.
     """
 
     methods: tuple[str, ...] = ()
@@ -21,18 +21,18 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Lets the call pass or refuses it."""
+        """Passes the call on or raises `errors.EntryError`."""
         if ctx.call.fault is not None:
             raise ctx.call.fault
         if self.methods and ctx.call.method not in self.methods:
             raise errors.EntryError(
                 errors.Code.METHOD_NOT_ALLOWED,
-                f"{ctx.call.path} takes {', '.join(self.methods)}.",
+                f"{ctx.call.path} allows only {', '.join(self.methods)}.",
             )
         if not ctx.snapshot.revision:
             raise errors.EntryError(
                 errors.Code.NOT_READY,
-                "This process has no settings yet.",
+                "This process has not received its settings yet.",
                 retry_after_s=_RETRY_AFTER_S,
             )
         await proceed(ctx)
--- a/src/cowsliprill/entry/filters/admission.py
+++ b/src/cowsliprill/entry/filters/admission.py
@@ -1,4 +1,4 @@
-"""How many requests one process holds at once."""
+"""Filter that limits the number of concurrent requests in a process."""
 
 import dataclasses
 
@@ -11,14 +11,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Admission:
-    """Refuses requests beyond what the process's memory allows.
+    """Sheds requests beyond what the process's memory allows.
 
-    Waiting for slots is the scheduler's business; this only keeps a flood
-    from ending the process, and with it all other requests.
+    The scheduler queues requests that wait for slots. This limit only keeps an
+    overload from exhausting the process's memory, which would end all other
+    requests too.
 
     Attributes:
-      max_requests: Most requests at once.
-      present: Requests that are here now.
+      max_requests: Maximum number of concurrent requests.
+      present: Current number of requests.
     """
 
     max_requests: int = MAX_REQUESTS
@@ -27,11 +28,11 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Lets the request pass or refuses it."""
+        """Passes the request on or raises `errors.EntryError`."""
         if self.present >= self.max_requests:
             raise errors.EntryError(
                 errors.Code.OVERLOADED,
-                "This process holds as many requests as it can.",
+                "This process is at its limit of concurrent requests.",
                 retry_after_s=_RETRY_AFTER_S,
             )
         self.present += 1
--- a/src/cowsliprill/entry/filters/arrival.py
+++ b/src/cowsliprill/entry/filters/arrival.py
@@ -1,4 +1,4 @@
-"""How urgent a request is whose caller only says how long it will wait."""
+"""Filter that derives a request's deadlines from the caller's timeout."""
 
 import dataclasses
 
@@ -6,17 +6,17 @@
 from cowsliprill.decisions import model
 from cowsliprill.entry import context
 
-# Callers that leave would do so just before this part of their patience is
-# over, on their way back to them.
-_PATIENCE_PART = 0.85
+# Fraction of the callers' abandonment timeout after which a first token is of
+# no use: it would reach callers that have just disconnected.
+_ABANDONMENT_TIMEOUT_FRACTION = 0.85
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """Sets the times by which a request must be answered.
+    """Sets the deadlines of a request.
 
     Attributes:
-      waits: What callers allow at their first attempts.
+      waits: Tracks the callers' timeouts at their first attempts.
     """
 
     waits: elapsed.FullWaits = dataclasses.field(
@@ -26,17 +26,19 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Sets deadline, time of the end and time of the last use."""
+        """Sets `deadline`, `ends_at` and `useful_until`."""
         service = ctx.service
-        given_s = ctx.time_given_s or service.timeout_s
-        ctx.ends_at = ctx.arrived_at + min(given_s, service.timeout_s)
-        # The target counts from the caller's first attempt. One that comes
-        # back has less time left than others of its service have at first.
-        spent_s = self.waits.spent_s(service.id, given_s, ctx.arrived_at)
+        caller_timeout_s = ctx.time_given_s or service.timeout_s
+        ctx.ends_at = ctx.arrived_at + min(caller_timeout_s, service.timeout_s)
+        # The TTFT target counts from the caller's first attempt. A retry has
+        # less time left than first attempts to the same service have.
+        spent_s = self.waits.spent_s(
+            service.id, caller_timeout_s, ctx.arrived_at
+        )
         ctx.deadline = ctx.arrived_at + service.ttft_target_s - spent_s
         if service.kind is model.ServiceKind.PLAIN:
             ctx.deadline = ctx.ends_at
         elif service.patience_s:
-            patience_s = service.patience_s * _PATIENCE_PART
+            patience_s = service.patience_s * _ABANDONMENT_TIMEOUT_FRACTION
             ctx.useful_until = min(ctx.arrived_at + patience_s, ctx.ends_at)
         await proceed(ctx)
--- a/src/cowsliprill/entry/filters/idempotency.py
+++ b/src/cowsliprill/entry/filters/idempotency.py
@@ -1,4 +1,4 @@
-"""At most one run for each ticket or idempotency key."""
+"""Filter that executes each ticket or idempotency key at most once."""
 
 import dataclasses
 import hashlib
@@ -16,17 +16,17 @@
 REPLAYED_HEADER = "Idempotent-Replayed"
 
 _MAX_KEY_BYTES = 255
-_IN_PROGRESS_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Idempotency:
-    """Lets each key run once here, and sends tickets to their owners.
+    """Executes each key once here and forwards tickets to their owners.
 
     Attributes:
       book: Tickets and keys of this incarnation.
-      forwarder: Passes requests on to the owners of their tickets.
-      room: Room for answers while they are recorded.
+      forwarder: Forwards requests to the processes that issued their tickets.
+      room: Memory budget for responses that are being recorded.
     """
 
     book: tickets.TicketBook
@@ -38,7 +38,7 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Runs the request, repeats its answer or refuses it."""
+        """Executes the request, replays its response or rejects it."""
         key = ctx.call.headers.get(protocol.IDEMPOTENCY_KEY_HEADER, "")
         if not key:
             await proceed(ctx)
@@ -46,22 +46,26 @@
         if len(key) > _MAX_KEY_BYTES or not key.isprintable():
             raise errors.EntryError(
                 errors.Code.INVALID_HEADER,
-                f"An idempotency key has at most {_MAX_KEY_BYTES} characters.",
+                "An idempotency key must have at most"
+                f" {_MAX_KEY_BYTES} printable characters.",
             )
         ctx.idempotency_key = key
         match self._claim(ctx, key):
             case tickets.Granted(record):
-                await self._run(ctx, proceed, record)
+                await self._run_and_record(ctx, proceed, record)
             case tickets.Replay(answer) if answer is not None:
                 ctx.progress.outcome = "replayed"
                 headers = [*answer.headers, (REPLAYED_HEADER, "true")]
                 await reply_lib.send(
-                    ctx.reply, answer.status, _bare(headers), answer.body
+                    ctx.reply,
+                    answer.status,
+                    _without_content_length(headers),
+                    answer.body,
                 )
             case tickets.Foreign(ticket):
                 await self.forwarder.forward(ctx, ticket)
             case claim:
-                raise _refusal(claim)
+                raise _error_for_claim(claim)
 
     def _claim(self, ctx: context.Context, key: str) -> tickets.Claim:
         fingerprint = _fingerprint(ctx.call)
@@ -75,14 +79,14 @@
             ticket, customer, service, fingerprint, now
         )
 
-    async def _run(
+    async def _run_and_record(
         self, ctx: context.Context, proceed: context.Handle, record: str
     ) -> None:
         recording = reply_lib.RecordingReply(ctx.reply, self.room)
         ctx.reply = recording
-        # A booking whose caller is gone has most likely been made. Going on to
-        # its end costs no engine memory, and the caller's retry then learns
-        # what became of it instead of "unknown".
+        # A non-idempotent call whose caller disconnects has most likely been
+        # executed. Completing it costs no engine memory, and the caller's
+        # retry gets its response instead of "unknown".
         ctx.survives_caller = (
             ctx.service.idempotency is model.Idempotency.UNREPEATABLE
             and ctx.service.kind is model.ServiceKind.PLAIN
@@ -90,17 +94,17 @@
         try:
             await proceed(ctx)
         except errors.EntryError as error:
-            self._settle_error(record, recording, error)
+            self._record_error(record, recording, error)
             raise
         except BaseException:
-            self._settle_unknown(record, ctx)
+            self._record_unexpected_end(record, ctx)
             raise
         else:
             self.book.finish(record, recording.answer())
         finally:
             recording.forget()
 
-    def _settle_error(
+    def _record_error(
         self,
         record: str,
         recording: reply_lib.RecordingReply,
@@ -116,15 +120,19 @@
         )
         self.book.finish(record, None if recording.started else answer)
 
-    def _settle_unknown(self, record: str, ctx: context.Context) -> None:
+    def _record_unexpected_end(self, record: str, ctx: context.Context) -> None:
         if ctx.progress.run is messages.Run.NO:
             self.book.release(record)
         else:
             self.book.finish(record, None)
 
 
-def _bare(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    return [pair for pair in headers if pair[0].lower() != "content-length"]
+def _without_content_length(
+    headers: list[tuple[str, str]],
+) -> list[tuple[str, str]]:
+    return [
+        header for header in headers if header[0].lower() != "content-length"
+    ]
 
 
 def _fingerprint(call: context.Call) -> bytes:
@@ -135,41 +143,44 @@
     return digest.digest()
 
 
-def _refusal(claim: tickets.Claim) -> errors.EntryError:
+def _error_for_claim(claim: tickets.Claim) -> errors.EntryError:
     unknown = messages.Run.UNKNOWN
     match claim:
         case tickets.InProgress():
             return errors.EntryError(
                 errors.Code.IN_PROGRESS,
-                "The first request with this key still runs.",
+                "The first request with this key is still running.",
                 run=unknown,
-                retry_after_s=_IN_PROGRESS_RETRY_S,
+                retry_after_s=_RETRY_AFTER_S,
             )
         case tickets.Mismatch():
             return errors.EntryError(
                 errors.Code.KEY_REUSED,
-                "This key belongs to another request; this one wasn't run.",
+                "This key was used for a different request; this one was not"
+                " executed.",
             )
         case tickets.Invalid():
             return errors.EntryError(
                 errors.Code.TICKET_INVALID,
-                "This ticket wasn't given to you for this service.",
+                "This ticket was not issued to you for this service.",
             )
         case tickets.Expired():
             return errors.EntryError(
                 errors.Code.TICKET_EXPIRED,
-                "This ticket is too old to be run, or to tell whether it was.",
+                "This ticket has expired; whether its request was executed is"
+                " unknown.",
                 run=unknown,
             )
         case tickets.Full():
             return errors.EntryError(
                 errors.Code.TOO_MANY_KEYS,
-                "No more keys can be remembered now.",
-                retry_after_s=_IN_PROGRESS_RETRY_S,
+                "The store of idempotency keys is full.",
+                retry_after_s=_RETRY_AFTER_S,
             )
         case _:
             return errors.EntryError(
                 errors.Code.ANSWER_NOT_STORED,
-                "A request with this key has ended; its answer isn't stored.",
+                "A request with this key has ended, but its response is not"
+                " stored.",
                 run=unknown,
             )
--- a/src/cowsliprill/entry/filters/identify.py
+++ b/src/cowsliprill/entry/filters/identify.py
@@ -1,4 +1,4 @@
-"""Who calls: the customer of an API key."""
+"""Filter that authenticates the calling customer by API key."""
 
 import dataclasses
 
@@ -21,7 +21,7 @@
       headers: The request's headers.
 
     Returns:
-      The digest, empty without a key.
+      The digest, empty if there is no key.
     """
     header = headers.get("Authorization", "")
     if header[: len(_SCHEME)].lower() != _SCHEME:
@@ -33,19 +33,19 @@
 def customer_of(key_hash: str, snapshot: model.Snapshot) -> model.Customer:
     """Finds the customer of an API key.
 
-    The settings hold only SHA-256 digests of keys, so who reads them can't
-    call in a customer's name. Looking up a digest also gives no timing by which
-    a key could be guessed part by part.
+    The settings store only SHA-256 digests of keys, so access to the settings
+    doesn't allow calls in a customer's name. A lookup by digest also prevents
+    timing attacks, which guess a key piece by piece.
 
     Args:
-      key_hash: The key's digest, empty without a key.
+      key_hash: The key's digest, empty if there is no key.
       snapshot: The settings.
 
     Returns:
       The customer.
 
     Raises:
-      errors.EntryError: There is no key, or no customer has it.
+      errors.EntryError: The key is missing or unknown.
     """
     if not key_hash:
         raise errors.EntryError(
@@ -55,13 +55,13 @@
     customer = snapshot.customers_by_key_hash.get(key_hash)
     if customer is None:
         raise errors.EntryError(
-            errors.Code.INVALID_API_KEY, "The API key isn't known."
+            errors.Code.INVALID_API_KEY, "The API key is unknown."
         )
     return customer
 
 
 async def identify(ctx: context.Context, proceed: context.Handle) -> None:
-    """Finds the calling customer."""
+    """Authenticates the calling customer or raises `errors.EntryError`."""
     key_hash = key_hash_of(ctx.call.headers)
     ctx.customer = customer_of(key_hash, ctx.snapshot)
     await proceed(ctx)
@@ -69,13 +69,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IdentifyByRoute:
-    """Finds the calling customer where callers name a route.
+    """Authenticates the calling customer of a call to a route.
 
-    A public route needs no key. One that is sent all the same names its
-    customer if it is known.
+    A public route needs no API key. If a known key is sent anyway, the call is
+    attributed to the key's customer.
 
     Attributes:
-      authorization: Checks that the key may be honoured.
+      authorization: Checks that the API key may be accepted.
     """
 
     authorization: authorization.Authorization
@@ -83,7 +83,7 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Finds the customer or refuses the request."""
+        """Sets the customer or raises `errors.EntryError`."""
         ctx.customer = _ANONYMOUS
         if not ctx.snapshot.keys_required:
             await proceed(ctx)
--- a/src/cowsliprill/entry/filters/model_placement.py
+++ b/src/cowsliprill/entry/filters/model_placement.py
@@ -1,4 +1,4 @@
-"""Where a model request runs, attempt by attempt."""
+"""Filter that places a model request on engines, one attempt at a time."""
 
 import asyncio
 import dataclasses
@@ -15,16 +15,19 @@
 from cowsliprill.observability import log as log_lib
 
 _MS_PER_S = 1_000
-# Longer waits are written as this; a pool without engines has no end of it.
-_LONG_S = 1_000.0
+# Longer waits are logged as this value; the wait for a pool without engines is
+# infinite.
+_MAX_LOGGED_WAIT_S = 1_000.0
 
-_TEXT_BY_REFUSAL = {
-    messages.RefusalCode.OVERLOADED: "There is no room for it now.",
-    messages.RefusalCode.TARGET_UNREACHABLE: "It can't be in time now.",
-    messages.RefusalCode.WAITED_TOO_LONG: "No slot came free in time.",
-    messages.RefusalCode.NO_ENDPOINT: "No engine serves this now.",
+_MESSAGE_BY_REFUSAL_CODE = {
+    messages.RefusalCode.OVERLOADED: "The engines are overloaded.",
+    messages.RefusalCode.TARGET_UNREACHABLE: (
+        "The request can't meet its deadline."
+    ),
+    messages.RefusalCode.WAITED_TOO_LONG: "No slot became free in time.",
+    messages.RefusalCode.NO_ENDPOINT: "No engine is available.",
     messages.RefusalCode.RETRY_BUDGET_SPENT: (
-        "Engines failed, and too many retries run already."
+        "The engines failed, and the retry budget is exhausted."
     ),
     messages.RefusalCode.ENDPOINT_FAILED: "The engines failed.",
 }
@@ -32,14 +35,15 @@
 
 @dataclasses.dataclass(slots=True)
 class ModelPlacement:
-    """Asks the scheduler where to run, and again after a lost attempt.
+    """Submits a request to the scheduler and runs the attempts it decides on.
 
     Attributes:
-      scheduling: The scheduler's task.
-      budgets: Budgets of resumed streams, earned here by each request. The
-        scheduler keeps those of whole attempts.
+      scheduling: Interface to the scheduler.
+      budgets: Retry budgets for resumed streams, to which each request
+        deposits. The scheduler keeps the budgets for whole attempts.
       log: The process's log.
-      authorization: Checks again that the caller's key may be honoured.
+      authorization: Checks before each attempt that the caller's API key may
+        still be accepted.
     """
 
     scheduling: placing.Scheduling
@@ -50,32 +54,32 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Runs attempts until one answers or the scheduler refuses."""
+        """Runs attempts until one succeeds or the scheduler refuses."""
         self.budgets.of(ctx.service).earn()
-        decisions = self.scheduling.submit(_submit(ctx))
-        answered = False
+        decisions = self.scheduling.submit(_make_submit(ctx))
+        completed = False
         try:
             left_s = ctx.ends_at - clock.now()
             async with asyncio.timeout(left_s) as timeout:
-                await self._attempts(ctx, proceed, decisions)
-            answered = True
+                await self._run_attempts(ctx, proceed, decisions)
+            completed = True
         except TimeoutError as error:
             if not timeout.expired():
                 raise
             raise errors.EntryError(
                 errors.Code.TIMEOUT,
-                f"There was no answer within {left_s:.3f} s.",
+                f"The request did not complete within {left_s:.3f} s.",
                 run=ctx.progress.run,
             ) from error
         finally:
             self.scheduling.forget(ctx.number)
-            # Whatever ended the request (its caller left, its time was up,
-            # its stream broke), engines may still hold memory for it. The
-            # scheduler knows which, and orders the cancels.
-            if not answered:
+            # Whatever ended the request (caller disconnect, timeout, broken
+            # stream), engines may still hold memory for it. The scheduler
+            # knows which engines and cancels the request there.
+            if not completed:
                 self.scheduling.post(messages.Cancel(ctx.number))
 
-    async def _attempts(
+    async def _run_attempts(
         self,
         ctx: context.Context,
         proceed: context.Handle,
@@ -84,19 +88,20 @@
         while True:
             match await decisions.get():
                 case messages.Refuse() as refusal:
-                    raise self._refused(ctx, refusal)
+                    raise self._refusal_error(ctx, refusal)
                 case messages.Start() as start:
-                    if await self._attempt(ctx, proceed, start):
+                    if await self._run_attempt(ctx, proceed, start):
                         return
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         ctx: context.Context,
         proceed: context.Handle,
         start: messages.Start,
     ) -> bool:
         if not ctx.progress.tokens:
-            # A stream that goes on elsewhere was begun while its key held.
+            # A stream that is resumed on another engine was started while the
+            # API key was valid, so the key isn't checked after the first token.
             self.authorization.check(ctx)
         ctx.start = start
         ctx.progress.attempts += 1
@@ -115,12 +120,12 @@
         try:
             await proceed(ctx)
         except attempts.AttemptLost as lost:
-            self._report_lost(ctx, lost)
+            self._handle_lost_attempt(ctx, lost)
             return False
         self.scheduling.post(messages.Finished(ctx.number, ctx.progress.tokens))
         return True
 
-    def _refused(
+    def _refusal_error(
         self, ctx: context.Context, refusal: messages.Refuse
     ) -> errors.EntryError:
         self.log.event(
@@ -129,18 +134,20 @@
             caller=ctx.caller_id,
             reason=refusal.code.value,
             waiting=refusal.waiting,
-            wait_ms=round(min(refusal.wait_s, _LONG_S) * _MS_PER_S, 1),
+            wait_ms=round(
+                min(refusal.wait_s, _MAX_LOGGED_WAIT_S) * _MS_PER_S, 1
+            ),
             retry_after_ms=round(refusal.retry_after_s * _MS_PER_S, 1),
             time_left_ms=round((ctx.ends_at - clock.now()) * _MS_PER_S, 1),
         )
         return errors.EntryError(
             refusal.code,
-            _TEXT_BY_REFUSAL[refusal.code],
+            _MESSAGE_BY_REFUSAL_CODE[refusal.code],
             run=ctx.progress.run,
             retry_after_s=refusal.retry_after_s,
         )
 
-    def _report_lost(
+    def _handle_lost_attempt(
         self, ctx: context.Context, lost: attempts.AttemptLost
     ) -> None:
         self.log.warning(
@@ -152,12 +159,12 @@
             refused=lost.refused,
             reason=lost.reason,
         )
-        ran = ctx.progress.run is messages.Run.UNKNOWN
-        unrepeatable = model.Idempotency.UNREPEATABLE
-        if ran and ctx.service.idempotency is unrepeatable:
+        may_have_executed = ctx.progress.run is messages.Run.UNKNOWN
+        non_idempotent = model.Idempotency.UNREPEATABLE
+        if may_have_executed and ctx.service.idempotency is non_idempotent:
             raise errors.EntryError(
                 errors.Code.ENDPOINT_FAILED,
-                "The engines failed; the request may have been run.",
+                "The engines failed; the request may have been executed.",
                 run=messages.Run.UNKNOWN,
             ) from lost
         self.scheduling.post(
@@ -167,7 +174,7 @@
                 stage=lost.stage,
                 refused=lost.refused,
                 unsent=lost.unsent,
-                not_run=not ran,
+                not_run=not may_have_executed,
                 unreachable=lost.unreachable,
                 answered=lost.answered,
                 kept_s=lost.kept_s,
@@ -176,7 +183,7 @@
         )
 
 
-def _submit(ctx: context.Context) -> messages.Submit:
+def _make_submit(ctx: context.Context) -> messages.Submit:
     generation = ctx.generation
     return messages.Submit(
         request_id=ctx.number,
--- a/src/cowsliprill/entry/filters/plain_placement.py
+++ b/src/cowsliprill/entry/filters/plain_placement.py
@@ -1,4 +1,4 @@
-"""Where a plain call runs."""
+"""Filter that load-balances plain calls over servers and retries failures."""
 
 import collections
 import dataclasses
@@ -18,29 +18,30 @@
 from cowsliprill.entry import world as world_lib
 from cowsliprill.observability import log as log_lib
 
-# A server that hasn't answered within this multiple of the target has most
-# likely lost the call; one that is merely busy answers before.
-_STALL_TARGETS = 1.5
-_STALL_MIN_S = 0.2
+# A server that hasn't responded within this multiple of the TTFT target has
+# most likely lost the call; a server that is only busy responds earlier.
+_STALL_TIMEOUT_PER_TTFT_TARGET = 1.5
+_MIN_STALL_TIMEOUT_S = 0.2
 _RETRY_AFTER_S = 1.0
 
-# Servers that take no connection which one call may find out, one after the
-# other; each costs the time for a connection.
+# Maximum number of servers that one call may find unreachable without using up
+# its attempts; each of them costs a connection attempt.
 _UNSENT_MAX = 3
 
 
 @dataclasses.dataclass(slots=True)
 class PlainPlacement:
-    """Chooses the least busy server, and another after a safe failure.
+    """Selects the least loaded server and retries where that is safe.
 
     Attributes:
-      availability_zone: Where this process runs.
-      world: The settings and the VM list in force.
-      budgets: Budgets of retries.
+      availability_zone: Availability zone of this process.
+      world: The current settings snapshot and VM list.
+      budgets: Retry budgets.
       log: The process's log.
-      random_source: Breaks ties.
-      authorization: Checks again that the caller's key may be honoured.
-      health: Which servers are better left alone.
+      random_source: Breaks ties between equally loaded servers.
+      authorization: Checks before each attempt that the caller's API key may
+        still be accepted.
+      health: Outlier detector that ejects failing servers for a while.
     """
 
     availability_zone: str
@@ -59,46 +60,50 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Makes calls until one is answered or none may follow."""
+        """Calls servers until one responds or no retry is allowed."""
         self.budgets.of(ctx.service).earn()
-        tried: set[str] = set()
-        ctx.endpoint = self._choose(ctx, tried)
+        tried_ids: set[str] = set()
+        ctx.endpoint = self._select_endpoint(ctx, tried_ids)
         unsent = 0
         while True:
             if clock.now() >= ctx.deadline:
-                raise _refusal(ctx, messages.RefusalCode.TARGET_UNREACHABLE)
+                raise _refusal_error(
+                    ctx, messages.RefusalCode.TARGET_UNREACHABLE
+                )
             self.authorization.check(ctx)
             ctx.progress.attempts += 1
-            ctx.stall_s = _stall_s(ctx)
+            ctx.stall_s = _stall_timeout_s(ctx)
             try:
-                await self._run(ctx, proceed)
+                await self._run_call(ctx, proceed)
                 self.health.answered(ctx.endpoint.id)
                 return
             except attempts.PlainCallLost as lost:
-                self._note_lost(ctx, lost)
-                tried.add(ctx.endpoint.id)
+                self._record_lost_call(ctx, lost)
+                tried_ids.add(ctx.endpoint.id)
                 if lost.unsent and unsent < _UNSENT_MAX:
-                    # No server has heard of it, so this is no repeat: it
-                    # takes nothing of the service's attempts.
+                    # The call was sent to no server, so the next attempt is
+                    # not a retry and doesn't count toward the service's limit.
                     unsent += 1
                     ctx.progress.attempts -= 1
-                elif not self._may_go_on(ctx):
+                elif not self._may_retry(ctx):
                     if lost.answer is not None:
                         await plain_relay.send_answer(ctx, lost.answer)
                         return
-                    raise _failure(ctx) from lost
-            # An endpoint that checks keys knows its own calls only, so a call
-            # which may have run there is repeated there and nowhere else.
-            if not _may_have_booked(ctx):
-                ctx.endpoint = self._choose(ctx, tried)
-
-    def _may_go_on(self, ctx: context.Context) -> bool:
-        # The budget may be shared with other services, each with a limit of
-        # attempts of its own; asked for anew, it goes by this service's.
+                    raise _failure_error(ctx) from lost
+            # An endpoint that checks idempotency keys knows only its own calls,
+            # so a call that may have been executed there is retried only there.
+            if not _may_have_side_effects(ctx):
+                ctx.endpoint = self._select_endpoint(ctx, tried_ids)
+
+    def _may_retry(self, ctx: context.Context) -> bool:
+        # Services may share a budget but have their own limits of attempts;
+        # fetching the budget again applies the limit of this service.
         budget = self.budgets.of(ctx.service)
         return _may_repeat(ctx) and budget.spend(ctx.progress.attempts)
 
-    async def _run(self, ctx: context.Context, proceed: context.Handle) -> None:
+    async def _run_call(
+        self, ctx: context.Context, proceed: context.Handle
+    ) -> None:
         endpoint_id = ctx.endpoint.id
         self._running_by_endpoint[endpoint_id] += 1
         try:
@@ -108,8 +113,8 @@
             if not self._running_by_endpoint[endpoint_id]:
                 del self._running_by_endpoint[endpoint_id]
 
-    def _choose(
-        self, ctx: context.Context, tried: Collection[str]
+    def _select_endpoint(
+        self, ctx: context.Context, tried_ids: Collection[str]
     ) -> model.Endpoint:
         leaving = self.world.fleet_at(clock.now()).leaving_endpoint_ids
         serving = [
@@ -120,29 +125,32 @@
             and endpoint.id not in leaving
         ]
         if not serving:
-            raise _refusal(ctx, messages.RefusalCode.NO_ENDPOINT)
-        free = [
+            raise _refusal_error(ctx, messages.RefusalCode.NO_ENDPOINT)
+        available = [
             endpoint
             for endpoint in serving
             if self._running_by_endpoint[endpoint.id] < endpoint.slots
         ]
-        if not free:
-            raise _refusal(ctx, messages.RefusalCode.OVERLOADED)
-        return min(free, key=lambda item: self._cost(item, tried))
+        if not available:
+            raise _refusal_error(ctx, messages.RefusalCode.OVERLOADED)
+        return min(
+            available, key=lambda item: self._selection_key(item, tried_ids)
+        )
 
-    def _cost(
-        self, endpoint: model.Endpoint, tried: Collection[str]
+    def _selection_key(
+        self, endpoint: model.Endpoint, tried_ids: Collection[str]
     ) -> tuple[bool, bool, float, bool, float]:
         return (
-            # A server that has just failed a call mostly fails it again.
-            endpoint.id in tried,
+            # A server that has just failed this call is likely to fail it
+            # again.
+            endpoint.id in tried_ids,
             self.health.is_alone(endpoint.id, clock.now()),
             self._running_by_endpoint[endpoint.id],
             endpoint.availability_zone != self.availability_zone,
             self.random_source.random(),
         )
 
-    def _note_lost(
+    def _record_lost_call(
         self, ctx: context.Context, lost: attempts.PlainCallLost
     ) -> None:
         endpoint = ctx.endpoint
@@ -166,16 +174,19 @@
         )
 
 
-def _stall_s(ctx: context.Context) -> float | None:
-    """Returns the silence after which another server is asked."""
-    repeatable = ctx.service.idempotency is model.Idempotency.REPEATABLE
-    last = ctx.progress.attempts >= ctx.service.retries.attempts
-    if last or not repeatable:
+def _stall_timeout_s(ctx: context.Context) -> float | None:
+    """Returns the time without data after which another server is tried."""
+    idempotent = ctx.service.idempotency is model.Idempotency.REPEATABLE
+    is_last_attempt = ctx.progress.attempts >= ctx.service.retries.attempts
+    if is_last_attempt or not idempotent:
         return None
-    return max(ctx.service.ttft_target_s * _STALL_TARGETS, _STALL_MIN_S)
+    return max(
+        ctx.service.ttft_target_s * _STALL_TIMEOUT_PER_TTFT_TARGET,
+        _MIN_STALL_TIMEOUT_S,
+    )
 
 
-def _may_have_booked(ctx: context.Context) -> bool:
+def _may_have_side_effects(ctx: context.Context) -> bool:
     return (
         ctx.progress.run is messages.Run.UNKNOWN
         and ctx.service.idempotency is model.Idempotency.UNREPEATABLE
@@ -183,30 +194,38 @@
 
 
 def _may_repeat(ctx: context.Context) -> bool:
-    # What counts is the whole request, not its last attempt: one that may
-    # have run at first isn't safe to repeat because the attempt after it
-    # found a closed port.
-    if not _may_have_booked(ctx):
+    # All attempts of the request count, not only the last: a request that an
+    # earlier attempt may have executed isn't safe to repeat even if the last
+    # attempt found a closed port.
+    if not _may_have_side_effects(ctx):
         return True
     return bool(ctx.idempotency_key) and ctx.endpoint.checks_idempotency_keys
 
 
-def _failure(ctx: context.Context) -> errors.EntryError:
-    ran = ctx.progress.run is messages.Run.UNKNOWN
-    text = "it may have been run" if ran else "it was not run"
+def _failure_error(ctx: context.Context) -> errors.EntryError:
+    may_have_executed = ctx.progress.run is messages.Run.UNKNOWN
+    text = (
+        "the request may have been executed"
+        if may_have_executed
+        else "the request was not executed"
+    )
     return errors.EntryError(
         errors.Code.ENDPOINT_FAILED,
-        f"The service gave no answer; {text}.",
+        f"The service did not respond; {text}.",
         run=ctx.progress.run,
-        retry_after_s=None if ran else _RETRY_AFTER_S,
+        retry_after_s=None if may_have_executed else _RETRY_AFTER_S,
     )
 
 
-def _refusal(
+def _refusal_error(
     ctx: context.Context, code: messages.RefusalCode
 ) -> errors.EntryError:
-    late = code is messages.RefusalCode.TARGET_UNREACHABLE
-    text = "It can't be in time." if late else "No server is free now."
+    target_missed = code is messages.RefusalCode.TARGET_UNREACHABLE
+    text = (
+        "The request can't meet its deadline."
+        if target_missed
+        else "No server is available."
+    )
     return errors.EntryError(
         code,
         text,
--- a/src/cowsliprill/entry/filters/quota.py
+++ b/src/cowsliprill/entry/filters/quota.py
@@ -1,4 +1,4 @@
-"""Whether a customer's quota has room for a request."""
+"""Filter that enforces the customers' request quotas."""
 
 import dataclasses
 from typing import Protocol
@@ -10,24 +10,33 @@
 
 
 class Admission(Protocol):
-    """Admits requests by quota."""
+    """Interface to the quota accounting."""
 
     async def admit(
         self, customer_id: str, quota: model.Quota, cost: float
     ) -> float | None:
-        """Returns None if a request is admitted, else when to come back."""
+        """Admits a request if the quota allows its cost.
+
+        Args:
+          customer_id: ID of the customer.
+          quota: The customer's quota.
+          cost: Cost of the request in units of the quota.
+
+        Returns:
+          None if the request is admitted, else the seconds until a retry.
+        """
 
     def give_back(self, customer_id: str, cost: float) -> None:
-        """Takes back an admitted request that has not run."""
+        """Refunds the cost of an admitted request that was not executed."""
 
 
 class Unlimited:
-    """Admits all, where no quotas are kept."""
+    """Admits all requests, for deployments without quotas."""
 
     async def admit(
         self, customer_id: str, quota: model.Quota, cost: float
     ) -> float | None:
-        """Returns None."""
+        """Returns None, which admits the request."""
         del customer_id, quota, cost
 
     def give_back(self, customer_id: str, cost: float) -> None:
@@ -36,10 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quota:
-    """Refuses what goes beyond a customer's quota.
+    """Rejects requests beyond a customer's quota.
 
     Attributes:
-      admission: Counts at all VMs together.
+      admission: Quota accounting shared by all VMs.
     """
 
     admission: Admission
@@ -47,17 +56,17 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Lets the request pass or refuses it."""
+        """Passes the request on or raises `errors.EntryError`."""
         quota = ctx.customer.quota
         if quota is None:
             await proceed(ctx)
             return
-        cost = _cost(ctx, quota)
+        cost = _request_cost(ctx, quota)
         retry_after_s = await self.admission.admit(ctx.customer.id, quota, cost)
         if retry_after_s is not None:
             raise errors.EntryError(
                 errors.Code.QUOTA_EXCEEDED,
-                "The quota is used up.",
+                "The quota is exhausted.",
                 retry_after_s=retry_after_s,
             )
         try:
@@ -68,7 +77,7 @@
             raise
 
 
-def _cost(ctx: context.Context, quota: model.Quota) -> float:
+def _request_cost(ctx: context.Context, quota: model.Quota) -> float:
     if not quota.by_tokens:
         return 1.0
     return float(ctx.stated_tokens or quota.plain_cost)
--- a/src/cowsliprill/entry/filters/report.py
+++ b/src/cowsliprill/entry/filters/report.py
@@ -1,4 +1,4 @@
-"""What became of a request: the error to its caller, a log line, metrics."""
+"""Filter that reports a request's outcome to its caller, log and metrics."""
 
 import asyncio
 import dataclasses
@@ -18,12 +18,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """The outermost filter.
+    """Outermost filter: handles errors and records the outcome.
 
     Attributes:
       log: The process's log.
       metrics: The process's metrics.
-      answers: How callers are told of errors.
+      answers: Formats error responses.
     """
 
     log: log_lib.Log
@@ -35,61 +35,62 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Passes the request on and reports its end, whatever it is."""
+        """Passes the request on and reports its outcome in all cases."""
         try:
             await proceed(ctx)
             ctx.progress.outcome = ctx.progress.outcome or COMPLETED
         except errors.EntryError as error:
             ctx.progress.outcome = error.code
             ctx.progress.run = error.run
-            await self._answer_error(ctx, error)
+            await self._send_error(ctx, error)
         except reply_lib.CallerGone:
             ctx.progress.outcome = CALLER_GONE
         except asyncio.CancelledError:
             ctx.progress.outcome = CALLER_GONE
             raise
         except Exception as error:
-            # A fault of ours in one request must not end the others.
+            # An internal error in one request must not affect other requests.
             ctx.progress.outcome = errors.Code.INTERNAL.value
             self.log.error(
                 "internal_error", request=ctx.request_id, reason=repr(error)
             )
-            await self._answer_error(ctx, _internal(ctx))
+            await self._send_error(ctx, _internal_error(ctx))
         finally:
-            self._record(ctx)
+            self._record_outcome(ctx)
 
-    async def _answer_error(
+    async def _send_error(
         self, ctx: context.Context, error: errors.EntryError
     ) -> None:
         try:
             if not ctx.reply.started:
-                answer = self.answers.error_answer(error)
+                response = self.answers.error_answer(error)
                 await reply_lib.send(
-                    ctx.reply, answer.status, answer.headers, answer.body
+                    ctx.reply, response.status, response.headers, response.body
                 )
                 return
             event = self.answers.error_event(error)
-            if event and _streams(ctx):
+            if event and _is_streaming(ctx):
                 await ctx.reply.write(event)
             ctx.reply.abort()
         except reply_lib.CallerGone:
             pass
 
-    def _record(self, ctx: context.Context) -> None:
+    def _record_outcome(self, ctx: context.Context) -> None:
         progress = ctx.progress
         labels = {"service": ctx.service.id if ctx.service else ""}
         self.metrics.requests.inc({**labels, "outcome": progress.outcome})
-        # A prompt that a decode engine reads itself is used but not counted.
+        # A local prefill by the decode engine counts as used but not as
+        # started, so the difference can be negative.
         wasted_prompts = max(progress.prefills - progress.prefills_used, 0)
         for _ in range(wasted_prompts):
             self.metrics.wasted_prefills.inc(labels)
         now = clock.now()
         ttft_s = (progress.first_token_at or now) - ctx.arrived_at
-        tpot_s = _tpot(progress)
+        tpot_s = _mean_tpot_s(progress)
         if progress.first_token_at:
             self.metrics.ttft_s.observe(labels, ttft_s)
             self.metrics.tpot_s.observe(labels, tpot_s)
-        in_time = _is_good(ctx, ttft_s, tpot_s)
+        in_time = _met_targets(ctx, ttft_s, tpot_s)
         if in_time:
             self.metrics.goodput.inc(labels)
         self.log.event(
@@ -110,7 +111,7 @@
         )
 
 
-def _streams(ctx: context.Context) -> bool:
+def _is_streaming(ctx: context.Context) -> bool:
     request = ctx.generation and ctx.generation.request
     return request is not None and request.stream
 
@@ -119,14 +120,14 @@
     return ctx.generation.prompt_tokens if ctx.generation else 0
 
 
-def _tpot(progress: context.Progress) -> float:
+def _mean_tpot_s(progress: context.Progress) -> float:
     if progress.tokens < 2:
         return 0.0
     span_s = progress.last_token_at - progress.first_token_at
     return span_s / (progress.tokens - 1)
 
 
-def _is_good(ctx: context.Context, ttft_s: float, tpot_s: float) -> bool:
+def _met_targets(ctx: context.Context, ttft_s: float, tpot_s: float) -> bool:
     if ctx.progress.outcome != COMPLETED or ctx.service is None:
         return False
     if ctx.service.kind is model.ServiceKind.PLAIN:
@@ -137,9 +138,9 @@
     )
 
 
-def _internal(ctx: context.Context) -> errors.EntryError:
+def _internal_error(ctx: context.Context) -> errors.EntryError:
     return errors.EntryError(
         errors.Code.INTERNAL,
-        f"Something went wrong here; ask about {ctx.request_id}.",
+        f"Internal error; the request ID is {ctx.request_id}.",
         run=ctx.progress.run,
     )
--- a/src/cowsliprill/entry/filters/resolve.py
+++ b/src/cowsliprill/entry/filters/resolve.py
@@ -1,4 +1,4 @@
-"""Which service is called, and whether the request is within its limits."""
+"""Filters that find the called service and check the request's limits."""
 
 from typing import Any
 
@@ -11,11 +11,12 @@
 
 SERVICES_PATH = "/services/"
 
-# Hashes of 256 blocks of 16 tokens. More would seldom change the choice of an
-# engine, and those of a long prompt would take more memory than the prompt.
-_HASHED_CHARACTERS = 16_384
+# 256 blocks of 16 tokens. Hashes of more blocks would rarely change the choice
+# of an engine, and for a long prompt they would take more memory than the
+# prompt.
+_MAX_HASHED_CHARACTERS = 16_384
 
-_KIND_BY_PATH: dict[str, type[schema.GenerationRequest]] = {
+_REQUEST_TYPE_BY_PATH: dict[str, type[schema.GenerationRequest]] = {
     protocol.COMPLETIONS_PATH: schema.CompletionRequest,
     protocol.CHAT_PATH: schema.ChatRequest,
 }
@@ -24,7 +25,10 @@
 def services_of(
     customer: model.Customer, snapshot: model.Snapshot
 ) -> dict[str, model.Service]:
-    """Lists the services that a customer may call, its own before its parents'.
+    """Returns the services that a customer may call.
+
+    A service of the customer itself or of a nearer ancestor hides a service of
+    the same name of a more distant ancestor.
 
     Args:
       customer: The customer.
@@ -33,14 +37,14 @@
     Returns:
       Services by name.
     """
-    lineage = _lineage(customer, snapshot)
+    owner_ids = _self_and_ancestor_ids(customer, snapshot)
     services_by_name: dict[str, model.Service] = {}
     for service in snapshot.services_by_id.values():
-        if service.customer not in lineage:
+        if service.customer not in owner_ids:
             continue
         other = services_by_name.get(service.name)
         nearest = other is None or (
-            lineage.index(service.customer) < lineage.index(other.customer)
+            owner_ids.index(service.customer) < owner_ids.index(other.customer)
         )
         if nearest:
             services_by_name[service.name] = service
@@ -50,10 +54,10 @@
 def find_service(
     name: str, customer: model.Customer, snapshot: model.Snapshot
 ) -> model.Service:
-    """Finds a service by the name that a customer calls it by.
+    """Finds a service by name among those that a customer may call.
 
     Args:
-      name: The name.
+      name: Name of the service.
       customer: The calling customer.
       snapshot: The settings.
 
@@ -62,33 +66,34 @@
 
     Raises:
       errors.EntryError: The customer has no service of this name. Another
-        customer's service gives the same 404 as none at all: a 403 would tell
-        a rival firm which services exist.
+        customer's service gives the same 404 as a missing one: a 403 would
+        reveal to a competitor which services exist.
     """
-    for owner in _lineage(customer, snapshot):
-        service = snapshot.services_by_id.get(f"{owner}/{name}")
+    for owner_id in _self_and_ancestor_ids(customer, snapshot):
+        service = snapshot.services_by_id.get(f"{owner_id}/{name}")
         if service is not None:
             return service
     raise errors.EntryError(
-        errors.Code.SERVICE_NOT_FOUND, f"There is no service {name!r} for you."
+        errors.Code.SERVICE_NOT_FOUND, f"Service {name!r} was not found."
     )
 
 
 async def resolve_generation(
     ctx: context.Context, proceed: context.Handle
 ) -> None:
-    """Checks a model request and finds its service."""
+    """Validates a model request and finds its service."""
     fields = schema.parse_json(ctx.call.body)
-    request = schema.validate(_KIND_BY_PATH[ctx.call.path], fields)
+    request = schema.validate(_REQUEST_TYPE_BY_PATH[ctx.call.path], fields)
     service = find_service(request.model, ctx.customer, ctx.snapshot)
     if service.kind is not model.ServiceKind.MODEL:
         raise errors.EntryError(
             errors.Code.SERVICE_NOT_FOUND,
-            f"{service.name!r} is called at {SERVICES_PATH}{service.name}/.",
+            f"{service.name!r} is a plain service; call it at"
+            f" {SERVICES_PATH}{service.name}/.",
         )
-    _check_body(ctx.call.body, service)
+    _check_body_size(ctx.call.body, service)
     ctx.service = service
-    ctx.generation = _generation(ctx, request, fields, service)
+    ctx.generation = _make_generation(ctx, request, fields, service)
     await proceed(ctx)
 
 
@@ -99,39 +104,42 @@
     if service.kind is not model.ServiceKind.PLAIN:
         raise errors.EntryError(
             errors.Code.SERVICE_NOT_FOUND,
-            f"{name!r} is called at {protocol.COMPLETIONS_PATH}.",
+            f"{name!r} is a model service; call it at"
+            f" {protocol.COMPLETIONS_PATH}.",
         )
     if ctx.call.method not in service.methods:
         raise errors.EntryError(
             errors.Code.METHOD_NOT_ALLOWED,
-            f"{name!r} takes {', '.join(service.methods)}.",
+            f"{name!r} allows only {', '.join(service.methods)}.",
         )
-    _check_body(ctx.call.body, service)
+    _check_body_size(ctx.call.body, service)
     ctx.service = service
     query = f"?{ctx.call.query}" if ctx.call.query else ""
     ctx.service_path = f"{slash or '/'}{rest}{query}"
     await proceed(ctx)
 
 
-def _lineage(customer: model.Customer, snapshot: model.Snapshot) -> list[str]:
-    lineage = [customer.id]
-    parent = customer.parent
-    while parent and parent not in lineage:
-        lineage.append(parent)
-        above = snapshot.customers_by_id.get(parent)
-        parent = above.parent if above else ""
-    return lineage
+def _self_and_ancestor_ids(
+    customer: model.Customer, snapshot: model.Snapshot
+) -> list[str]:
+    owner_ids = [customer.id]
+    parent_id = customer.parent
+    while parent_id and parent_id not in owner_ids:
+        owner_ids.append(parent_id)
+        parent = snapshot.customers_by_id.get(parent_id)
+        parent_id = parent.parent if parent else ""
+    return owner_ids
 
 
-def _check_body(body: bytes, service: model.Service) -> None:
+def _check_body_size(body: bytes, service: model.Service) -> None:
     if len(body) > service.max_body_bytes:
         raise errors.EntryError(
             errors.Code.BODY_TOO_LARGE,
-            f"The body has over {service.max_body_bytes} bytes.",
+            f"The body exceeds {service.max_body_bytes} bytes.",
         )
 
 
-def _generation(
+def _make_generation(
     ctx: context.Context,
     request: schema.GenerationRequest,
     fields: dict[str, Any],
@@ -142,7 +150,7 @@
     if prompt_tokens > service.max_prompt_tokens:
         raise errors.EntryError(
             errors.Code.PROMPT_TOO_LARGE,
-            f"The prompt has about {prompt_tokens} tokens, over"
+            f"The prompt has about {prompt_tokens} tokens; the limit is"
             f" {service.max_prompt_tokens}.",
         )
     salt = ctx.customer.id
@@ -150,15 +158,16 @@
     if output_tokens > service.max_output_tokens:
         raise errors.EntryError(
             errors.Code.OUTPUT_TOO_LARGE,
-            f"At most {service.max_output_tokens} tokens are generated.",
+            "The requested output length exceeds the limit of"
+            f" {service.max_output_tokens} tokens.",
         )
     return context.Generation(
         request=request,
         fields=fields,
         path=ctx.call.path,
         prompt_tokens=prompt_tokens,
-        # Rival firms that send the same prompt share no block: a firm could
-        # else tell by its time to first token what a rival has asked.
-        prefix_hashes=prefix.block_hashes(text[:_HASHED_CHARACTERS], salt),
+        # The salt keeps customers from sharing prefix cache blocks: otherwise
+        # one could infer from its TTFT which prompts a competitor has sent.
+        prefix_hashes=prefix.block_hashes(text[:_MAX_HASHED_CHARACTERS], salt),
         output_tokens=output_tokens,
     )
--- a/src/cowsliprill/entry/filters/route.py
+++ b/src/cowsliprill/entry/filters/route.py
@@ -1,4 +1,4 @@
-"""Which service a call goes to that names only a host and a path."""
+"""Filter that routes a call to a service by host and path prefix."""
 
 import dataclasses
 import random
@@ -11,10 +11,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Finds a call's route and draws its service.
+    """Finds a call's route and selects a service of the route.
 
     Attributes:
-      random_source: Draws among the services of a split route.
+      random_source: Selects among the weighted services of a split route.
     """
 
     random_source: random.Random
@@ -22,7 +22,7 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
-        """Finds the service or refuses the call."""
+        """Sets the route and service or raises `errors.EntryError`."""
         host = ctx.call.headers.get("Host", "")
         route = routing.find(
             ctx.snapshot.routes_by_prefix_by_host, host, ctx.call.path
@@ -30,7 +30,7 @@
         if route is None:
             raise errors.EntryError(
                 errors.Code.PATH_NOT_FOUND,
-                f"No route leads to {host}{ctx.call.path}.",
+                f"No route matches {host}{ctx.call.path}.",
             )
         service_id = routing.pick_service(route, self.random_source)
         ctx.route = route
@@ -40,18 +40,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ByKind:
-    """The end of a chain that splits by the kind of the service.
+    """Final handler of a chain; dispatches by the kind of the service.
 
     Attributes:
-      generate: Handles model requests.
-      plain: Handles plain calls.
+      generate: Handler of model requests.
+      plain: Handler of plain calls.
     """
 
     generate: context.Handle
     plain: context.Handle
 
     async def __call__(self, ctx: context.Context) -> None:
-        """Passes the call on."""
+        """Passes the call to the handler of its kind."""
         if ctx.service.kind is model.ServiceKind.MODEL:
             await self.generate(ctx)
         else:
--- a/src/cowsliprill/entry/filters/urgency.py
+++ b/src/cowsliprill/entry/filters/urgency.py
@@ -1,4 +1,4 @@
-"""How urgent a request is: its priority and its deadline."""
+"""Filter that sets a request's priority and deadline from its headers."""
 
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
@@ -6,43 +6,52 @@
 PRIORITY_HEADER = "X-Priority"
 DEADLINE_HEADER = "X-Deadline-Ms"
 
-_MAX_OFFSET = 1_000
+_MAX_PRIORITY_OFFSET = 1_000
 _MAX_DEADLINE_MS = 86_400_000
 _MS_PER_S = 1_000
 
 
-def _integer(ctx: context.Context, name: str, low: int, high: int) -> int:
+def _parse_integer_header(
+    ctx: context.Context, name: str, low: int, high: int
+) -> int:
     text = ctx.call.headers.get(name, "").strip()
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) < 12):
         raise errors.EntryError(
-            errors.Code.INVALID_HEADER, f"{name} isn't a whole number."
+            errors.Code.INVALID_HEADER, f"{name} must be an integer."
         )
     if not low <= int(text) <= high:
         raise errors.EntryError(
             errors.Code.INVALID_HEADER,
-            f"{name} isn't between {low} and {high}.",
+            f"{name} must be between {low} and {high}.",
         )
     return int(text)
 
 
 async def urgency(ctx: context.Context, proceed: context.Handle) -> None:
-    """Reads the caller's priority and deadline.
+    """Sets the priority and deadlines from the caller's headers.
 
-    A caller may only lower its priority: any other rule would have every
-    client ask for the highest, and the operators' order would be lost.
+    A caller may only lower its priority: otherwise every client would request
+    the highest one, and the priorities set by the operators would be lost.
 
     Args:
       ctx: The request.
-      proceed: The next filter.
+      proceed: The next handler.
+
+    Raises:
+      errors.EntryError: A header is invalid.
     """
     ctx.priority = ctx.service.priority
     if PRIORITY_HEADER in ctx.call.headers:
-        ctx.priority += _integer(ctx, PRIORITY_HEADER, -_MAX_OFFSET, 0)
-    wait_s = ctx.service.ttft_target_s + ctx.service.may_wait_s
+        ctx.priority += _parse_integer_header(
+            ctx, PRIORITY_HEADER, -_MAX_PRIORITY_OFFSET, 0
+        )
+    first_token_timeout_s = ctx.service.ttft_target_s + ctx.service.may_wait_s
     if DEADLINE_HEADER in ctx.call.headers:
-        deadline_ms = _integer(ctx, DEADLINE_HEADER, 1, _MAX_DEADLINE_MS)
-        wait_s = deadline_ms / _MS_PER_S
-    ctx.deadline = ctx.arrived_at + wait_s
+        deadline_ms = _parse_integer_header(
+            ctx, DEADLINE_HEADER, 1, _MAX_DEADLINE_MS
+        )
+        first_token_timeout_s = deadline_ms / _MS_PER_S
+    ctx.deadline = ctx.arrived_at + first_token_timeout_s
     ctx.ends_at = ctx.arrived_at + ctx.service.timeout_s
     await proceed(ctx)
