--- a/src/cowsliprill/entry/filters/idempotency.py
+++ b/src/cowsliprill/entry/filters/idempotency.py
@@ -53,14 +53,14 @@
         match self._claim(ctx, key):
             case tickets.Granted(record):
                 await self._run_and_record(ctx, proceed, record)
-            case tickets.Replay(answer) if answer is not None:
+            case tickets.Replay(response) if response is not None:
                 ctx.progress.outcome = "replayed"
-                headers = [*answer.headers, (REPLAYED_HEADER, "true")]
+                headers = [*response.headers, (REPLAYED_HEADER, "true")]
                 await reply_lib.send(
                     ctx.reply,
-                    answer.status,
+                    response.status,
                     _without_content_length(headers),
-                    answer.body,
+                    response.body,
                 )
             case tickets.Foreign(ticket):
                 await self.forwarder.forward(ctx, ticket)
@@ -113,12 +113,12 @@
         if error.run is messages.Run.NO:
             self.book.release(record)
             return
-        answer = tickets.Answer(
+        response = tickets.Answer(
             status=error.status,
             headers=tuple(error.headers().items()),
             body=error.body(),
         )
-        self.book.finish(record, None if recording.started else answer)
+        self.book.finish(record, None if recording.started else response)
 
     def _record_unexpected_end(self, record: str, ctx: context.Context) -> None:
         if ctx.progress.run is messages.Run.NO:
--- a/tests/test_entry_tickets.py
+++ b/tests/test_entry_tickets.py
@@ -1,4 +1,7 @@
-"""Bookings and pickups run at most once, and their callers hear the truth."""
+"""Tests that tickets and idempotency keys execute requests at most once.
+
+Callers must also get a correct report of whether a request was executed.
+"""
 
 import asyncio
 import dataclasses
@@ -13,35 +16,35 @@
 from cowsliprill.entry import forward
 from cowsliprill.entry import reply
 
-_BOOK = "/services/booking/slots"
-_SAFE = "/services/safe-booking/slots"
+_BOOKING_PATH = "/services/booking/slots"
+_SAFE_BOOKING_PATH = "/services/safe-booking/slots"
 _BODY = b"Tuesday at nine"
 
 
-async def _ticket(site, service="booking", **named) -> dict[str, str]:
+async def _issue_ticket(site, service="booking", **options) -> dict[str, str]:
     answer = await site.call(
-        "POST", "/v1/tickets", {"service": service}, **named
+        "POST", "/v1/tickets", {"service": service}, **options
     )
     assert answer.status == 201
     return {"Idempotency-Key": answer.json()["ticket"]}
 
 
-def _runs(site: entry_site.Site) -> int:
+def _count_executions(site: entry_site.Site) -> int:
     return sum(len(service.journal) for service in site.services.values())
 
 
-def _misbehave(site: entry_site.Site, fields: dict) -> None:
+def _set_service_behavior(site: entry_site.Site, fields: dict) -> None:
     for service in site.services.values():
         service.conduct.set(fields)
 
 
-def _scenario(steps, entries=1):
-    """Runs steps at a site; returns their answers and the number of runs."""
+def _run_scenario(steps, entries=1):
+    """Runs steps on a test site; returns responses and execution count."""
 
     async def run():
         async with entry_site.running(entries) as site:
             answers = await steps(site)
-            return answers, _runs(site)
+            return answers, _count_executions(site)
 
     return asyncio.run(run())
 
@@ -52,98 +55,110 @@
 
 
 class TestOneTicket:
-    """A caller repeats a booking with its ticket."""
+    """A caller repeats a request with the same ticket."""
 
-    def test_repeat_gets_the_first_answer(self):
+    def test_repeat_gets_the_first_response(self):
         async def steps(site):
-            key = await _ticket(site)
-            return [await site.call("POST", _BOOK, _BODY, key) for _ in "12"]
+            key = await _issue_ticket(site)
+            return [
+                await site.call("POST", _BOOKING_PATH, _BODY, key) for _ in "12"
+            ]
 
-        (first, second), runs = _scenario(steps)
-        assert runs == 1
+        (first, second), executions = _run_scenario(steps)
+        assert executions == 1
         assert first.status == second.status == 200
         assert first.body == second.body
         assert "Idempotent-Replayed" not in first.headers
         assert second.headers["Idempotent-Replayed"] == "true"
 
-    def test_repeat_while_the_first_runs(self):
+    def test_repeat_during_the_first_request_is_refused(self):
         async def steps(site):
-            key = await _ticket(site)
-            _misbehave(site, {"delay_s": 0.2})
-            first = asyncio.create_task(site.call("POST", _BOOK, _BODY, key))
-            await entry_site.until(lambda: _runs(site) == 1)
-            return await site.call("POST", _BOOK, _BODY, key), await first
-
-        (early, first), runs = _scenario(steps)
-        assert runs == 1
-        assert early.status == 409
-        assert _is_unknown(early, "in_progress")
-        assert early.headers["Retry-After"] == "1"
+            key = await _issue_ticket(site)
+            _set_service_behavior(site, {"delay_s": 0.2})
+            first = asyncio.create_task(
+                site.call("POST", _BOOKING_PATH, _BODY, key)
+            )
+            await entry_site.until(lambda: _count_executions(site) == 1)
+            return await site.call(
+                "POST", _BOOKING_PATH, _BODY, key
+            ), await first
+
+        (concurrent, first), executions = _run_scenario(steps)
+        assert executions == 1
+        assert concurrent.status == 409
+        assert _is_unknown(concurrent, "in_progress")
+        assert concurrent.headers["Retry-After"] == "1"
         assert first.status == 200
 
-    def test_other_body_is_refused(self):
+    def test_same_ticket_with_another_body_is_refused(self):
         async def steps(site):
-            key = await _ticket(site)
-            await site.call("POST", _BOOK, _BODY, key)
-            return await site.call("POST", _BOOK, b"Friday", key)
+            key = await _issue_ticket(site)
+            await site.call("POST", _BOOKING_PATH, _BODY, key)
+            return await site.call("POST", _BOOKING_PATH, b"Friday", key)
 
-        answer, runs = _scenario(steps)
-        assert runs == 1
+        answer, executions = _run_scenario(steps)
+        assert executions == 1
         assert answer.json()["error"]["code"] == "idempotency_key_reused"
         assert answer.json()["error"]["run"] == "no"
 
-    def test_rival_cannot_use_it(self):
+    def test_ticket_of_another_customer_is_refused(self):
         async def steps(site):
-            key = await _ticket(site)
+            key = await _issue_ticket(site)
             return await site.call(
-                "POST", _BOOK, _BODY, key, customer="umurongo/firm-1"
+                "POST", _BOOKING_PATH, _BODY, key, customer="umurongo/firm-1"
             )
 
-        answer, runs = _scenario(steps)
-        assert runs == 0
+        answer, executions = _run_scenario(steps)
+        assert executions == 0
         assert answer.json()["error"]["code"] == "ticket_invalid"
 
-    def test_caller_gone_amid_its_booking(self):
-        """The caller's connection breaks after the booking was made.
+    def test_retry_after_disconnect_gets_the_response(self):
+        """The caller disconnects after the service has executed its request.
 
-        Its retry learns the outcome instead of making a second booking.
+        The retry must get the recorded response, not execute the request again.
         """
 
         async def steps(site):
-            key = await _ticket(site)
-            _misbehave(site, {"delay_s": 0.1})
-            lost = asyncio.create_task(site.open("POST", _BOOK, _BODY, key))
-            await entry_site.until(lambda: _runs(site) == 1)
-            lost.cancel()
+            key = await _issue_ticket(site)
+            _set_service_behavior(site, {"delay_s": 0.1})
+            disconnected_call = asyncio.create_task(
+                site.open("POST", _BOOKING_PATH, _BODY, key)
+            )
+            await entry_site.until(lambda: _count_executions(site) == 1)
+            disconnected_call.cancel()
             await entry_site.until(lambda: site.status()["requests"] == 0)
-            return await site.call("POST", _BOOK, _BODY, key)
+            return await site.call("POST", _BOOKING_PATH, _BODY, key)
 
-        answer, runs = _scenario(steps)
-        assert runs == 1
+        answer, executions = _run_scenario(steps)
+        assert executions == 1
         assert answer.status == 200
         assert answer.headers["Idempotent-Replayed"] == "true"
 
-    def test_settings_change_amid_its_booking(self):
-        """An operator makes bookings repeatable while one is under way.
+    def test_settings_change_during_a_request_does_not_apply(self):
+        """An operator marks a service idempotent while a request is running.
 
-        The rules at its arrival hold for it, so it isn't sent again.
+        The settings at the request's arrival apply, so it is not retried.
         """
 
         async def steps(site):
-            key = await _ticket(site)
-            _misbehave(site, {"delay_s": 0.1, "cut_at_byte": 3})
-            call = asyncio.create_task(site.call("POST", _BOOK, _BODY, key))
-            await entry_site.until(lambda: _runs(site) == 1)
+            key = await _issue_ticket(site)
+            _set_service_behavior(site, {"delay_s": 0.1, "cut_at_byte": 3})
+            call = asyncio.create_task(
+                site.call("POST", _BOOKING_PATH, _BODY, key)
+            )
+            await entry_site.until(lambda: _count_executions(site) == 1)
             changed = site.snapshot(9)
             booking = changed.services_by_id["umurongo/booking"]
             changed.services_by_id[booking.id] = dataclasses.replace(
                 booking, idempotency=model.Idempotency.REPEATABLE
             )
             site.publish(changed)
-            return await call, await site.call("POST", _BOOK, _BODY, key)
+            return await call, await site.call(
+                "POST", _BOOKING_PATH, _BODY, key
+            )
 
-        (first, second), runs = _scenario(steps)
-        assert runs == 1
+        (first, second), executions = _run_scenario(steps)
+        assert executions == 1
         assert _is_unknown(first, "endpoint_failed")
         assert _is_unknown(second, "endpoint_failed")
 
@@ -151,129 +166,132 @@
 class TestOtherEntry:
     """The caller's retry arrives at another entry process."""
 
-    def test_forwarded_to_its_owner(self):
+    def test_is_forwarded_to_the_ticket_owner(self):
         async def steps(site):
-            key = await _ticket(site)
+            key = await _issue_ticket(site)
             return [
-                await site.call("POST", _BOOK, _BODY, key, entry=entry)
+                await site.call("POST", _BOOKING_PATH, _BODY, key, entry=entry)
                 for entry in (1, 0, 1)
             ]
 
-        answers, runs = _scenario(steps, entries=2)
-        assert runs == 1
+        answers, executions = _run_scenario(steps, entries=2)
+        assert executions == 1
         assert {answer.status for answer in answers} == {200}
         assert len({answer.body for answer in answers}) == 1
         assert answers[2].headers["Idempotent-Replayed"] == "true"
 
-    def test_both_at_once(self):
+    def test_concurrent_requests_with_one_ticket(self):
         async def steps(site):
-            key = await _ticket(site)
-            _misbehave(site, {"delay_s": 0.05})
+            key = await _issue_ticket(site)
+            _set_service_behavior(site, {"delay_s": 0.05})
             calls = [
-                site.call("POST", _BOOK, _BODY, key, entry=entry)
+                site.call("POST", _BOOKING_PATH, _BODY, key, entry=entry)
                 for entry in (0, 1, 0, 1)
             ]
             return await asyncio.gather(*calls)
 
-        answers, runs = _scenario(steps, entries=2)
-        assert runs == 1
+        answers, executions = _run_scenario(steps, entries=2)
+        assert executions == 1
         statuses = sorted(answer.status for answer in answers)
         assert statuses == [200, 409, 409, 409]
 
-    def test_leaving_process_gives_no_tickets_of_its_own(self):
+    def test_draining_process_issues_no_tickets_of_its_own(self):
         """A caller gets a ticket from a process that is shutting down.
 
-        Its own tickets would be worth nothing a moment later, and the booking
-        could not be made with it any more.
+        A ticket of that process would be unusable once it has exited, so the
+        ticket must come from another process.
         """
 
         async def run():
             async with entry_site.running(2, drain_notice_s=0.5) as site:
                 site.entries[0].shell.stop()
                 await entry_site.until(lambda: site.status()["draining"])
-                key = await _ticket(site)
+                key = await _issue_ticket(site)
                 await site.tasks[0]
-                return await site.call("POST", _BOOK, _BODY, key, entry=1)
+                return await site.call(
+                    "POST", _BOOKING_PATH, _BODY, key, entry=1
+                )
 
         assert asyncio.run(run()).status == 200
 
     @pytest.mark.parametrize("used", [True, False])
-    def test_owner_gone(self, used):
-        """The owner has ended; its port refuses connections.
+    def test_owner_unreachable(self, used):
+        """The ticket's owner has exited and its port refuses connections.
 
-        Nobody can know any more whether the ticket was used.
+        Whether the ticket was used can no longer be determined.
         """
 
         async def steps(site):
-            key = await _ticket(site)
+            key = await _issue_ticket(site)
             if used:
-                await site.call("POST", _BOOK, _BODY, key)
+                await site.call("POST", _BOOKING_PATH, _BODY, key)
             site.entries[0].shell.stop()
             await site.tasks[0]
-            return await site.call("POST", _BOOK, _BODY, key, entry=1)
+            return await site.call("POST", _BOOKING_PATH, _BODY, key, entry=1)
 
-        answer, runs = _scenario(steps, entries=2)
-        assert runs == int(used)
+        answer, executions = _run_scenario(steps, entries=2)
+        assert executions == int(used)
         assert _is_unknown(answer, "ticket_owner_unreachable")
 
     def test_owner_replaced_on_its_port(self):
-        """A ticket names a dead incarnation whose port another one has now."""
+        """Another incarnation listens on the port of the ticket's owner."""
 
         async def steps(site):
-            key = await _ticket(site)
+            key = await _issue_ticket(site)
             ticket = tickets.Ticket.parse(key["Idempotency-Key"])
-            dead = dataclasses.replace(
+            dead_ticket = dataclasses.replace(
                 ticket,
                 incarnation=identity.Incarnation("vm-0", "e0", "dead"),
             )
-            key = {"Idempotency-Key": str(dead)}
+            key = {"Idempotency-Key": str(dead_ticket)}
             return [
-                await site.call("POST", _BOOK, _BODY, key, entry=entry)
+                await site.call("POST", _BOOKING_PATH, _BODY, key, entry=entry)
                 for entry in (0, 1)
             ]
 
-        answers, runs = _scenario(steps, entries=2)
-        assert runs == 0
+        answers, executions = _run_scenario(steps, entries=2)
+        assert executions == 0
         for answer in answers:
             assert answer.status == 410
             assert _is_unknown(answer, "ticket_owner_gone")
 
-    def test_stale_list_without_the_owner(self):
+    def test_owner_missing_from_a_stale_vm_list(self):
         async def steps(site):
-            key = await _ticket(site)
-            await site.call("POST", _BOOK, _BODY, key)
+            key = await _issue_ticket(site)
+            await site.call("POST", _BOOKING_PATH, _BODY, key)
             site.sources[1].set(site.snapshot(), model.Fleet(version=1))
-            return await site.call("POST", _BOOK, _BODY, key, entry=1)
+            return await site.call("POST", _BOOKING_PATH, _BODY, key, entry=1)
 
-        answer, runs = _scenario(steps, entries=2)
-        assert runs == 1
+        answer, executions = _run_scenario(steps, entries=2)
+        assert executions == 1
         assert _is_unknown(answer, "ticket_owner_gone")
 
-    def test_made_up_address_is_not_called(self):
+    def test_forged_address_is_not_called(self):
         """A ticket names a port that isn't in the VM list.
 
-        The entry would else call any address that a caller likes.
+        Without the check, a caller could make the entry process call arbitrary
+        addresses (server-side request forgery).
         """
 
         async def steps(site):
-            key = await _ticket(site)
+            key = await _issue_ticket(site)
             ticket = tickets.Ticket.parse(key["Idempotency-Key"])
-            forged = dataclasses.replace(
+            forged_ticket = dataclasses.replace(
                 ticket,
                 incarnation=identity.Incarnation("vm-0", "e0", "forged"),
                 port=site.endpoints["desk-0"].port,
             )
-            key = {"Idempotency-Key": str(forged)}
-            return await site.call("POST", _BOOK, _BODY, key)
+            key = {"Idempotency-Key": str(forged_ticket)}
+            return await site.call("POST", _BOOKING_PATH, _BODY, key)
 
-        answer, runs = _scenario(steps)
-        assert runs == 0
+        answer, executions = _run_scenario(steps)
+        assert executions == 0
         assert _is_unknown(answer, "ticket_owner_gone")
 
-    def test_only_peers_may_pass_requests_on(self):
-        """A stranger reaches the peer port and sends a request for the owner.
+    def test_only_peers_may_forward_requests(self):
+        """An unauthenticated client sends a forwarded request to the peer port.
 
-        It lacks the secret that the VMs share, so nothing of it is run.
+        The client lacks the VMs' shared secret, so nothing is executed.
         """
 
         async def steps(site):
@@ -286,7 +304,7 @@
                 {
                     "Authorization": "Bearer key-amahoro",
                     forward.METHOD_HEADER: "POST",
-                    forward.TARGET_HEADER: _BOOK,
+                    forward.TARGET_HEADER: _BOOKING_PATH,
                     forward.OWNER_HEADER: site.status()["incarnation"],
                 },
                 _BODY,
@@ -294,17 +312,17 @@
             body = await response.read(1_000)
             return entry_site.Answer(response.status, response.headers, body)
 
-        answer, runs = _scenario(steps)
-        assert runs == 0
+        answer, executions = _run_scenario(steps)
+        assert executions == 0
         assert answer.status == 403
         assert answer.json()["error"]["code"] == "not_a_peer"
 
 
 class TestFaults:
-    """The service fails before, amid and after its run."""
+    """The service fails before, during or after executing a request."""
 
     @pytest.mark.parametrize(
-        ("fault", "ran"),
+        ("fault", "expected_executions"),
         [
             ({"cut_before_run": True}, 0),
             ({"cut_at_byte": 0}, 1),
@@ -314,29 +332,32 @@
         ],
     )
     @pytest.mark.parametrize("with_ticket", [True, False])
-    def test_never_sent_again(self, fault, ran, with_ticket):
-        """A byte may have left, and no whole answer came.
+    def test_ambiguous_failure_is_not_retried(
+        self, fault, expected_executions, with_ticket
+    ):
+        """Part of the request may have been sent, without a complete response.
 
-        Sending it again might book twice; "not run" might be a lie.
+        A retry might execute the request twice, and reporting `no` as its
+        execution status might be false.
         """
 
         async def steps(site):
-            key = await _ticket(site) if with_ticket else {}
-            _misbehave(site, fault)
-            first = await site.call("POST", _BOOK, _BODY, key)
-            _misbehave(site, {})
+            key = await _issue_ticket(site) if with_ticket else {}
+            _set_service_behavior(site, fault)
+            first = await site.call("POST", _BOOKING_PATH, _BODY, key)
+            _set_service_behavior(site, {})
             if with_ticket:
-                return first, await site.call("POST", _BOOK, _BODY, key)
+                return first, await site.call("POST", _BOOKING_PATH, _BODY, key)
             return first, first
 
-        (first, second), runs = _scenario(steps)
-        assert runs == ran
+        (first, second), executions = _run_scenario(steps)
+        assert executions == expected_executions
         assert _is_unknown(first, "endpoint_failed")
         assert _is_unknown(second, "endpoint_failed")
 
     @pytest.mark.parametrize("fault", ["refused", "closed"])
-    def test_safe_failure_is_sent_elsewhere(self, fault):
-        """One server says that it ran nothing, or has no open port."""
+    def test_safe_failure_is_retried_on_another_server(self, fault):
+        """One server reports that it executed nothing, or has no open port."""
 
         async def steps(site):
             if fault == "refused":
@@ -345,29 +366,31 @@
                 endpoint = site.endpoints["desk-0"]
                 site.endpoints["desk-0"] = dataclasses.replace(endpoint, port=1)
                 site.publish()
-            return [await site.call("POST", _BOOK, _BODY) for _ in range(6)]
+            return [
+                await site.call("POST", _BOOKING_PATH, _BODY) for _ in range(6)
+            ]
 
-        answers, runs = _scenario(steps)
+        answers, executions = _run_scenario(steps)
         assert {answer.status for answer in answers} == {200}
-        assert runs == 6
+        assert executions == 6
 
-    def test_not_run_is_said_when_true(self):
-        """Every server refuses; the caller may book elsewhere at once."""
+    def test_reports_that_a_request_was_not_executed(self):
+        """All servers refuse; the caller may safely retry at once."""
 
         async def steps(site):
-            key = await _ticket(site)
-            _misbehave(site, {"refuse": "engine_full"})
-            first = await site.call("POST", _BOOK, _BODY, key)
-            _misbehave(site, {})
-            return first, await site.call("POST", _BOOK, _BODY, key)
+            key = await _issue_ticket(site)
+            _set_service_behavior(site, {"refuse": "engine_full"})
+            first = await site.call("POST", _BOOKING_PATH, _BODY, key)
+            _set_service_behavior(site, {})
+            return first, await site.call("POST", _BOOKING_PATH, _BODY, key)
 
-        (first, second), runs = _scenario(steps)
+        (first, second), executions = _run_scenario(steps)
         assert first.json()["error"]["run"] == "no"
         assert int(first.headers["Retry-After"]) >= 1
         assert second.status == 200
-        assert runs == 1
+        assert executions == 1
 
-    def test_repeatable_calls_are_sent_again(self):
+    def test_idempotent_calls_are_retried(self):
         async def steps(site):
             site.services["desk-0"].conduct.set({"cut_before_run": True})
             return [
@@ -375,35 +398,36 @@
                 for _ in range(4)
             ]
 
-        answers, _ = _scenario(steps)
+        answers, _ = _run_scenario(steps)
         assert {answer.status for answer in answers} == {200}
 
-    def test_service_that_checks_keys_is_asked_again(self):
-        """The answer is cut; the service itself runs a key only once."""
+    def test_service_that_checks_keys_is_retried(self):
+        """The response is truncated; the service deduplicates by key itself."""
 
         async def steps(site):
-            key = await _ticket(site, "safe-booking")
-            _misbehave(site, {"cut_at_byte": 3, "times": 1})
-            return await site.call("POST", _SAFE, _BODY, key)
+            key = await _issue_ticket(site, "safe-booking")
+            _set_service_behavior(site, {"cut_at_byte": 3, "times": 1})
+            return await site.call("POST", _SAFE_BOOKING_PATH, _BODY, key)
 
-        answer, runs = _scenario(steps)
+        answer, executions = _run_scenario(steps)
         assert answer.status == 200
-        assert runs == 1
+        assert executions == 1
 
 
 class TestRecording:
-    """Answers are kept for their keys, within bounded memory."""
+    """Responses are recorded for their keys within bounded memory."""
 
-    def test_without_room_nothing_of_an_answer_is_kept(self):
-        """Many long answers with keys come at once.
+    def test_response_beyond_the_memory_limit_is_dropped_whole(self):
+        """Many long responses with keys are recorded at once.
 
-        A part of one must not be given as the whole, nor may all be kept.
+        Memory must stay bounded, and a partial response must not be replayed
+        as a complete one.
         """
 
         async def record():
             room = reply.RecordingRoom(left=10)
-            first = reply.RecordingReply(_Nowhere(), room)
-            second = reply.RecordingReply(_Nowhere(), room)
+            first = reply.RecordingReply(_NullReply(), room)
+            second = reply.RecordingReply(_NullReply(), room)
             for recording in (first, second):
                 await recording.start(200, [])
                 await recording.write(b"123456")
@@ -413,13 +437,13 @@
                 recording.forget()
             return answers, room.left
 
-        (kept, dropped), left = asyncio.run(record())
-        assert kept.body == b"123456"
+        (recorded, dropped), left = asyncio.run(record())
+        assert recorded.body == b"123456"
         assert dropped is None
         assert left == 10
 
 
-class _Nowhere:
+class _NullReply:
     started = False
 
     async def start(self, status, headers) -> None: ...
@@ -432,35 +456,41 @@
 
 
 class TestOwnKeys:
-    """A caller's own key holds within one process, and no further."""
+    """A caller's own idempotency key is valid only within one process."""
 
-    def test_within_one_process(self):
+    def test_repeat_within_one_process_is_deduplicated(self):
         async def steps(site):
             key = {"Idempotency-Key": "booking-7"}
-            return [await site.call("POST", _BOOK, _BODY, key) for _ in "12"]
+            return [
+                await site.call("POST", _BOOKING_PATH, _BODY, key) for _ in "12"
+            ]
 
-        (first, second), runs = _scenario(steps)
-        assert runs == 1
+        (first, second), executions = _run_scenario(steps)
+        assert executions == 1
         assert first.body == second.body
 
-    def test_rivals_with_the_same_key(self):
-        """Two firms number their bookings from 1.
+    def test_same_key_of_two_customers(self):
+        """Two customers use the same key, such as consecutive numbers from 1.
 
-        Neither gets the other's answer, also not from a service that checks
-        keys by itself.
+        Neither may get the other's response, not even from a service that
+        checks keys itself.
         """
 
         async def steps(site):
             key = {"Idempotency-Key": "1"}
             return [
                 await site.call(
-                    "POST", _SAFE, customer.encode(), key, customer=customer
+                    "POST",
+                    _SAFE_BOOKING_PATH,
+                    customer.encode(),
+                    key,
+                    customer=customer,
                 )
                 for customer in ("umurongo/amahoro", "umurongo/firm-1")
             ]
 
-        answers, runs = _scenario(steps)
-        assert runs == 2
+        answers, executions = _run_scenario(steps)
+        assert executions == 2
         assert [answer.json()["received"] for answer in answers] == [
             "umurongo/amahoro",
             "umurongo/firm-1",
--- a/tests/test_slot_asker.py
+++ b/tests/test_slot_asker.py
@@ -1,4 +1,4 @@
-"""Tests of `entry.slot_asker`."""
+"""Tests of the client that leases slots from coordinators."""
 
 import asyncio
 import io
@@ -21,34 +21,34 @@
 )
 
 
-class FakeHomes:
-    """A home that notes what it is asked and answers when it is let."""
+class FakeCoordinatorClient:
+    """Coordinator that records requests and responds when the test says so."""
 
     def __init__(self) -> None:
-        self.asked = asyncio.Queue()
-        self.answers = asyncio.Queue()
+        self.requested_demands = asyncio.Queue()
+        self.responses = asyncio.Queue()
 
     async def post(self, vm, path, message, timeout_s) -> bytes:
-        self.asked.put_nowait(message.asks)
-        return codec.encode(await self.answers.get())
+        self.requested_demands.put_nowait(message.asks)
+        return codec.encode(await self.responses.get())
 
 
 class FakeScheduling:
-    """A scheduler's task that states what the test says."""
+    """Scheduler task whose slot demands the test sets."""
 
     def __init__(self) -> None:
         self.slot_demands = asyncio.Queue()
         self.posted = asyncio.Queue()
 
     def renew(self) -> None:
-        """States nothing new."""
+        """Emits no slot demand."""
 
     def post(self, event) -> None:
         self.posted.put_nowait(event)
 
 
-class FakeWorld:
-    """A VM list with one VM."""
+class FakeClusterState:
+    """Cluster state with one VM."""
 
     fleet = model.Fleet(vms_by_id={_VM.id: _VM})
 
@@ -58,26 +58,29 @@
 
 def _run(scenario) -> None:
     async def run() -> None:
-        homes, scheduling = FakeHomes(), FakeScheduling()
-        asker = slot_asker.SlotAsker(
+        coordinator_client, scheduling = (
+            FakeCoordinatorClient(),
+            FakeScheduling(),
+        )
+        client = slot_asker.SlotAsker(
             identity.Incarnation("vm-0", "e0", "a"),
-            homes,
+            coordinator_client,
             scheduling,
             leases.Leases(),
-            FakeWorld(),
+            FakeClusterState(),
             metrics.Metrics(),
             log.open_log("test", io.StringIO()),
         )
-        task = asyncio.create_task(asker.run())
+        task = asyncio.create_task(client.run())
         try:
-            await asyncio.wait_for(scenario(homes, scheduling), 10)
+            await asyncio.wait_for(scenario(coordinator_client, scheduling), 10)
         finally:
             task.cancel()
 
     asyncio.run(run())
 
 
-def _ask(endpoint_id: str, sequence: int, held: int = 0) -> messages.SlotAsk:
+def _demand(endpoint_id: str, sequence: int, held: int = 0) -> messages.SlotAsk:
     return messages.SlotAsk(
         endpoint_id=endpoint_id,
         in_use=0,
@@ -87,59 +90,66 @@
     )
 
 
-class TestStatements:
-    """What the scheduler states is what the homes get."""
+class TestSlotDemands:
+    """Coordinators receive the slot demands that the scheduler emits."""
 
-    def test_statements_go_out_as_they_were_made(self) -> None:
-        """The entry once sent statements that it made up at sending time.
+    def test_sends_the_demand_that_the_scheduler_emitted(self) -> None:
+        """A demand must not be rebuilt at sending time.
 
-        Those that the scheduler had made were never sent, and it waited for
-        their answers and gave granted slots back meanwhile. A customer noticed
-        a brief that was refused after a second on an idle site.
+        Then the scheduler's own demand is never sent: the scheduler waits for
+        its response, gives granted slots back meanwhile, and a request is
+        refused after a second although the engines are idle.
         """
 
-        async def scenario(homes, scheduling) -> None:
-            ask = _ask("draft-d1", sequence=7, held=2)
-            scheduling.slot_demands.put_nowait([ask])
-            assert await homes.asked.get() == (ask,)
+        async def scenario(coordinator_client, scheduling) -> None:
+            demand = _demand("draft-d1", sequence=7, held=2)
+            scheduling.slot_demands.put_nowait([demand])
+            assert await coordinator_client.requested_demands.get() == (demand,)
 
         _run(scenario)
 
-    def test_an_overtaken_statement_goes_out_again(self) -> None:
-        """A newer statement about one endpoint ends the held call for two.
+    def test_resends_demands_of_a_superseded_call(self) -> None:
+        """A newer demand for one endpoint supersedes a long poll for two.
 
-        If the other endpoint's statement were lost with it, its slots would
-        come a whole renewal late.
+        If the other endpoint's demand were lost with that call, its slots
+        would be granted one renewal interval late.
         """
 
-        async def scenario(homes, scheduling) -> None:
-            first, second = _ask("draft-d1", 1), _ask("draft-p1", 2)
+        async def scenario(coordinator_client, scheduling) -> None:
+            first, second = _demand("draft-d1", 1), _demand("draft-p1", 2)
             scheduling.slot_demands.put_nowait([first, second])
-            assert await homes.asked.get() == (first, second)
-            newer = _ask("draft-p1", 3)
+            assert await coordinator_client.requested_demands.get() == (
+                first,
+                second,
+            )
+            newer = _demand("draft-p1", 3)
             scheduling.slot_demands.put_nowait([newer])
-            assert set(await homes.asked.get()) == {first, newer}
+            assert set(await coordinator_client.requested_demands.get()) == {
+                first,
+                newer,
+            }
 
         _run(scenario)
 
 
-class TestUnsettledHome:
-    """A home that took an endpoint over a moment ago."""
+class TestNewCoordinator:
+    """A coordinator that has just taken over an endpoint."""
 
-    def test_the_small_share_serves_until_it_may_grant(self) -> None:
-        """A VM was replaced, and its endpoints have a new home.
+    def test_uses_the_fallback_share_until_slots_are_granted(self) -> None:
+        """After a VM is replaced, its endpoints have a new coordinator.
 
-        It grants nothing for one lease time. An entry that waited for it
-        would refuse its callers although the engine is idle.
+        That coordinator grants nothing for the duration of one lease. An entry
+        process that waited for a grant would refuse callers although the
+        engine is idle.
         """
 
-        async def scenario(homes, scheduling) -> None:
-            scheduling.slot_demands.put_nowait([_ask("draft-d1", 1)])
-            await homes.asked.get()
+        async def scenario(coordinator_client, scheduling) -> None:
+            scheduling.slot_demands.put_nowait([_demand("draft-d1", 1)])
+            await coordinator_client.requested_demands.get()
             grant = slot_messages.WireGrant(
                 endpoint_id="draft-d1", slots=0, expires_in_s=2.0, sequence=1
             )
-            homes.answers.put_nowait(
+            coordinator_client.responses.put_nowait(
                 slot_messages.SlotsAnswer(
                     grants=(grant,), unsettled=("draft-d1",)
                 )
