--- a/src/cowsliprill/entry/canceller.py
+++ b/src/cowsliprill/entry/canceller.py
@@ -19,7 +19,7 @@
 from cowsliprill.engines import engine_client
 from cowsliprill.entry import errors
 from cowsliprill.entry import home_client
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import world as cluster_state_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
@@ -60,7 +60,7 @@
 
     Args:
       client: Client of the engines.
-      coordinator_client: Sends requests to coordinators.
+      coordinators: Sends requests to coordinators.
       cluster_state: The current settings snapshot and VM list.
       metrics: The process's metrics.
       log: The process's log.
@@ -70,14 +70,14 @@
     def __init__(
         self,
         client: engine_client.EngineClient,
-        coordinator_client: home_client.HomeClient,
-        cluster_state: world_lib.World,
+        coordinators: home_client.HomeClient,
+        cluster_state: cluster_state_lib.World,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
         random_source: random.Random,
     ) -> None:
         self._client = client
-        self._coordinator_client = coordinator_client
+        self._coordinators = coordinators
         self._cluster_state = cluster_state
         self._metrics = metrics
         self._log = log
@@ -183,7 +183,7 @@
     ) -> None:
         body = dispatch_messages.CancelsRequest(cancels=tuple(cancellations))
         try:
-            await self._coordinator_client.post(
+            await self._coordinators.post(
                 vm, peers.CANCELS_PATH, body, _HANDOVER_TIMEOUT_S
             )
             accepted = True
--- a/src/cowsliprill/entry/filters/admission.py
+++ b/src/cowsliprill/entry/filters/admission.py
@@ -19,24 +19,24 @@
 
     Attributes:
       max_requests: Maximum number of concurrent requests.
-      present: Current number of requests.
+      active_requests: Current number of requests.
     """
 
     max_requests: int = MAX_REQUESTS
-    present: int = 0
+    active_requests: int = 0
 
     async def __call__(
         self, ctx: context.Context, proceed: context.Handle
     ) -> None:
         """Passes the request on or raises `errors.EntryError`."""
-        if self.present >= self.max_requests:
+        if self.active_requests >= self.max_requests:
             raise errors.EntryError(
                 errors.Code.OVERLOADED,
                 "This process is at its limit of concurrent requests.",
                 retry_after_s=_RETRY_AFTER_S,
             )
-        self.present += 1
+        self.active_requests += 1
         try:
             await proceed(ctx)
         finally:
-            self.present -= 1
+            self.active_requests -= 1
--- a/src/cowsliprill/entry/filters/plain_placement.py
+++ b/src/cowsliprill/entry/filters/plain_placement.py
@@ -15,7 +15,7 @@
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
 from cowsliprill.entry import plain_relay
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import world as cluster_state_lib
 from cowsliprill.observability import log as log_lib
 
 # A server that hasn't responded within this multiple of the TTFT target has
@@ -45,7 +45,7 @@
     """
 
     availability_zone: str
-    world: world_lib.World
+    world: cluster_state_lib.World
     budgets: retry.RetryBudgets
     log: log_lib.Log
     random_source: random.Random
--- a/src/cowsliprill/entry/filters/report.py
+++ b/src/cowsliprill/entry/filters/report.py
@@ -23,12 +23,12 @@
     Attributes:
       log: The process's log.
       metrics: The process's metrics.
-      answers: Formats error responses.
+      error_format: Formats error responses.
     """
 
     log: log_lib.Log
     metrics: metrics_lib.Metrics
-    answers: errors.ErrorAnswers = dataclasses.field(
+    error_format: errors.ErrorAnswers = dataclasses.field(
         default_factory=errors.JsonAnswers
     )
 
@@ -63,12 +63,12 @@
     ) -> None:
         try:
             if not ctx.reply.started:
-                response = self.answers.error_answer(error)
+                response = self.error_format.error_answer(error)
                 await reply_lib.send(
                     ctx.reply, response.status, response.headers, response.body
                 )
                 return
-            event = self.answers.error_event(error)
+            event = self.error_format.error_event(error)
             if event and _is_streaming(ctx):
                 await ctx.reply.write(event)
             ctx.reply.abort()
--- a/src/cowsliprill/entry/placing.py
+++ b/src/cowsliprill/entry/placing.py
@@ -22,7 +22,7 @@
 from cowsliprill.entry import leases as leases_lib
 from cowsliprill.entry import scheduling as scheduling_lib
 from cowsliprill.entry import slot_asker
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import world as cluster_state_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
@@ -99,7 +99,7 @@
     incarnation: identity.Incarnation
     availability_zone: str
     homes: home_client.HomeClient
-    world: world_lib.World
+    world: cluster_state_lib.World
     canceller: canceller_lib.Canceller | canceller_lib.NoOrders
     metrics: metrics_lib.Metrics
     log: log_lib.Log
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_asker.py
@@ -19,7 +19,7 @@
 from cowsliprill.entry import home_client
 from cowsliprill.entry import leases as leases_lib
 from cowsliprill.entry import scheduling as scheduling_lib
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import world as cluster_state_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
@@ -53,7 +53,7 @@
 
     Args:
       incarnation: Incarnation of this process.
-      coordinator_client: Sends requests to coordinators.
+      coordinators: Sends requests to coordinators.
       scheduling: Runs the scheduler: receives grants and produces the slot
         demands.
       leases: Stores the expiry times of the leases.
@@ -65,15 +65,15 @@
     def __init__(
         self,
         incarnation: identity.Incarnation,
-        coordinator_client: home_client.HomeClient,
+        coordinators: home_client.HomeClient,
         scheduling: scheduling_lib.Scheduling,
         leases: leases_lib.Leases,
-        cluster_state: world_lib.World,
+        cluster_state: cluster_state_lib.World,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
     ) -> None:
         self._entry = str(incarnation)
-        self._coordinator_client = coordinator_client
+        self._coordinators = coordinators
         self._scheduling = scheduling
         self._leases = leases
         self._cluster_state = cluster_state
@@ -213,7 +213,7 @@
         # lease ends here before it ends at the coordinator, however long the
         # response took.
         sent_at = clock.now()
-        response_body = await self._coordinator_client.post(
+        response_body = await self._coordinators.post(
             vm, peers.SLOTS_PATH, request, wait_s + _RESPONSE_TIMEOUT_S
         )
         response = codec.decode(slot_messages.SlotsAnswer, response_body)
--- a/tests/test_slot_asker.py
+++ b/tests/test_slot_asker.py
@@ -58,13 +58,13 @@
 
 def _run(scenario) -> None:
     async def run() -> None:
-        coordinator_client, scheduling = (
+        coordinators, scheduling = (
             FakeCoordinatorClient(),
             FakeScheduling(),
         )
         client = slot_asker.SlotAsker(
             identity.Incarnation("vm-0", "e0", "a"),
-            coordinator_client,
+            coordinators,
             scheduling,
             leases.Leases(),
             FakeClusterState(),
@@ -73,7 +73,7 @@
         )
         task = asyncio.create_task(client.run())
         try:
-            await asyncio.wait_for(scenario(coordinator_client, scheduling), 10)
+            await asyncio.wait_for(scenario(coordinators, scheduling), 10)
         finally:
             task.cancel()
 
@@ -101,10 +101,10 @@
         refused after a second although the engines are idle.
         """
 
-        async def scenario(coordinator_client, scheduling) -> None:
+        async def scenario(coordinators, scheduling) -> None:
             demand = _demand("draft-d1", sequence=7, held=2)
             scheduling.slot_demands.put_nowait([demand])
-            assert await coordinator_client.requested_demands.get() == (demand,)
+            assert await coordinators.requested_demands.get() == (demand,)
 
         _run(scenario)
 
@@ -115,16 +115,16 @@
         would be granted one renewal interval late.
         """
 
-        async def scenario(coordinator_client, scheduling) -> None:
+        async def scenario(coordinators, scheduling) -> None:
             first, second = _demand("draft-d1", 1), _demand("draft-p1", 2)
             scheduling.slot_demands.put_nowait([first, second])
-            assert await coordinator_client.requested_demands.get() == (
+            assert await coordinators.requested_demands.get() == (
                 first,
                 second,
             )
             newer = _demand("draft-p1", 3)
             scheduling.slot_demands.put_nowait([newer])
-            assert set(await coordinator_client.requested_demands.get()) == {
+            assert set(await coordinators.requested_demands.get()) == {
                 first,
                 newer,
             }
@@ -143,13 +143,13 @@
         engine is idle.
         """
 
-        async def scenario(coordinator_client, scheduling) -> None:
+        async def scenario(coordinators, scheduling) -> None:
             scheduling.slot_demands.put_nowait([_demand("draft-d1", 1)])
-            await coordinator_client.requested_demands.get()
+            await coordinators.requested_demands.get()
             grant = slot_messages.WireGrant(
                 endpoint_id="draft-d1", slots=0, expires_in_s=2.0, sequence=1
             )
-            coordinator_client.responses.put_nowait(
+            coordinators.responses.put_nowait(
                 slot_messages.SlotsAnswer(
                     grants=(grant,), unsettled=("draft-d1",)
                 )
