--- a/src/cowsliprill/entry/calls.py
+++ b/src/cowsliprill/entry/calls.py
@@ -41,10 +41,12 @@
     """Engine calls of one attempt at a model request.
 
     Attributes:
-      prefill_runs: Whether a prefill counts as executing the request.
-      closing_ends_work: Whether an engine aborts a request when its connection
-        is closed. Otherwise explicit cancellations are sent.
-      resumes_elsewhere: Whether another engine may resume a broken stream.
+      prefill_runs: Whether a prefill counts as executing the
+        request.
+      closing_ends_work: Whether an engine aborts a request when its
+        connection is closed. Otherwise explicit cancellations are sent.
+      resumes_elsewhere: Whether another engine may resume a broken
+        stream.
     """
 
     prefill_runs: bool
--- a/src/cowsliprill/entry/filters/arrival.py
+++ b/src/cowsliprill/entry/filters/arrival.py
@@ -39,6 +39,6 @@
         if service.kind is model.ServiceKind.PLAIN:
             ctx.deadline = ctx.ends_at
         elif service.patience_s:
-            patience_s = service.patience_s * _ABANDONMENT_TIMEOUT_FRACTION
-            ctx.useful_until = min(ctx.arrived_at + patience_s, ctx.ends_at)
+            useful_for_s = service.patience_s * _ABANDONMENT_TIMEOUT_FRACTION
+            ctx.useful_until = min(ctx.arrived_at + useful_for_s, ctx.ends_at)
         await proceed(ctx)
--- a/src/cowsliprill/entry/placing.py
+++ b/src/cowsliprill/entry/placing.py
@@ -1,8 +1,8 @@
 """Placement backends of an entry process.
 
-With `ByLeases` the process runs its own scheduler on slots that it leases from
-the engines' coordinators. With `ByCells` it sends the requests of each pool to
-the pool's coordinator, which places all of them.
+`ByLeases` runs a scheduler in the entry process itself, on slots that it
+leases from the engines' coordinators. `ByCells` sends the requests of
+each pool to the pool's coordinator, which places all of them.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from cowsliprill.entry import canceller as canceller_lib
 from cowsliprill.entry import home_client
 from cowsliprill.entry import leases as leases_lib
-from cowsliprill.entry import scheduling as scheduling_lib
+from cowsliprill.entry import scheduling as scheduler_task_lib
 from cowsliprill.entry import slot_asker
 from cowsliprill.entry import world as cluster_state_lib
 from cowsliprill.observability import log as log_lib
@@ -122,7 +122,7 @@
 
     def __init__(self, tools: Tools) -> None:
         self.permissions = leases_lib.Leases()
-        self.scheduling = scheduling_lib.Scheduling(
+        self.scheduling = scheduler_task_lib.Scheduling(
             scheduler_lib.Scheduler(
                 tools.availability_zone,
                 tools.random_source.getrandbits(_SEED_BITS),
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_asker.py
@@ -18,7 +18,7 @@
 from cowsliprill.dispatch import messages as slot_messages
 from cowsliprill.entry import home_client
 from cowsliprill.entry import leases as leases_lib
-from cowsliprill.entry import scheduling as scheduling_lib
+from cowsliprill.entry import scheduling as scheduler_task_lib
 from cowsliprill.entry import world as cluster_state_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
@@ -66,7 +66,7 @@
         self,
         incarnation: identity.Incarnation,
         coordinators: home_client.HomeClient,
-        scheduling: scheduling_lib.Scheduling,
+        scheduling: scheduler_task_lib.Scheduling,
         leases: leases_lib.Leases,
         cluster_state: cluster_state_lib.World,
         metrics: metrics_lib.Metrics,
