--- a/src/cowsliprill/entry/placing.py
+++ b/src/cowsliprill/entry/placing.py
@@ -1,8 +1,8 @@
 """Placement backends of an entry process.
 
 `ByLeases` runs a scheduler in the entry process itself, on slots that it
-leases from the engines' coordinators. `ByCells` sends the requests of
-each pool to the pool's coordinator, which places all of them.
+leases from the engines' coordinators. `ByCells` sends the requests
+of each pool to the pool's coordinator, which places all of them.
 """
 
 import asyncio
