--- a/src/cowsliprill/entry/filters/arrival.py
+++ b/src/cowsliprill/entry/filters/arrival.py
@@ -1,4 +1,4 @@
-"""How urgent a request is whose caller only says how long it will wait."""
+"""Filter that derives a request's deadlines from the caller's timeout."""
 
 import dataclasses
 
@@ -6,17 +6,17 @@
 from cowsliprill.decisions import model
 from cowsliprill.entry import context
 
-# Callers that leave would do so just before this part of their patience is
-# over, on their way back to them.
-_PATIENCE_PART = 0.85
+# Fraction of the callers' abandonment timeout after which a first token is of
+# no use: it would reach callers that have just disconnected.
+_ABANDONMENT_TIMEOUT_FRACTION = 0.85
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """Sets the times by which a request must be answered.
+    """Sets the deadlines of a request.
 
     Attributes:
-      timeouts: What callers allow at their first attempts.
+      timeouts: Tracks the callers' timeouts at their first attempts.
     """
 
     timeouts: caller_timeouts.CallerTimeouts = dataclasses.field(
@@ -26,21 +26,23 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handler
     ) -> None:
-        """Sets deadline, time of the end and time of the last use."""
+        """Sets `deadline`, `response_due_at` and `useful_until`."""
         service = ctx.service
-        given_s = ctx.caller_timeout_s or service.timeout_s
-        ctx.response_due_at = ctx.arrived_at + min(given_s, service.timeout_s)
-        # The target counts from the caller's first attempt. One that comes
-        # back has less time left than others of its service have at first.
+        caller_timeout_s = ctx.caller_timeout_s or service.timeout_s
+        ctx.response_due_at = ctx.arrived_at + min(
+            caller_timeout_s, service.timeout_s
+        )
+        # The TTFT target counts from the caller's first attempt. A retry has
+        # less time left than first attempts to the same service have.
         time_spent_s = self.timeouts.time_spent_s(
-            service.id, given_s, ctx.arrived_at
+            service.id, caller_timeout_s, ctx.arrived_at
         )
         ctx.deadline = ctx.arrived_at + service.ttft_target_s - time_spent_s
         if service.kind is model.ServiceKind.PLAIN:
             ctx.deadline = ctx.response_due_at
         elif service.patience_s:
-            patience_s = service.patience_s * _PATIENCE_PART
+            useful_for_s = service.patience_s * _ABANDONMENT_TIMEOUT_FRACTION
             ctx.useful_until = min(
-                ctx.arrived_at + patience_s, ctx.response_due_at
+                ctx.arrived_at + useful_for_s, ctx.response_due_at
             )
         await proceed(ctx)
--- a/src/cowsliprill/entry/filters/idempotency.py
+++ b/src/cowsliprill/entry/filters/idempotency.py
@@ -1,4 +1,4 @@
-"""At most one run for each ticket or idempotency key."""
+"""Filter that executes each ticket or idempotency key at most once."""
 
 import dataclasses
 import hashlib
@@ -16,17 +16,17 @@
 REPLAYED_HEADER = "Idempotent-Replayed"
 
 _MAX_KEY_BYTES = 255
-_IN_PROGRESS_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Idempotency:
-    """Lets each key run once here, and sends tickets to their owners.
+    """Executes each key once here and forwards tickets to their owners.
 
     Attributes:
       ticket_store: Tickets and keys of this incarnation.
-      forwarder: Passes requests on to the owners of their tickets.
-      recording_budget: Room for answers while they are recorded.
+      forwarder: Forwards requests to the processes that issued their tickets.
+      recording_budget: Memory budget for responses that are being recorded.
     """
 
     ticket_store: tickets.TicketStore
@@ -38,7 +38,7 @@
     async def __call__(
         self, ctx: context.Context, proceed: context.Handler
     ) -> None:
-        """Runs the request, repeats its answer or refuses it."""
+        """Executes the request, replays its response or rejects it."""
         key = ctx.call.headers.get(protocol.IDEMPOTENCY_KEY_HEADER, "")
         if not key:
             await proceed(ctx)
@@ -46,25 +46,26 @@
         if len(key) > _MAX_KEY_BYTES or not key.isprintable():
             raise errors.EntryError(
                 errors.Code.INVALID_HEADER,
-                f"An idempotency key has at most {_MAX_KEY_BYTES} characters.",
+                "An idempotency key must have at most"
+                f" {_MAX_KEY_BYTES} printable characters.",
             )
         ctx.idempotency_key = key
         match self._claim(ctx, key):
             case tickets.Granted(record):
-                await self._run(ctx, proceed, record)
-            case tickets.Replay(answer) if answer is not None:
+                await self._run_and_record(ctx, proceed, record)
+            case tickets.Replay(response) if response is not None:
                 ctx.progress.outcome = "replayed"
-                headers = [*answer.headers, (REPLAYED_HEADER, "true")]
+                headers = [*response.headers, (REPLAYED_HEADER, "true")]
                 await response_writer_lib.send(
                     ctx.response_writer,
-                    answer.status,
-                    _bare(headers),
-                    answer.body,
+                    response.status,
+                    _without_content_length(headers),
+                    response.body,
                 )
             case tickets.OwnedElsewhere(ticket):
                 await self.forwarder.forward(ctx, ticket)
             case claim:
-                raise _refusal(claim)
+                raise _error_for_claim(claim)
 
     def _claim(self, ctx: context.Context, key: str) -> tickets.Claim:
         fingerprint = _fingerprint(ctx.call)
@@ -80,16 +81,16 @@
             ticket, customer, service, fingerprint, now
         )
 
-    async def _run(
+    async def _run_and_record(
         self, ctx: context.Context, proceed: context.Handler, record: str
     ) -> None:
         recording = response_writer_lib.RecordingResponseWriter(
             ctx.response_writer, self.recording_budget
         )
         ctx.response_writer = recording
-        # A booking whose caller is gone has most likely been made. Going on to
-        # its end costs no engine memory, and the caller's retry then learns
-        # what became of it instead of "unknown".
+        # A non-idempotent call whose caller disconnects has most likely been
+        # executed. Completing it costs no engine memory, and the caller's
+        # retry gets its response instead of "unknown".
         ctx.continues_after_disconnect = (
             ctx.service.idempotency is model.Idempotency.NON_IDEMPOTENT
             and ctx.service.kind is model.ServiceKind.PLAIN
@@ -97,17 +98,17 @@
         try:
             await proceed(ctx)
         except errors.EntryError as error:
-            self._settle_error(record, recording, error)
+            self._record_error(record, recording, error)
             raise
         except BaseException:
-            self._settle_unknown(record, ctx)
+            self._record_unexpected_end(record, ctx)
             raise
         else:
             self.ticket_store.finish(record, recording.answer())
         finally:
             recording.release()
 
-    def _settle_error(
+    def _record_error(
         self,
         record: str,
         recording: response_writer_lib.RecordingResponseWriter,
@@ -116,22 +117,28 @@
         if error.run is messages.Executed.NO:
             self.ticket_store.release(record)
             return
-        answer = tickets.StoredResponse(
+        response = tickets.StoredResponse(
             status=error.status,
             headers=tuple(error.headers().items()),
             body=error.body(),
         )
-        self.ticket_store.finish(record, None if recording.started else answer)
+        self.ticket_store.finish(
+            record, None if recording.started else response
+        )
 
-    def _settle_unknown(self, record: str, ctx: context.Context) -> None:
+    def _record_unexpected_end(self, record: str, ctx: context.Context) -> None:
         if ctx.progress.run is messages.Executed.NO:
             self.ticket_store.release(record)
         else:
             self.ticket_store.finish(record, None)
 
 
-def _bare(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    return [pair for pair in headers if pair[0].lower() != "content-length"]
+def _without_content_length(
+    headers: list[tuple[str, str]],
+) -> list[tuple[str, str]]:
+    return [
+        header for header in headers if header[0].lower() != "content-length"
+    ]
 
 
 def _fingerprint(call: context.Call) -> bytes:
@@ -142,41 +149,44 @@
     return digest.digest()
 
 
-def _refusal(claim: tickets.Claim) -> errors.EntryError:
+def _error_for_claim(claim: tickets.Claim) -> errors.EntryError:
     unknown = messages.Executed.UNKNOWN
     match claim:
         case tickets.InProgress():
             return errors.EntryError(
                 errors.Code.IN_PROGRESS,
-                "The first request with this key still runs.",
+                "The first request with this key is still running.",
                 run=unknown,
-                retry_after_s=_IN_PROGRESS_RETRY_S,
+                retry_after_s=_RETRY_AFTER_S,
             )
         case tickets.Mismatch():
             return errors.EntryError(
                 errors.Code.KEY_REUSED,
-                "This key belongs to another request; this one wasn't run.",
+                "This key was used for a different request; this one was not"
+                " executed.",
             )
         case tickets.Invalid():
             return errors.EntryError(
                 errors.Code.TICKET_INVALID,
-                "This ticket wasn't given to you for this service.",
+                "This ticket was not issued to you for this service.",
             )
         case tickets.Expired():
             return errors.EntryError(
                 errors.Code.TICKET_EXPIRED,
-                "This ticket is too old to be run, or to tell whether it was.",
+                "This ticket has expired; whether its request was executed is"
+                " unknown.",
                 run=unknown,
             )
         case tickets.StoreFull():
             return errors.EntryError(
                 errors.Code.TOO_MANY_KEYS,
-                "No more keys can be remembered now.",
-                retry_after_s=_IN_PROGRESS_RETRY_S,
+                "The store of idempotency keys is full.",
+                retry_after_s=_RETRY_AFTER_S,
             )
         case _:
             return errors.EntryError(
                 errors.Code.RESPONSE_NOT_STORED,
-                "A request with this key has ended; its answer isn't stored.",
+                "A request with this key has ended, but its response is not"
+                " stored.",
                 run=unknown,
             )
