--- a/src/cowsliprill/entry/attempts.py
+++ b/src/cowsliprill/entry/attempts.py
@@ -4,7 +4,7 @@
 from cowsliprill.engines import service_client
 
 
-class AttemptLost(Exception):  # noqa: N818
+class AttemptError(Exception):  # noqa: N818
     """Raised when an attempt failed in a way that may allow a retry.
 
     Attributes:
@@ -45,7 +45,7 @@
         self.reason = reason
 
 
-class PlainCallLost(Exception):  # noqa: N818
+class PlainCallError(Exception):  # noqa: N818
     """Raised when a call to a plain service failed.
 
     Attributes:
--- a/src/cowsliprill/entry/calls.py
+++ b/src/cowsliprill/entry/calls.py
@@ -11,7 +11,7 @@
 from cowsliprill.entry import sinks
 
 
-class AnswerStream(Protocol):
+class OutputStream(Protocol):
     """Output stream of a decode engine.
 
     The iteration ends normally only if the stream is complete.
@@ -33,7 +33,7 @@
         """Stops reading; allowed at any time."""
 
 
-class Prefilled(Protocol):
+class FinishedPrefill(Protocol):
     """A finished prefill with an exported KV cache for a decode engine."""
 
 
@@ -67,7 +67,7 @@
 
     async def prefill(
         self, ctx: context.Context, endpoint: model.Endpoint, timeout_s: float
-    ) -> Prefilled:
+    ) -> FinishedPrefill:
         """Runs the prefill of the prompt.
 
         Raises:
@@ -78,9 +78,9 @@
         self,
         ctx: context.Context,
         endpoint: model.Endpoint,
-        prefilled: Prefilled | None,
+        prefilled: FinishedPrefill | None,
         timeout_s: float,
-    ) -> AnswerStream:
+    ) -> OutputStream:
         """Starts decoding and opens the output stream.
 
         Without `prefilled` the decode engine prefills the prompt itself.
@@ -89,10 +89,10 @@
           engines.errors.CallError: The call failed.
         """
 
-    def discard(self, prefilled: Prefilled) -> None:
+    def discard(self, prefilled: FinishedPrefill) -> None:
         """Has the engine free a KV cache that no decode engine will fetch."""
 
-    def sink(self, ctx: context.Context, stream: AnswerStream) -> sinks.Sink:
+    def sink(self, ctx: context.Context, stream: OutputStream) -> sinks.Sink:
         """Returns the sink that sends the stream's events to the caller."""
 
 
@@ -109,14 +109,14 @@
         """
 
 
-class Resumer(Protocol):
+class StreamResumer(Protocol):
     """Resumes a broken stream at the engine that runs the request."""
 
     async def resume(
         self,
         ctx: context.Context,
         endpoint: model.Endpoint,
-        stream: AnswerStream,
+        stream: OutputStream,
         broken: engine_errors.StreamBroken,
     ) -> bool:
         """Tries to resume the stream; returns whether that succeeded."""
--- a/src/cowsliprill/entry/canceller.py
+++ b/src/cowsliprill/entry/canceller.py
@@ -35,7 +35,7 @@
     task: asyncio.Task | None = None
 
 
-class NoOrders:
+class NoOpCanceller:
     """No-op canceller for engines that abort a request on disconnect.
 
     Attributes:
@@ -44,10 +44,10 @@
 
     pending = 0
 
-    def order(self, endpoint_id: str, request_id: str) -> None:
+    def enqueue(self, endpoint_id: str, request_id: str) -> None:
         """Does nothing."""
 
-    async def settle(self, timeout_s: float) -> None:
+    async def drain(self, timeout_s: float) -> None:
         """Does nothing."""
 
 
@@ -95,7 +95,7 @@
             for pending in self._queues_by_endpoint.values()
         )
 
-    def order(self, endpoint_id: str, request_id: str) -> None:
+    def enqueue(self, endpoint_id: str, request_id: str) -> None:
         """Queues a cancellation.
 
         The cancellation is dropped if the engine isn't in the settings.
@@ -123,7 +123,7 @@
         self._idle.clear()
         self._update_pending_metric()
 
-    async def settle(self, timeout_s: float) -> None:
+    async def drain(self, timeout_s: float) -> None:
         """Waits for acknowledgements, then hands the rest to coordinators.
 
         Args:
--- a/src/cowsliprill/entry/core.py
+++ b/src/cowsliprill/entry/core.py
@@ -28,7 +28,7 @@
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import model_relay
 from cowsliprill.entry import native
-from cowsliprill.entry import placing as placing_lib
+from cowsliprill.entry import placement_backend as backend_lib
 from cowsliprill.entry import plain_relay
 from cowsliprill.entry import routes
 from cowsliprill.entry import ticket_forwarding
@@ -62,7 +62,7 @@
       log: Log of the process.
       source: Provides settings and VM list.
       make_dialect: Creates the dialect spoken with callers and endpoints.
-      make_placing: Creates the component that places model requests on engines.
+      make_backend: Creates the component that places model requests on engines.
       metrics: Metrics of the process, None to create new ones.
       quotas: Enforces the customers' quotas, None for no quotas.
 
@@ -78,10 +78,10 @@
         environment: environment_lib.Environment,
         log: log_lib.Log,
         source: cluster_state_lib.ClusterStateSource,
-        make_dialect: Callable[[dialect_lib.Tools], dialect_lib.Dialect] = (
-            native.make
-        ),
-        make_placing: placing_lib.MakePlacing = placing_lib.ByLeases,
+        make_dialect: Callable[
+            [dialect_lib.Dependencies], dialect_lib.Dialect
+        ] = (native.make),
+        make_backend: backend_lib.MakeBackend = backend_lib.LeasePlacement,
         metrics: metrics_lib.Metrics | None = None,
         quotas: quota.Admission | None = None,
     ) -> None:
@@ -105,7 +105,7 @@
         self._outlier_detector = self._make_outlier_detector()
         self._http = http_client.HttpClient()
         self._dialect = make_dialect(
-            dialect_lib.Tools(
+            dialect_lib.Dependencies(
                 incarnation=self._incarnation,
                 http=self._http,
                 budgets=self._budgets,
@@ -116,8 +116,8 @@
         self._gate = gate_lib.Gate(self._incarnation, self._cluster_state)
         homes = coordinator_client.CoordinatorClient(self._http, self._auth)
         self._canceller = self._make_canceller(homes)
-        self._placing = make_placing(
-            placing_lib.Tools(
+        self._placement_backend = make_backend(
+            backend_lib.Dependencies(
                 incarnation=self._incarnation,
                 availability_zone=environment.availability_zone,
                 homes=homes,
@@ -128,7 +128,7 @@
                 random_source=self._random,
             )
         )
-        self._scheduling = self._placing.scheduling
+        self._scheduling = self._placement_backend.scheduling
         self._source = source
         self._quotas = quotas or quota.Unlimited()
         self._authorization = authorization.Authorization(
@@ -149,9 +149,9 @@
 
     def _make_canceller(
         self, homes: coordinator_client.CoordinatorClient
-    ) -> canceller.Canceller | canceller.NoOrders:
+    ) -> canceller.Canceller | canceller.NoOpCanceller:
         if self._dialect.engines.disconnect_cancels:
-            return canceller.NoOrders()
+            return canceller.NoOpCanceller()
         return canceller.Canceller(
             engine_client.EngineClient(self._http),
             homes,
@@ -171,8 +171,11 @@
         self._source.subscribe(self._apply_cluster_state)
         self._apply_cluster_state()
         tasks = [
-            asyncio.create_task(work)
-            for work in (self._source.run(), *self._placing.work())
+            asyncio.create_task(background_work)
+            for background_work in (
+                self._source.run(),
+                *self._placement_backend.background_work(),
+            )
         ]
         ended = asyncio.create_task(self.shell.run_until_stopped())
         await asyncio.wait([ended, *tasks], return_when=asyncio.FIRST_COMPLETED)
@@ -243,7 +246,7 @@
             model_relay=model_relay.ModelRelay(
                 self._dialect.engines,
                 self._scheduling,
-                self._placing.permissions,
+                self._placement_backend.permissions,
                 self._cluster_state,
                 self._dialect.resumer,
                 self._report_leaving,
@@ -265,7 +268,7 @@
         self._http.limits_by_address = connection_limits.limits_for_endpoints(
             snapshot, self._source.fleet
         )
-        self._placing.world_changed(snapshot)
+        self._placement_backend.cluster_state_changed(snapshot)
         self._budgets.keep_only(snapshot.services_by_id.values())
         self._outlier_detector.retain(snapshot.endpoints_by_id.keys())
         self._metrics.revision.set({}, snapshot.revision)
@@ -338,8 +341,8 @@
         if remaining:
             self._log.warning("requests_cut", requests=remaining)
             self._gate.abort_all()
-        await self._canceller.settle(_CANCEL_FLUSH_TIMEOUT_S)
-        await self._placing.hand_back()
+        await self._canceller.drain(_CANCEL_FLUSH_TIMEOUT_S)
+        await self._placement_backend.release_leases()
 
 
 async def _do_nothing() -> None:
--- a/src/cowsliprill/entry/dialect.py
+++ b/src/cowsliprill/entry/dialect.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Tools:
+class Dependencies:
     """Dependencies that the entry process provides to a dialect.
 
     Attributes:
@@ -53,7 +53,7 @@
 
     engines: calls.EngineCalls
     services: calls.PlainCalls
-    resumer: calls.Resumer | None
+    resumer: calls.StreamResumer | None
 
     def application(
         self, gate: gate_lib.Gate, components: routes.Components
--- a/src/cowsliprill/entry/filters/accept.py
+++ b/src/cowsliprill/entry/filters/call_validation.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accept:
+class CallValidation:
     """Rejects calls of the wrong method or size, or before settings arrive.
 
     Attributes:
--- a/src/cowsliprill/entry/filters/arrival.py
+++ b/src/cowsliprill/entry/filters/caller_deadlines.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrival:
+class CallerDeadlines:
     """Sets the deadlines of a request.
 
     Attributes:
--- a/src/cowsliprill/entry/filters/model_placement.py
+++ b/src/cowsliprill/entry/filters/model_placement.py
@@ -11,7 +11,7 @@
 from cowsliprill.entry import authorization
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import placing
+from cowsliprill.entry import placement_backend
 from cowsliprill.observability import log as log_lib
 
 _MS_PER_S = 1_000
@@ -46,7 +46,7 @@
         still be accepted.
     """
 
-    scheduling: placing.Scheduling
+    scheduling: placement_backend.Scheduling
     budgets: retry_budget.RetryBudgets
     log: log_lib.Log
     authorization: authorization.Authorization
@@ -119,7 +119,7 @@
         )
         try:
             await proceed(ctx)
-        except attempts.AttemptLost as lost:
+        except attempts.AttemptError as lost:
             self._handle_lost_attempt(ctx, lost)
             return False
         self.scheduling.post(messages.Finished(ctx.number, ctx.progress.tokens))
@@ -150,7 +150,7 @@
         )
 
     def _handle_lost_attempt(
-        self, ctx: context.Context, lost: attempts.AttemptLost
+        self, ctx: context.Context, lost: attempts.AttemptError
     ) -> None:
         self.log.warning(
             "attempt_lost",
--- a/src/cowsliprill/entry/filters/plain_placement.py
+++ b/src/cowsliprill/entry/filters/plain_placement.py
@@ -26,7 +26,7 @@
 
 # Maximum number of servers that one call may find unreachable without using up
 # its attempts; each of them costs a connection attempt.
-_UNSENT_MAX = 3
+_MAX_UNSENT_CALLS = 3
 
 
 @dataclasses.dataclass(slots=True)
@@ -77,10 +77,10 @@
                 await self._run_call(ctx, proceed)
                 self.health.record_success(ctx.endpoint.id)
                 return
-            except attempts.PlainCallLost as lost:
+            except attempts.PlainCallError as lost:
                 self._record_lost_call(ctx, lost)
                 tried_ids.add(ctx.endpoint.id)
-                if lost.unsent and unsent < _UNSENT_MAX:
+                if lost.unsent and unsent < _MAX_UNSENT_CALLS:
                     # The call was sent to no server, so the next attempt is
                     # not a retry and doesn't count toward the service's limit.
                     unsent += 1
@@ -99,7 +99,9 @@
         # Services may share a budget but have their own limits of attempts;
         # fetching the budget again applies the limit of this service.
         budget = self.budgets.of(ctx.service)
-        return _may_repeat(ctx) and budget.try_withdraw(ctx.progress.attempts)
+        return _is_safe_to_repeat(ctx) and budget.try_withdraw(
+            ctx.progress.attempts
+        )
 
     async def _run_call(
         self, ctx: context.Context, proceed: context.Handler
@@ -151,7 +153,7 @@
         )
 
     def _record_lost_call(
-        self, ctx: context.Context, lost: attempts.PlainCallLost
+        self, ctx: context.Context, lost: attempts.PlainCallError
     ) -> None:
         endpoint = ctx.endpoint
         peer_ids = [
@@ -193,7 +195,7 @@
     )
 
 
-def _may_repeat(ctx: context.Context) -> bool:
+def _is_safe_to_repeat(ctx: context.Context) -> bool:
     # All attempts of the request count, not only the last: a request that an
     # earlier attempt may have executed isn't safe to repeat even if the last
     # attempt found a closed port.
--- a/src/cowsliprill/entry/filters/urgency.py
+++ b/src/cowsliprill/entry/filters/priority_and_deadline.py
@@ -28,7 +28,9 @@
     return int(text)
 
 
-async def urgency(ctx: context.Context, proceed: context.Handler) -> None:
+async def set_priority_and_deadline(
+    ctx: context.Context, proceed: context.Handler
+) -> None:
     """Sets the priority and deadlines from the caller's headers.
 
     A caller may only lower its priority: otherwise every client would request
--- a/src/cowsliprill/entry/filters/route.py
+++ b/src/cowsliprill/entry/filters/route.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ByKind:
+class ServiceKindDispatcher:
     """Final handler of a chain; dispatches by the kind of the service.
 
     Attributes:
--- a/src/cowsliprill/entry/leases.py
+++ b/src/cowsliprill/entry/leases.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Leases:
+class LeaseTable:
     """Permissions by endpoint, checked right before a request is sent.
 
     The scheduler checks leases too, but this process may be paused for minutes
@@ -59,7 +59,7 @@
             grant.expires_at, now, fallback=False
         )
 
-    def fall_back(self, endpoint_ids: tuple[str, ...], now: float) -> None:
+    def use_fallback(self, endpoint_ids: tuple[str, ...], now: float) -> None:
         """Records that the coordinator of some endpoints grants no slots.
 
         The scheduler then uses a small fallback share of the slots until the
--- a/src/cowsliprill/entry/model_relay.py
+++ b/src/cowsliprill/entry/model_relay.py
@@ -14,7 +14,7 @@
 from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import placing
+from cowsliprill.entry import placement_backend
 from cowsliprill.entry import sinks
 from cowsliprill.observability import log as log_lib
 
@@ -59,10 +59,10 @@
     """
 
     calls: calls_lib.EngineCalls
-    scheduling: placing.Scheduling
-    leases: placing.Permissions
+    scheduling: placement_backend.Scheduling
+    leases: placement_backend.PermissionChecker
     cluster_state: cluster_state_lib.ClusterState
-    resumer: calls_lib.Resumer | None
+    resumer: calls_lib.StreamResumer | None
     report_leaving: ReportLeaving
     log: log_lib.Log
 
@@ -111,7 +111,7 @@
             connections_exhausted = isinstance(
                 error, engine_errors.ConnectionsSpent
             )
-            raise attempts.AttemptLost(
+            raise attempts.AttemptError(
                 endpoint.id,
                 messages.Stage.TRANSFER,
                 str(error),
@@ -125,7 +125,7 @@
 
     async def _reuse_or_prefill(
         self, ctx: context.Context
-    ) -> calls_lib.Prefilled | None:
+    ) -> calls_lib.FinishedPrefill | None:
         exported, ctx.exported_prefill = ctx.exported_prefill, None
         if exported is not None and ctx.start.reuses_prefill:
             return exported
@@ -138,7 +138,7 @@
         self.scheduling.post(messages.PrefillFinished(ctx.number))
         return prefilled
 
-    async def _prefill(self, ctx: context.Context) -> calls_lib.Prefilled:
+    async def _prefill(self, ctx: context.Context) -> calls_lib.FinishedPrefill:
         stage = messages.Stage.PREFILL
         endpoint = self._available_endpoint(ctx.start.prefill_id, stage)
         self._check_lease(ctx.start, ctx.start.decode_id, stage)
@@ -151,8 +151,8 @@
         return call.result
 
     async def _decode(
-        self, ctx: context.Context, prefilled: calls_lib.Prefilled | None
-    ) -> tuple[model.Endpoint, calls_lib.AnswerStream]:
+        self, ctx: context.Context, prefilled: calls_lib.FinishedPrefill | None
+    ) -> tuple[model.Endpoint, calls_lib.OutputStream]:
         stage = messages.Stage.TRANSFER
         try:
             endpoint = self._available_endpoint(ctx.start.decode_id, stage)
@@ -161,7 +161,7 @@
                 call.result = await self.calls.decode(
                     ctx, endpoint, prefilled, _remaining_time_s(ctx)
                 )
-        except attempts.AttemptLost as lost:
+        except attempts.AttemptError as lost:
             if prefilled is not None:
                 lost.kept_s = self._export_left_s(ctx)
             if lost.kept_s:
@@ -176,7 +176,9 @@
             raise
         return endpoint, call.result
 
-    def _discard_prefill(self, prefilled: calls_lib.Prefilled | None) -> None:
+    def _discard_prefill(
+        self, prefilled: calls_lib.FinishedPrefill | None
+    ) -> None:
         if prefilled is not None:
             self.calls.discard(prefilled)
 
@@ -201,7 +203,7 @@
         self,
         ctx: context.Context,
         endpoint: model.Endpoint,
-        stream: calls_lib.AnswerStream,
+        stream: calls_lib.OutputStream,
     ) -> None:
         sink = self.calls.sink(ctx, stream)
         before_first_token = True
@@ -218,7 +220,7 @@
                 ):
                     continue
                 if self._can_resume_elsewhere(ctx, broken):
-                    raise attempts.AttemptLost(
+                    raise attempts.AttemptError(
                         endpoint.id,
                         messages.Stage.DECODE,
                         str(broken),
@@ -239,14 +241,14 @@
                         "The stream broke and could not be resumed.",
                         run=messages.Executed.UNKNOWN,
                     ) from broken
-                raise attempts.AttemptLost(
+                raise attempts.AttemptError(
                     endpoint.id, messages.Stage.DECODE, str(broken)
                 ) from broken
 
     async def _relay_events(
         self,
         ctx: context.Context,
-        stream: calls_lib.AnswerStream,
+        stream: calls_lib.OutputStream,
         sink: sinks.Sink,
         *,
         before_first_token: bool,
@@ -293,7 +295,7 @@
                 if endpoint
                 else "the endpoint is not in the settings"
             )
-            raise attempts.AttemptLost(endpoint_id, stage, reason, unsent=True)
+            raise attempts.AttemptError(endpoint_id, stage, reason, unsent=True)
         return endpoint
 
     def _check_lease(
@@ -301,7 +303,7 @@
     ) -> None:
         now = clock.now()
         if not self.leases.allow(endpoint_id, start.decided_at, now):
-            raise attempts.AttemptLost(
+            raise attempts.AttemptError(
                 endpoint_id,
                 stage,
                 "its lease has run out",
@@ -372,7 +374,7 @@
                 f"The engine rejected the request: {error.message}",
                 run=self._ctx.progress.run,
             ) from error
-        raise attempts.AttemptLost(
+        raise attempts.AttemptError(
             self._endpoint.id,
             self._stage,
             str(error),
--- a/src/cowsliprill/entry/native.py
+++ b/src/cowsliprill/entry/native.py
@@ -124,22 +124,25 @@
         )
 
 
-def make(tools: dialect.Tools) -> "NativeDialect":
+def make(dependencies: dialect.Dependencies) -> "NativeDialect":
     """Creates the native dialect for a process.
 
     Args:
-      tools: Shared resources of the process, such as its HTTP client.
+      dependencies: Shared resources of the process, such as its HTTP client.
 
     Returns:
       The dialect.
     """
-    client = engine_client.EngineClient(tools.http)
+    client = engine_client.EngineClient(dependencies.http)
     return NativeDialect(
-        NativeEngineCalls(tools.incarnation, client),
+        NativeEngineCalls(dependencies.incarnation, client),
         NativePlainCalls(
-            tools.incarnation, service_client.ServiceClient(tools.http)
+            dependencies.incarnation,
+            service_client.ServiceClient(dependencies.http),
+        ),
+        stream_resume.StreamResumer(
+            client, dependencies.budgets, dependencies.metrics, dependencies.log
         ),
-        stream_resume.Resumer(client, tools.budgets, tools.metrics, tools.log),
     )
 
 
@@ -161,7 +164,7 @@
         self,
         engines: NativeEngineCalls,
         services: NativePlainCalls,
-        resumer: stream_resume.Resumer,
+        resumer: stream_resume.StreamResumer,
     ) -> None:
         self.engines = engines
         self.services = services
--- a/src/cowsliprill/entry/placing.py
+++ b/src/cowsliprill/entry/placement_backend.py
@@ -1,6 +1,6 @@
 """Placement backends of an entry process.
 
-`ByLeases` runs a scheduler in the entry process itself, on slots that it
+`LeasePlacement` runs a scheduler in the entry process itself, on slots that it
 leases from the engines' coordinators. `CoordinatorPlacement` sends the requests
 of each pool to the pool's coordinator, which places all of them.
 """
@@ -20,8 +20,8 @@
 from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import leases as leases_lib
-from cowsliprill.entry import scheduling as scheduler_task_lib
-from cowsliprill.entry import slot_asker
+from cowsliprill.entry import scheduler_task as scheduler_task_lib
+from cowsliprill.entry import slot_lease_client
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.pool_scheduling import client as scheduling_client
@@ -47,7 +47,7 @@
         """Removes the decision queue of a request."""
 
 
-class Permissions(Protocol):
+class PermissionChecker(Protocol):
     """Checks right before a call that its placement decision is still valid."""
 
     def allow(self, endpoint_id: str, decided_at: float, now: float) -> bool:
@@ -60,7 +60,7 @@
         """
 
 
-class Placing(Protocol):
+class PlacementBackend(Protocol):
     """Interface of a placement backend.
 
     Attributes:
@@ -69,20 +69,20 @@
     """
 
     scheduling: Scheduling
-    permissions: Permissions
+    permissions: PermissionChecker
 
-    def world_changed(self, snapshot: model.Snapshot) -> None:
+    def cluster_state_changed(self, snapshot: model.Snapshot) -> None:
         """Drops state of endpoints that are no longer in the settings."""
 
-    def work(self) -> list[Awaitable[None]]:
+    def background_work(self) -> list[Awaitable[None]]:
         """Returns the awaitables to run as background tasks."""
 
-    async def hand_back(self) -> None:
+    async def release_leases(self) -> None:
         """Returns all leased slots; call last at shutdown."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Tools:
+class Dependencies:
     """Dependencies of a placement backend.
 
     Attributes:
@@ -100,57 +100,57 @@
     availability_zone: str
     homes: coordinator_client.CoordinatorClient
     cluster_state: cluster_state_lib.ClusterState
-    canceller: canceller_lib.Canceller | canceller_lib.NoOrders
+    canceller: canceller_lib.Canceller | canceller_lib.NoOpCanceller
     metrics: metrics_lib.Metrics
     log: log_lib.Log
     random_source: random.Random
 
 
-MakePlacing = Callable[[Tools], Placing]
+MakeBackend = Callable[[Dependencies], PlacementBackend]
 
 
-class ByLeases:
+class LeasePlacement:
     """Placement by a local scheduler on slots leased from the coordinators.
 
     Args:
-      tools: Dependencies.
+      dependencies: Dependencies.
 
     Attributes:
       scheduling: Runs the scheduler.
       permissions: The slot leases.
     """
 
-    def __init__(self, tools: Tools) -> None:
-        self.permissions = leases_lib.Leases()
+    def __init__(self, dependencies: Dependencies) -> None:
+        self.permissions = leases_lib.LeaseTable()
         self.scheduling = scheduler_task_lib.Scheduling(
             scheduler_lib.Scheduler(
-                tools.availability_zone,
-                tools.random_source.getrandbits(_SEED_BITS),
+                dependencies.availability_zone,
+                dependencies.random_source.getrandbits(_SEED_BITS),
             ),
-            tools.incarnation,
-            tools.canceller,
+            dependencies.incarnation,
+            dependencies.canceller,
         )
-        self._slot_lease_client = slot_asker.SlotAsker(
-            tools.incarnation,
-            tools.homes,
+        self._slot_lease_client = slot_lease_client.SlotLeaseClient(
+            dependencies.incarnation,
+            dependencies.homes,
             self.scheduling,
             self.permissions,
-            tools.cluster_state,
-            tools.metrics,
-            tools.log,
+            dependencies.cluster_state,
+            dependencies.metrics,
+            dependencies.log,
         )
 
-    def world_changed(self, snapshot: model.Snapshot) -> None:
+    def cluster_state_changed(self, snapshot: model.Snapshot) -> None:
         """Drops the leases of endpoints that are no longer in the settings."""
         self.permissions.keep_only(set(snapshot.endpoints_by_id))
 
-    def work(self) -> list[Awaitable[None]]:
+    def background_work(self) -> list[Awaitable[None]]:
         """Returns the awaitables to run as background tasks."""
         return [self.scheduling.run(), self._slot_lease_client.run()]
 
-    async def hand_back(self) -> None:
+    async def release_leases(self) -> None:
         """Returns all leases to the coordinators."""
-        await self._slot_lease_client.hand_back()
+        await self._slot_lease_client.release_leases()
 
 
 class DecisionAgeCheck:
@@ -166,7 +166,7 @@
     """Placement of each pool's requests by the pool's coordinator.
 
     Args:
-      tools: Dependencies.
+      dependencies: Dependencies.
       post: Sends a request to a coordinator.
 
     Attributes:
@@ -175,22 +175,24 @@
     """
 
     def __init__(
-        self, tools: Tools, post: scheduling_client.SendToCoordinator
+        self,
+        dependencies: Dependencies,
+        post: scheduling_client.SendToCoordinator,
     ) -> None:
         self.permissions = DecisionAgeCheck()
         self.scheduling = scheduling_client.PoolSchedulingClient(
-            str(tools.incarnation),
+            str(dependencies.incarnation),
             post,
-            tools.cluster_state,
-            tools.log,
+            dependencies.cluster_state,
+            dependencies.log,
         )
 
-    def world_changed(self, snapshot: model.Snapshot) -> None:
+    def cluster_state_changed(self, snapshot: model.Snapshot) -> None:
         """Does nothing: slot state is kept by the coordinators."""
 
-    def work(self) -> list[Awaitable[None]]:
+    def background_work(self) -> list[Awaitable[None]]:
         """Returns the awaitables to run as background tasks."""
         return [self.scheduling.run()]
 
-    async def hand_back(self) -> None:
+    async def release_leases(self) -> None:
         """Does nothing: a coordinator times out an unresponsive process."""
--- a/src/cowsliprill/entry/plain_relay.py
+++ b/src/cowsliprill/entry/plain_relay.py
@@ -35,7 +35,7 @@
         """
         response = await self._call_service(ctx)
         if _should_retry(ctx, response):
-            raise attempts.PlainCallLost(
+            raise attempts.PlainCallError(
                 messages.Executed.UNKNOWN, f"status {response.status}", response
             )
         await relay_response(ctx, response)
@@ -47,7 +47,7 @@
         try:
             return await self.calls.call(ctx, progress)
         except engine_errors.CallError as error:
-            raise attempts.PlainCallLost(
+            raise attempts.PlainCallError(
                 error.run,
                 str(error),
                 unsent=isinstance(error, engine_errors.ConnectFailed),
--- a/src/cowsliprill/entry/routes.py
+++ b/src/cowsliprill/entry/routes.py
@@ -14,18 +14,18 @@
 from cowsliprill.entry import local_responses
 from cowsliprill.entry import model_relay
 from cowsliprill.entry import plain_relay
-from cowsliprill.entry.filters import accept
 from cowsliprill.entry.filters import admission
-from cowsliprill.entry.filters import arrival
+from cowsliprill.entry.filters import call_validation
+from cowsliprill.entry.filters import caller_deadlines
 from cowsliprill.entry.filters import idempotency
 from cowsliprill.entry.filters import identify
 from cowsliprill.entry.filters import model_placement
 from cowsliprill.entry.filters import plain_placement
+from cowsliprill.entry.filters import priority_and_deadline
 from cowsliprill.entry.filters import quota
 from cowsliprill.entry.filters import report
 from cowsliprill.entry.filters import resolve
 from cowsliprill.entry.filters import route
-from cowsliprill.entry.filters import urgency
 
 MODELS_PATH = "/v1/models"
 TICKETS_PATH = "/v1/tickets"
@@ -67,10 +67,10 @@
     return context.chain(
         [
             components.report,
-            accept.Accept(("POST",)),
+            call_validation.CallValidation(("POST",)),
             identify.identify,
             resolve.resolve_generation,
-            urgency.urgency,
+            priority_and_deadline.set_priority_and_deadline,
             components.idempotency,
             components.admission,
             components.model_placement,
@@ -84,10 +84,10 @@
     return context.chain(
         [
             components.report,
-            accept.Accept(),
+            call_validation.CallValidation(),
             identify.identify,
             resolve.resolve_plain,
-            urgency.urgency,
+            priority_and_deadline.set_priority_and_deadline,
             components.idempotency,
             components.admission,
             components.plain_placement,
@@ -100,7 +100,11 @@
     components: Components, method: str, final_handler: context.Handler
 ) -> context.Handler:
     return context.chain(
-        [components.report, accept.Accept((method,)), identify.identify],
+        [
+            components.report,
+            call_validation.CallValidation((method,)),
+            identify.identify,
+        ],
         final_handler,
     )
 
@@ -150,7 +154,7 @@
       components: Filters that hold state, and the final handlers of the chains.
       parse_call: Filter that parses a request once its service is known.
     """
-    by_kind = route.ByKind(
+    by_kind = route.ServiceKindDispatcher(
         generate=context.chain(
             [components.model_placement], components.model_relay
         ),
@@ -161,11 +165,11 @@
     handle = context.chain(
         [
             components.report,
-            accept.Accept(),
+            call_validation.CallValidation(),
             components.route,
             components.identify_by_route,
             parse_call,
-            arrival.Arrival(),
+            caller_deadlines.CallerDeadlines(),
             components.quota,
             components.admission,
         ],
--- a/src/cowsliprill/entry/scheduling.py
+++ b/src/cowsliprill/entry/scheduler_task.py
@@ -139,4 +139,4 @@
             self._incarnation, cancel.request_id, cancel.attempt
         )
         for endpoint_id in cancel.endpoint_ids:
-            self._canceller.order(endpoint_id, str(attempt))
+            self._canceller.enqueue(endpoint_id, str(attempt))
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_lease_client.py
@@ -19,7 +19,7 @@
 from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import leases as leases_lib
-from cowsliprill.entry import scheduling as scheduler_task_lib
+from cowsliprill.entry import scheduler_task as scheduler_task_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
@@ -48,7 +48,7 @@
     reachable: bool = True
 
 
-class SlotAsker:
+class SlotLeaseClient:
     """Acquires, renews and returns this process's slot leases.
 
     Args:
@@ -67,7 +67,7 @@
         incarnation: identity.Incarnation,
         coordinators: coordinator_client.CoordinatorClient,
         scheduling: scheduler_task_lib.Scheduling,
-        leases: leases_lib.Leases,
+        leases: leases_lib.LeaseTable,
         cluster_state: cluster_state_lib.ClusterState,
         metrics: metrics_lib.Metrics,
         log: log_lib.Log,
@@ -117,7 +117,7 @@
         for vm_id in self._coordinators_by_vm.keys() - vms_by_id.keys():
             self._coordinators_by_vm.pop(vm_id).task.cancel()
 
-    async def hand_back(self) -> None:
+    async def release_leases(self) -> None:
         """Returns all leases to the coordinators; call last at shutdown."""
         demands_by_vm = self._group_by_coordinator(
             [
@@ -271,7 +271,7 @@
         await asyncio.sleep(_ERROR_BACKOFF_S)
 
     def _use_fallback_share(self, endpoint_ids: tuple[str, ...]) -> None:
-        self._leases.fall_back(endpoint_ids, clock.now())
+        self._leases.use_fallback(endpoint_ids, clock.now())
         self._scheduling.post(messages.HomeUnreachable(endpoint_ids))
 
     def _group_by_coordinator(
--- a/src/cowsliprill/entry/stream_resume.py
+++ b/src/cowsliprill/entry/stream_resume.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Resumer:
+class StreamResumer:
     """Reopens broken streams of services whose settings allow resuming.
 
     Attributes:
--- a/src/cowsliprill/platform/dialect.py
+++ b/src/cowsliprill/platform/dialect.py
@@ -14,7 +14,7 @@
     """Speaks the platform's protocol to callers, engines and services.
 
     Args:
-      tools: What the process has.
+      dependencies: What the process has.
 
     Attributes:
       engines: Calls to engines.
@@ -24,9 +24,9 @@
 
     resumer = None
 
-    def __init__(self, tools: dialect.Tools) -> None:
-        self.engines = engines.Engines(tools.http, tools.log)
-        self.services = engines.Services(tools.http)
+    def __init__(self, dependencies: dialect.Dependencies) -> None:
+        self.engines = engines.Engines(dependencies.http, dependencies.log)
+        self.services = engines.Services(dependencies.http)
 
     def application(
         self, gate: gate_lib.Gate, components: routes.Components
--- a/src/cowsliprill/platform/engines.py
+++ b/src/cowsliprill/platform/engines.py
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Prefilled:
+class FinishedPrefill:
     """A finished prefill.
 
     Attributes:
@@ -87,7 +87,7 @@
 
     async def prefill(
         self, ctx: context.Context, endpoint: model.Endpoint, timeout_s: float
-    ) -> Prefilled:
+    ) -> FinishedPrefill:
         """Has the prompt read and kept; the request doesn't run by that."""
         extra = {headers_lib.STAGE: headers_lib.STAGE_PREFILL}
         response = await _send(
@@ -99,13 +99,13 @@
             handle = json.loads(body)["kvHandle"]
         except (ValueError, TypeError, KeyError) as error:
             raise errors.EngineFailed(f"no handle: {error!r}") from error
-        return Prefilled(endpoint=endpoint, handle=handle)
+        return FinishedPrefill(endpoint=endpoint, handle=handle)
 
     async def decode(
         self,
         ctx: context.Context,
         endpoint: model.Endpoint,
-        prefilled: Prefilled | None,
+        prefilled: FinishedPrefill | None,
         timeout_s: float,
     ) -> event_stream.EventStream:
         """Opens the stream of a request."""
@@ -136,7 +136,7 @@
             ctx.service.tokens_per_event,
         )
 
-    def discard(self, prefilled: Prefilled) -> None:
+    def discard(self, prefilled: FinishedPrefill) -> None:
         """Has the memory of a prefill freed that no decode will fetch."""
         task = asyncio.create_task(self._free(prefilled))
         self._frees.add(task)
@@ -148,7 +148,7 @@
         """Passes events on unchanged, under the engine's own headers."""
         return sinks.PassthroughSink(ctx, stream)
 
-    async def _free(self, prefilled: Prefilled) -> None:
+    async def _free(self, prefilled: FinishedPrefill) -> None:
         endpoint = prefilled.endpoint
         try:
             response = await self._http.call(
--- a/src/cowsliprill/router/core.py
+++ b/src/cowsliprill/router/core.py
@@ -19,7 +19,7 @@
 from cowsliprill.engines import http_client
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import core as entry_core
-from cowsliprill.entry import placing
+from cowsliprill.entry import placement_backend
 from cowsliprill.membership import agent as agent_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
@@ -279,12 +279,14 @@
         self._agent.publish_newest()
 
     def _create_placement(
-        self, tools: placing.Tools
-    ) -> placing.CoordinatorPlacement:
+        self, dependencies: placement_backend.Dependencies
+    ) -> placement_backend.CoordinatorPlacement:
         caller = coordinator_caller.CoordinatorCaller(
-            self._config.vm, self._pool_schedulers, tools.homes
+            self._config.vm, self._pool_schedulers, dependencies.homes
+        )
+        placement = placement_backend.CoordinatorPlacement(
+            dependencies, caller.post
         )
-        placement = placing.CoordinatorPlacement(tools, caller.post)
         self._scheduling = placement.scheduling
         return placement
 
--- a/tests/test_entry_suspension.py
+++ b/tests/test_entry_suspension.py
@@ -13,7 +13,7 @@
 from cowsliprill.decisions import messages
 from cowsliprill.entry import leases
 from cowsliprill.entry import model_relay
-from cowsliprill.entry import scheduling
+from cowsliprill.entry import scheduler_task
 from cowsliprill.entry.filters import plain_placement
 
 _BODY = {"model": "brief", "prompt": "a case file " * 40, "max_tokens": 3}
@@ -51,14 +51,14 @@
     """How long a lease allows requests to be sent to an endpoint."""
 
     def test_lease_expires(self):
-        granted = leases.Leases()
+        granted = leases.LeaseTable()
         assert not granted.allow("decode-0", 1.0, 1.0)
         granted.grant(_lease(3.0), 1.0)
         assert granted.allow("decode-0", 1.0, 2.9)
         assert not granted.allow("decode-0", 1.0, 3.0)
 
     def test_renewal_without_a_gap_keeps_earlier_decisions_valid(self):
-        granted = leases.Leases()
+        granted = leases.LeaseTable()
         granted.grant(_lease(3.0), 1.0)
         granted.grant(_lease(4.0), 2.0)
         assert granted.allow("decode-0", 1.5, 3.5)
@@ -69,7 +69,7 @@
         In between, its slot may have been leased to another entry process. The
         decode of a prefill decided before the gap would exceed the slots.
         """
-        granted = leases.Leases()
+        granted = leases.LeaseTable()
         granted.grant(_lease(3.0), 1.0)
         granted.grant(_lease(9.0), 7.0)
         assert not granted.allow("decode-0", 1.5, 7.5)
@@ -77,9 +77,9 @@
 
     def test_fallback_after_a_gap_allows_new_decisions_only(self):
         """As above, but the coordinator is unreachable after the suspension."""
-        granted = leases.Leases()
+        granted = leases.LeaseTable()
         granted.grant(_lease(3.0), 1.0)
-        granted.fall_back(("decode-0",), 7.0)
+        granted.use_fallback(("decode-0",), 7.0)
         assert not granted.allow("decode-0", 1.5, 7.5)
         assert granted.allow("decode-0", 7.0, 7.5)
 
@@ -90,8 +90,8 @@
         fallback share expired in the leases but not in the scheduler, so
         callers got `endpoint_failed` although the engine was idle.
         """
-        granted = leases.Leases()
-        granted.fall_back(("decode-0",), 1.0)
+        granted = leases.LeaseTable()
+        granted.use_fallback(("decode-0",), 1.0)
         for now in (2.0, 3.0, 4.0):
             granted.confirm_fallbacks(now)
         assert granted.allow("decode-0", 1.0, 5.0)
@@ -137,13 +137,13 @@
         reveal the first request.
         """
         submitted = []
-        submit = scheduling.Scheduling.submit
+        submit = scheduler_task.Scheduling.submit
 
         def capture(self, event):
             submitted.append(event)
             return submit(self, event)
 
-        monkeypatch.setattr(scheduling.Scheduling, "submit", capture)
+        monkeypatch.setattr(scheduler_task.Scheduling, "submit", capture)
         for customer in ("umurongo/amahoro", "umurongo/firm-1"):
             headers = {"X-Priority": "-3", "X-Deadline-Ms": "5000"}
             _call("POST", "/v1/completions", _BODY, headers, customer=customer)
--- a/tests/test_model_relay.py
+++ b/tests/test_model_relay.py
@@ -175,7 +175,7 @@
         harness.calls.on_prefill = lambda: (
             harness.cluster_state.remove_endpoint("d")
         )
-        with pytest.raises(attempts.AttemptLost) as lost:
+        with pytest.raises(attempts.AttemptError) as lost:
             harness.run()
         assert lost.value.unsent
         assert lost.value.kept_s > 0
@@ -192,7 +192,7 @@
         """
         harness = _Harness()
         harness.cluster_state.leaving = frozenset({name})
-        with pytest.raises(attempts.AttemptLost) as lost:
+        with pytest.raises(attempts.AttemptError) as lost:
             harness.run()
         assert lost.value.unsent
         assert lost.value.endpoint_id == name
@@ -205,7 +205,7 @@
             harness.cluster_state.leaving = frozenset({"d"})
 
         harness.calls.on_prefill = start_leaving
-        with pytest.raises(attempts.AttemptLost) as lost:
+        with pytest.raises(attempts.AttemptError) as lost:
             harness.run()
         assert lost.value.unsent
         assert harness.calls.decoded_from == []
--- a/tests/test_plain_call_outcomes.py
+++ b/tests/test_plain_call_outcomes.py
@@ -143,7 +143,9 @@
         return None
 
     with pytest.MonkeyPatch.context() as monkeypatch:
-        monkeypatch.setattr(plain_placement, "_UNSENT_MAX", _MAX_UNSENT_CALLS)
+        monkeypatch.setattr(
+            plain_placement, "_MAX_UNSENT_CALLS", _MAX_UNSENT_CALLS
+        )
         error = asyncio.run(run(monkeypatch))
     return statuses, error
 
@@ -226,7 +228,9 @@
         assert len({*servers.called_ids}) == _MAX_ATTEMPTS
 
     def test_executed_twice_without_the_idempotency_check(self, monkeypatch):
-        monkeypatch.setattr(plain_placement, "_may_repeat", lambda ctx: True)
+        monkeypatch.setattr(
+            plain_placement, "_is_safe_to_repeat", lambda ctx: True
+        )
         executions = [
             len([outcome for outcome in observed if outcome in _EXECUTED])
             for observed, _, _ in (
--- a/tests/test_slot_asker.py
+++ b/tests/test_slot_lease_client.py
@@ -9,7 +9,7 @@
 from cowsliprill.decisions import model
 from cowsliprill.dispatch import messages as slot_messages
 from cowsliprill.entry import leases
-from cowsliprill.entry import slot_asker
+from cowsliprill.entry import slot_lease_client
 from cowsliprill.observability import log
 from cowsliprill.observability import metrics
 
@@ -62,11 +62,11 @@
             FakeCoordinatorClient(),
             FakeScheduling(),
         )
-        client = slot_asker.SlotAsker(
+        client = slot_lease_client.SlotLeaseClient(
             identity.Incarnation("vm-0", "e0", "a"),
             coordinators,
             scheduling,
-            leases.Leases(),
+            leases.LeaseTable(),
             FakeClusterState(),
             metrics.Metrics(),
             log.open_log("test", io.StringIO()),
