--- a/src/cowsliprill/decisions/identity.py
+++ b/src/cowsliprill/decisions/identity.py
@@ -50,9 +50,9 @@
         """
         parts = text.split(".")
         if len(parts) != _INCARNATION_PART_COUNT:
-            raise IdentityError(f"invalid incarnation: {text!r}")
+            raise IdentityError(f"not an incarnation: {text!r}")
         if not all(_PART_PATTERN.fullmatch(part) for part in parts):
-            raise IdentityError(f"invalid incarnation: {text!r}")
+            raise IdentityError(f"not an incarnation: {text!r}")
         return cls(*parts)
 
 
@@ -94,6 +94,6 @@
         if len(parts) != _ATTEMPT_PART_COUNT or not all(
             part.isascii() and part.isdigit() for part in parts[3:]
         ):
-            raise IdentityError(f"invalid attempt id: {text!r}")
+            raise IdentityError(f"not an attempt id: {text!r}")
         incarnation = Incarnation.parse(".".join(parts[:3]))
         return cls(incarnation, int(parts[3]), int(parts[4]))
--- a/src/cowsliprill/dispatch/slot_lease_server.py
+++ b/src/cowsliprill/dispatch/slot_lease_server.py
@@ -215,13 +215,11 @@
     for demand in request.asks:
         if not 0 <= demand.in_use <= demand.want:
             raise errors.InvalidMessageError(
-                f"{demand.endpoint_id}: in_use {demand.in_use} is not between"
-                f" 0 and want {demand.want}"
+                f"{demand.endpoint_id}: in_use {demand.in_use},"
+                f" want {demand.want}"
             )
     if len({demand.endpoint_id for demand in request.asks}) < len(request.asks):
-        raise errors.InvalidMessageError(
-            "more than one slot demand for the same endpoint"
-        )
+        raise errors.InvalidMessageError("two asks for one endpoint")
     try:
         return identity.Incarnation.parse(request.entry)
     except identity.IdentityError as error:
--- a/src/cowsliprill/entry/authorization.py
+++ b/src/cowsliprill/entry/authorization.py
@@ -39,8 +39,7 @@
         if not self.source.accepts_api_keys():
             raise errors.EntryError(
                 errors.Code.SETTINGS_UNCONFIRMED,
-                "The settings are too old to tell whether the API key is"
-                " still valid.",
+                "This process can't tell whether the API key still holds.",
                 run=ctx.progress.run,
                 retry_after_s=_RETRY_AFTER_S,
             )
@@ -49,5 +48,5 @@
             not in self.cluster_state.snapshot.customers_by_key_hash
         ):
             raise errors.EntryError(
-                errors.Code.INVALID_API_KEY, "The API key is unknown."
+                errors.Code.INVALID_API_KEY, "The API key isn't known."
             )
--- a/src/cowsliprill/entry/errors.py
+++ b/src/cowsliprill/entry/errors.py
@@ -189,16 +189,12 @@
     """
     match status:
         case http.HTTPStatus.METHOD_NOT_ALLOWED:
-            return EntryError(
-                Code.METHOD_NOT_ALLOWED, "The HTTP method isn't supported."
-            )
+            return EntryError(Code.METHOD_NOT_ALLOWED, "No such method.")
         case _ if status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
-            return EntryError(
-                Code.INVALID_REQUEST, "The HTTP request is malformed."
-            )
+            return EntryError(Code.INVALID_REQUEST, "The request isn't valid.")
         case _:
             return EntryError(
                 Code.INTERNAL,
-                "Internal error of the entry process.",
+                "Something went wrong here.",
                 run=messages.Executed.UNKNOWN,
             )
--- a/src/cowsliprill/entry/filters/admission.py
+++ b/src/cowsliprill/entry/filters/admission.py
@@ -32,7 +32,7 @@
         if self.active_requests >= self.max_requests:
             raise errors.EntryError(
                 errors.Code.OVERLOADED,
-                "This process is at its limit of concurrent requests.",
+                "This process holds as many requests as it can.",
                 retry_after_s=_RETRY_AFTER_S,
             )
         self.active_requests += 1
--- a/src/cowsliprill/entry/filters/call_validation.py
+++ b/src/cowsliprill/entry/filters/call_validation.py
@@ -27,12 +27,12 @@
         if self.methods and ctx.call.method not in self.methods:
             raise errors.EntryError(
                 errors.Code.METHOD_NOT_ALLOWED,
-                f"{ctx.call.path} allows only {', '.join(self.methods)}.",
+                f"{ctx.call.path} takes {', '.join(self.methods)}.",
             )
         if not ctx.snapshot.revision:
             raise errors.EntryError(
                 errors.Code.NOT_READY,
-                "This process has not received its settings yet.",
+                "This process has no settings yet.",
                 retry_after_s=_RETRY_AFTER_S,
             )
         await proceed(ctx)
--- a/src/cowsliprill/entry/filters/idempotency.py
+++ b/src/cowsliprill/entry/filters/idempotency.py
@@ -46,8 +46,7 @@
         if len(key) > _MAX_KEY_BYTES or not key.isprintable():
             raise errors.EntryError(
                 errors.Code.INVALID_HEADER,
-                "An idempotency key must have at most"
-                f" {_MAX_KEY_BYTES} printable characters.",
+                f"An idempotency key has at most {_MAX_KEY_BYTES} characters.",
             )
         ctx.idempotency_key = key
         match self._claim(ctx, key):
@@ -155,38 +154,35 @@
         case tickets.InProgress():
             return errors.EntryError(
                 errors.Code.IN_PROGRESS,
-                "The first request with this key is still running.",
+                "The first request with this key still runs.",
                 run=unknown,
                 retry_after_s=_RETRY_AFTER_S,
             )
         case tickets.Mismatch():
             return errors.EntryError(
                 errors.Code.KEY_REUSED,
-                "This key was used for a different request; this one was not"
-                " executed.",
+                "This key belongs to another request; this one wasn't run.",
             )
         case tickets.Invalid():
             return errors.EntryError(
                 errors.Code.TICKET_INVALID,
-                "This ticket was not issued to you for this service.",
+                "This ticket wasn't given to you for this service.",
             )
         case tickets.Expired():
             return errors.EntryError(
                 errors.Code.TICKET_EXPIRED,
-                "This ticket has expired; whether its request was executed is"
-                " unknown.",
+                "This ticket is too old to be run, or to tell whether it was.",
                 run=unknown,
             )
         case tickets.StoreFull():
             return errors.EntryError(
                 errors.Code.TOO_MANY_KEYS,
-                "The store of idempotency keys is full.",
+                "No more keys can be remembered now.",
                 retry_after_s=_RETRY_AFTER_S,
             )
         case _:
             return errors.EntryError(
                 errors.Code.RESPONSE_NOT_STORED,
-                "A request with this key has ended, but its response is not"
-                " stored.",
+                "A request with this key has ended; its answer isn't stored.",
                 run=unknown,
             )
--- a/src/cowsliprill/entry/filters/identify.py
+++ b/src/cowsliprill/entry/filters/identify.py
@@ -55,7 +55,7 @@
     customer = snapshot.customers_by_key_hash.get(key_hash)
     if customer is None:
         raise errors.EntryError(
-            errors.Code.INVALID_API_KEY, "The API key is unknown."
+            errors.Code.INVALID_API_KEY, "The API key isn't known."
         )
     return customer
 
--- a/src/cowsliprill/entry/filters/model_placement.py
+++ b/src/cowsliprill/entry/filters/model_placement.py
@@ -20,14 +20,12 @@
 _MAX_LOGGED_WAIT_S = 1_000.0
 
 _MESSAGE_BY_REFUSAL_CODE = {
-    messages.RefusalCode.OVERLOADED: "The engines are overloaded.",
-    messages.RefusalCode.TARGET_UNREACHABLE: (
-        "The request can't meet its deadline."
-    ),
-    messages.RefusalCode.WAITED_TOO_LONG: "No slot became free in time.",
-    messages.RefusalCode.NO_ENDPOINT: "No engine is available.",
+    messages.RefusalCode.OVERLOADED: "There is no room for it now.",
+    messages.RefusalCode.TARGET_UNREACHABLE: ("It can't be in time now."),
+    messages.RefusalCode.WAITED_TOO_LONG: "No slot came free in time.",
+    messages.RefusalCode.NO_ENDPOINT: "No engine serves this now.",
     messages.RefusalCode.RETRY_BUDGET_SPENT: (
-        "The engines failed, and the retry budget is exhausted."
+        "Engines failed, and too many retries run already."
     ),
     messages.RefusalCode.ENDPOINT_FAILED: "The engines failed.",
 }
@@ -68,7 +66,7 @@
                 raise
             raise errors.EntryError(
                 errors.Code.TIMEOUT,
-                f"The request did not complete within {left_s:.3f} s.",
+                f"There was no answer within {left_s:.3f} s.",
                 run=ctx.progress.run,
             ) from error
         finally:
@@ -166,7 +164,7 @@
         if may_have_executed and ctx.service.idempotency is non_idempotent:
             raise errors.EntryError(
                 errors.Code.ENDPOINT_FAILED,
-                "The engines failed; the request may have been executed.",
+                "The engines failed; the request may have been run.",
                 run=messages.Executed.UNKNOWN,
             ) from lost
         self.scheduling.post(
--- a/src/cowsliprill/entry/filters/plain_placement.py
+++ b/src/cowsliprill/entry/filters/plain_placement.py
@@ -206,14 +206,10 @@
 
 def _failure_error(ctx: context.Context) -> errors.EntryError:
     may_have_executed = ctx.progress.run is messages.Executed.UNKNOWN
-    text = (
-        "the request may have been executed"
-        if may_have_executed
-        else "the request was not executed"
-    )
+    text = "it may have been run" if may_have_executed else "it was not run"
     return errors.EntryError(
         errors.Code.ENDPOINT_FAILED,
-        f"The service did not respond; {text}.",
+        f"The service gave no answer; {text}.",
         run=ctx.progress.run,
         retry_after_s=None if may_have_executed else _RETRY_AFTER_S,
     )
@@ -223,11 +219,7 @@
     ctx: context.Context, code: messages.RefusalCode
 ) -> errors.EntryError:
     target_missed = code is messages.RefusalCode.TARGET_UNREACHABLE
-    text = (
-        "The request can't meet its deadline."
-        if target_missed
-        else "No server is available."
-    )
+    text = "It can't be in time." if target_missed else "No server is free now."
     return errors.EntryError(
         code,
         text,
--- a/src/cowsliprill/entry/filters/priority_and_deadline.py
+++ b/src/cowsliprill/entry/filters/priority_and_deadline.py
@@ -18,12 +18,12 @@
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) < 12):
         raise errors.EntryError(
-            errors.Code.INVALID_HEADER, f"{name} must be an integer."
+            errors.Code.INVALID_HEADER, f"{name} isn't a whole number."
         )
     if not low <= int(text) <= high:
         raise errors.EntryError(
             errors.Code.INVALID_HEADER,
-            f"{name} must be between {low} and {high}.",
+            f"{name} isn't between {low} and {high}.",
         )
     return int(text)
 
--- a/src/cowsliprill/entry/filters/quota.py
+++ b/src/cowsliprill/entry/filters/quota.py
@@ -66,7 +66,7 @@
         if retry_after_s is not None:
             raise errors.EntryError(
                 errors.Code.QUOTA_EXCEEDED,
-                "The quota is exhausted.",
+                "The quota is used up.",
                 retry_after_s=retry_after_s,
             )
         try:
--- a/src/cowsliprill/entry/filters/report.py
+++ b/src/cowsliprill/entry/filters/report.py
@@ -144,6 +144,6 @@
 def _internal_error(ctx: context.Context) -> errors.EntryError:
     return errors.EntryError(
         errors.Code.INTERNAL,
-        f"Internal error; the request ID is {ctx.request_id}.",
+        f"Something went wrong here; ask about {ctx.request_id}.",
         run=ctx.progress.run,
     )
--- a/src/cowsliprill/entry/filters/resolve.py
+++ b/src/cowsliprill/entry/filters/resolve.py
@@ -74,7 +74,7 @@
         if service is not None:
             return service
     raise errors.EntryError(
-        errors.Code.SERVICE_NOT_FOUND, f"Service {name!r} was not found."
+        errors.Code.SERVICE_NOT_FOUND, f"There is no service {name!r} for you."
     )
 
 
@@ -88,8 +88,7 @@
     if service.kind is not model.ServiceKind.MODEL:
         raise errors.EntryError(
             errors.Code.SERVICE_NOT_FOUND,
-            f"{service.name!r} is a plain service; call it at"
-            f" {SERVICES_PATH}{service.name}/.",
+            f"{service.name!r} is called at {SERVICES_PATH}{service.name}/.",
         )
     _check_body_size(ctx.call.body, service)
     ctx.service = service
@@ -104,13 +103,12 @@
     if service.kind is not model.ServiceKind.PLAIN:
         raise errors.EntryError(
             errors.Code.SERVICE_NOT_FOUND,
-            f"{name!r} is a model service; call it at"
-            f" {protocol.COMPLETIONS_PATH}.",
+            f"{name!r} is called at {protocol.COMPLETIONS_PATH}.",
         )
     if ctx.call.method not in service.methods:
         raise errors.EntryError(
             errors.Code.METHOD_NOT_ALLOWED,
-            f"{name!r} allows only {', '.join(service.methods)}.",
+            f"{name!r} takes {', '.join(service.methods)}.",
         )
     _check_body_size(ctx.call.body, service)
     ctx.service = service
@@ -135,7 +133,7 @@
     if len(body) > service.max_body_bytes:
         raise errors.EntryError(
             errors.Code.BODY_TOO_LARGE,
-            f"The body exceeds {service.max_body_bytes} bytes.",
+            f"The body has over {service.max_body_bytes} bytes.",
         )
 
 
@@ -150,7 +148,7 @@
     if prompt_tokens > service.max_prompt_tokens:
         raise errors.EntryError(
             errors.Code.PROMPT_TOO_LARGE,
-            f"The prompt has about {prompt_tokens} tokens; the limit is"
+            f"The prompt has about {prompt_tokens} tokens, over"
             f" {service.max_prompt_tokens}.",
         )
     salt = ctx.customer.id
@@ -158,8 +156,7 @@
     if output_tokens > service.max_output_tokens:
         raise errors.EntryError(
             errors.Code.OUTPUT_TOO_LARGE,
-            "The requested output length exceeds the limit of"
-            f" {service.max_output_tokens} tokens.",
+            f"At most {service.max_output_tokens} tokens are generated.",
         )
     return context.Generation(
         request=request,
--- a/src/cowsliprill/entry/filters/route.py
+++ b/src/cowsliprill/entry/filters/route.py
@@ -30,7 +30,7 @@
         if route is None:
             raise errors.EntryError(
                 errors.Code.PATH_NOT_FOUND,
-                f"No route matches {host}{ctx.call.path}.",
+                f"No route leads to {host}{ctx.call.path}.",
             )
         service_id = routing.pick_service(route, self.random_source)
         ctx.route = route
--- a/src/cowsliprill/entry/gate.py
+++ b/src/cowsliprill/entry/gate.py
@@ -115,7 +115,7 @@
             return None
         return errors.EntryError(
             errors.Code.LEAVING,
-            "This process is shutting down.",
+            "This process is leaving.",
             retry_after_s=0.0,
         )
 
@@ -129,12 +129,12 @@
         if size > limit:
             return errors.EntryError(
                 errors.Code.BODY_TOO_LARGE,
-                f"The request body exceeds {limit} bytes.",
+                f"The body has over {limit} bytes.",
             )
         if self.buffered_bytes + size > _MAX_BUFFERED_BYTES:
             return errors.EntryError(
                 errors.Code.OVERLOADED,
-                "This process has no memory left to buffer request bodies.",
+                "This process holds as many bodies as it can.",
                 retry_after_s=_RETRY_AFTER_S,
             )
         return None
--- a/src/cowsliprill/entry/handlers.py
+++ b/src/cowsliprill/entry/handlers.py
@@ -71,7 +71,7 @@
         if size + len(self.request.uri or "") > limit:
             self._rejection = self._rejection or errors.EntryError(
                 errors.Code.HEADERS_TOO_LARGE,
-                f"The request headers exceed {limit} bytes.",
+                f"The headers have over {limit} bytes.",
             )
         length = headers.get("Content-Length", "0")
         if length.isdigit():
@@ -220,8 +220,7 @@
             return None
         return errors.EntryError(
             errors.Code.NOT_A_PEER,
-            "The signature isn't that of a peer; only peers may forward"
-            " requests.",
+            "Only peers may pass requests on.",
         )
 
     def _check_owner(self, owner: str) -> errors.EntryError | None:
@@ -232,7 +231,7 @@
 
 async def _not_found(ctx: context.Context) -> None:
     raise errors.EntryError(
-        errors.Code.PATH_NOT_FOUND, f"No resource at {ctx.call.path}."
+        errors.Code.PATH_NOT_FOUND, f"There is nothing at {ctx.call.path}."
     )
 
 
--- a/src/cowsliprill/entry/local_responses.py
+++ b/src/cowsliprill/entry/local_responses.py
@@ -45,7 +45,7 @@
       errors.EntryError: Always, with `PATH_NOT_FOUND`.
     """
     raise errors.EntryError(
-        errors.Code.PATH_NOT_FOUND, f"No resource at {ctx.call.path}."
+        errors.Code.PATH_NOT_FOUND, f"There is nothing at {ctx.call.path}."
     )
 
 
--- a/src/cowsliprill/entry/model_relay.py
+++ b/src/cowsliprill/entry/model_relay.py
@@ -238,7 +238,7 @@
                     )
                     raise errors.EntryError(
                         errors.Code.STREAM_BROKEN,
-                        "The stream broke and could not be resumed.",
+                        "The stream broke and couldn't be resumed.",
                         run=messages.Executed.UNKNOWN,
                     ) from broken
                 raise attempts.AttemptError(
@@ -371,7 +371,7 @@
         if refused and error.code in _CLIENT_ERROR_CODES:
             raise errors.EntryError(
                 errors.Code.ENDPOINT_REFUSED,
-                f"The engine rejected the request: {error.message}",
+                f"The engine refused it: {error.message}",
                 run=self._ctx.progress.run,
             ) from error
         raise attempts.AttemptError(
--- a/src/cowsliprill/entry/schema.py
+++ b/src/cowsliprill/entry/schema.py
@@ -105,11 +105,11 @@
         fields = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise errors.EntryError(
-            errors.Code.INVALID_JSON, "The request body isn't valid JSON."
+            errors.Code.INVALID_JSON, "The body isn't valid JSON."
         ) from error
     if not isinstance(fields, dict):
         raise errors.EntryError(
-            errors.Code.INVALID_JSON, "The request body isn't a JSON object."
+            errors.Code.INVALID_JSON, "The body isn't a JSON object."
         )
     return fields
 
--- a/src/cowsliprill/entry/ticket_forwarding.py
+++ b/src/cowsliprill/entry/ticket_forwarding.py
@@ -83,7 +83,7 @@
                 ctx.response_writer.abort()
             raise errors.EntryError(
                 errors.Code.TICKET_OWNER_UNREACHABLE,
-                "The process that owns this ticket is unreachable.",
+                "The process that owns this ticket can't be reached.",
                 run=messages.Executed.UNKNOWN,
                 retry_after_s=_RETRY_AFTER_S,
             ) from error
@@ -193,7 +193,7 @@
     """Returns the error for a ticket whose owner process has ended."""
     return errors.EntryError(
         errors.Code.TICKET_OWNER_GONE,
-        "The process that owns this ticket has ended. The request is not"
-        " executed again.",
+        "The process that owns this ticket is gone. The request is never run"
+        " again.",
         run=messages.Executed.UNKNOWN,
     )
