--- a/src/cowsliprill/settings/__init__.py
+++ b/src/cowsliprill/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: their tree, their checks, and the process that reads them."""
+"""Settings: schema, validation, and the process that distributes them."""
--- a/src/cowsliprill/settings/__main__.py
+++ b/src/cowsliprill/settings/__main__.py
@@ -7,14 +7,14 @@
 
 
 def main() -> int:
-    """Runs the process.
+    """Runs the settings process until it exits.
 
     Returns:
       The exit code.
     """
     return launcher.run(
         "cowsliprill-settings",
-        "Run a VM's settings process, its reader of the platform.",
+        "Run a VM's settings process, which watches the platform.",
         core.serve,
     )
 
--- a/src/cowsliprill/settings/changes.py
+++ b/src/cowsliprill/settings/changes.py
@@ -1,4 +1,4 @@
-"""Waiting for the next change of something that one task owns."""
+"""Change notification between asyncio tasks."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,28 +6,28 @@
 
 
 class Changes:
-    """Wakes all who wait, at each change."""
+    """Wakes all waiting tasks at each change, like a condition variable."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
 
     def notify(self) -> None:
-        """Wakes all who wait now."""
+        """Wakes all tasks that are waiting now."""
         event, self._event = self._event, asyncio.Event()
         event.set()
 
     def wait(self, timeout_s: float) -> Coroutine[Any, Any, bool]:
         """Waits for the next change after this call.
 
-        The call itself marks the moment, not the first step of the coroutine
-        that it returns: a change between the two would otherwise be missed,
-        and be told to peers only at the next regular exchange.
+        The wait covers changes from this call on, not only from the first
+        step of the returned coroutine. A change between the two would
+        otherwise be missed and reach peers only with the next periodic gossip.
 
         Args:
-          timeout_s: How long at most, seconds.
+          timeout_s: Timeout in seconds.
 
         Returns:
-          A coroutine that tells whether there was one.
+          A coroutine that returns True after a change, False on timeout.
         """
         return _wait(self._event, timeout_s)
 
--- a/src/cowsliprill/settings/controller.py
+++ b/src/cowsliprill/settings/controller.py
@@ -1,8 +1,8 @@
-"""The task that owns the settings in force on this VM.
+"""Controller of the settings that are active on this VM.
 
-Versions heard of come in as offers, one queue for the platform and all peers.
-They are looked at one after the other: what is newer is fetched, checked as a
-whole and put in force.
+Versions announced by the platform or by peers enter one queue as candidates.
+A single task processes them in order: it fetches each newer version, validates
+it as a whole and activates it.
 """
 
 import asyncio
@@ -23,13 +23,14 @@
 from cowsliprill.settings import resolve
 from cowsliprill.settings import store as store_lib
 
-# Peers offer again at the next exchange, so offers beyond this may be lost.
-_MAX_OFFERS = 64
-_AUDITED_CHANGES = 20
+# Peers announce versions again at the next exchange, so candidates beyond
+# this limit may be dropped.
+_MAX_QUEUED_CANDIDATES = 64
+_MAX_AUDITED_CHANGES = 20
 
 
 class Outcome(enum.StrEnum):
-    """What became of an offer."""
+    """Result of processing a candidate version."""
 
     ACCEPTED = "accepted"
     UNCHANGED = "unchanged"
@@ -39,43 +40,44 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Offer:
-    """A version heard of.
+class Candidate:
+    """An announced version that waits in the queue.
 
     Attributes:
-      head: Its head.
-      heard_at: Where: URL of a settings process, or empty for the platform.
-      outcome: Gets what became of it.
+      head: Head of the version.
+      source_url: URL of the settings process that announced the version, or
+        empty for the platform.
+      outcome: Future that receives the result.
     """
 
     head: parts.Head
-    heard_at: str
+    source_url: str
     outcome: asyncio.Future[Outcome]
 
 
 def version_of(head: parts.Head) -> revision.Version:
-    """Returns the version that a head names."""
+    """Returns the version identified by a head."""
     return revision.Version(head.revision, head.index)
 
 
 class SettingsController:
-    """Owns the version in force, its texts and its snapshot.
+    """Holds the active version, its parts and its resolved snapshot.
 
     Args:
-      store: Texts of the parts.
-      fetcher: Completes the store.
-      resolver: Checks and resolves.
-      log: This process's log.
-      metrics: This process's metrics.
-      audit: This VM's audit trail.
+      store: Store of the parts.
+      fetcher: Fetches missing parts into the store.
+      resolver: Validates and resolves a version.
+      log: Log of this process.
+      metrics: Metrics of this process.
+      audit: Audit trail of this VM.
 
     Attributes:
-      head: Head of the version in force, None before the first.
-      snapshot: The settings in force.
-      heard_at: Where that version was heard of: a URL, or empty for the
-        platform.
-      in_force_since: When they came into force, seconds.
-      changes: Notified after each change.
+      head: Head of the active version, None before the first.
+      snapshot: The active settings.
+      source_url: URL of the settings process that announced the active
+        version, or empty for the platform.
+      active_since: Time of activation in seconds.
+      changes: Notified after each activation.
     """
 
     def __init__(
@@ -89,68 +91,71 @@
     ) -> None:
         self.head: parts.Head | None = None
         self.snapshot = model.Snapshot()
-        self.heard_at = ""
-        self.in_force_since = 0.0
+        self.source_url = ""
+        self.active_since = 0.0
         self.changes = changes_lib.Changes()
         self._store = store
         self._fetcher = fetcher
         self._log = log
         self._metrics = metrics
         self._audit = audit
-        self._keeper = revision.Keeper()
+        self._tracker = revision.Keeper()
         self._resolver = resolver
-        self._offers: asyncio.Queue[Offer] = asyncio.Queue(_MAX_OFFERS)
+        self._candidates: asyncio.Queue[Candidate] = asyncio.Queue(
+            _MAX_QUEUED_CANDIDATES
+        )
         self._reported_conflict = revision.Version()
         metrics.revision.set({}, 0)
 
     @property
     def version(self) -> revision.Version:
-        """The version in force."""
-        return self._keeper.in_force
+        """The active version."""
+        return self._tracker.in_force
 
-    def wants(self, version: revision.Version) -> bool:
-        """Returns whether a version's head is worth reading."""
-        return self._keeper.judge(version) is revision.Verdict.NEWER
+    def should_fetch(self, version: revision.Version) -> bool:
+        """Returns whether a version is newer and was not rejected before."""
+        return self._tracker.judge(version) is revision.Verdict.NEWER
 
     def refused(self) -> dict[revision.Version, str]:
-        """Returns the versions refused lately and why."""
-        return self._keeper.refused()
+        """Returns the recently rejected versions with the reasons."""
+        return self._tracker.refused()
 
-    async def offer(self, head: parts.Head, heard_at: str) -> Outcome:
-        """Offers a version and waits for what becomes of it.
+    async def offer(self, head: parts.Head, source_url: str) -> Outcome:
+        """Queues a version as a candidate and waits for the outcome.
 
         Args:
-          head: Its head.
-          heard_at: Where it was heard of: a URL, or empty for the platform.
+          head: Head of the version.
+          source_url: URL of the settings process that announced the version,
+            or empty for the platform.
 
         Returns:
-          The outcome; INCOMPLETE too if there are too many offers.
+          The outcome; INCOMPLETE also if the queue is full.
         """
-        known = self._without_reading(head)
-        if known is not None:
-            return known
+        known_outcome = self._known_outcome(head)
+        if known_outcome is not None:
+            return known_outcome
         outcome = asyncio.get_running_loop().create_future()
         try:
-            self._offers.put_nowait(Offer(head, heard_at, outcome))
+            self._candidates.put_nowait(Candidate(head, source_url, outcome))
         except asyncio.QueueFull:
             return Outcome.INCOMPLETE
         return await outcome
 
     async def run(self) -> None:
-        """Looks at offers until cancelled."""
+        """Processes queued candidates until cancelled."""
         while True:
-            offer = await self._offers.get()
-            outcome = self._without_reading(offer.head)
+            offer = await self._candidates.get()
+            outcome = self._known_outcome(offer.head)
             if outcome is None:
-                outcome = await self._consider(offer)
+                outcome = await self._process(offer)
             if not offer.outcome.done():
                 offer.outcome.set_result(outcome)
 
-    def _without_reading(self, head: parts.Head) -> Outcome | None:
+    def _known_outcome(self, head: parts.Head) -> Outcome | None:
         version = version_of(head)
-        if self._keeper.conflicts(version):
+        if self._tracker.conflicts(version):
             self._report_conflict(head)
-        match self._keeper.judge(version):
+        match self._tracker.judge(version):
             case revision.Verdict.IN_FORCE:
                 return Outcome.UNCHANGED
             case revision.Verdict.OLDER:
@@ -160,44 +165,46 @@
             case revision.Verdict.NEWER:
                 return None
 
-    async def _consider(self, offer: Offer) -> Outcome:
+    async def _process(self, offer: Candidate) -> Outcome:
         head = offer.head
         try:
-            index = await self._fetcher.complete(head, offer.heard_at)
+            index = await self._fetcher.complete(head, offer.source_url)
         except errors.SettingsError as error:
             if error.code != "part_missing":
-                return self._refuse(head, error)
-            self._note("settings_incomplete", head, error)
+                return self._reject(head, error)
+            self._log_failure("settings_incomplete", head, error)
             return Outcome.INCOMPLETE
         except Exception as error:
-            # A source answered in a way that no check foresaw; see below. It
-            # says nothing of the revision, which another source may give.
-            fault = errors.SettingsError(repr(error), code="internal_error")
-            self._note("settings_incomplete", head, fault)
+            # An unexpected response from a source must not end this task, and
+            # doesn't invalidate the revision: another source may have it.
+            internal_error = errors.SettingsError(
+                repr(error), code="internal_error"
+            )
+            self._log_failure("settings_incomplete", head, internal_error)
             return Outcome.INCOMPLETE
         try:
             snapshot = self._resolver.resolve(
                 head.revision, index, self._store.held
             )
         except errors.SettingsError as error:
-            return self._refuse(head, error)
+            return self._reject(head, error)
         except Exception as error:
-            # A fault in the checks themselves. Were this task to end of it,
-            # no later revision would come into force here, and the offer's
-            # sender would wait for ever.
-            return self._refuse(
+            # A bug in validation must not end this task: no later revision
+            # would become active on this VM, and the caller of `offer` would
+            # wait forever.
+            return self._reject(
                 head, errors.SettingsError(repr(error), code="internal_error")
             )
-        if not self._keeper.accept(version_of(head)):
+        if not self._tracker.accept(version_of(head)):
             return Outcome.OLDER
-        self.heard_at = offer.heard_at
-        self._put_in_force(head, index, snapshot)
+        self.source_url = offer.source_url
+        self._activate(head, index, snapshot)
         return Outcome.ACCEPTED
 
-    def _refuse(self, head: parts.Head, error: errors.SettingsError) -> Outcome:
-        self._keeper.refuse(version_of(head), f"{error.code}: {error}")
-        self._store.drop_pending()
-        self._note("settings_refused", head, error)
+    def _reject(self, head: parts.Head, error: errors.SettingsError) -> Outcome:
+        self._tracker.refuse(version_of(head), f"{error.code}: {error}")
+        self._store.drop_unreferenced()
+        self._log_failure("settings_refused", head, error)
         self._audit.record(
             "settings_refused",
             revision=head.revision,
@@ -208,7 +215,7 @@
         )
         return Outcome.INVALID
 
-    def _note(
+    def _log_failure(
         self, event: str, head: parts.Head, error: errors.SettingsError
     ) -> None:
         self._metrics.events.inc({"event": event})
@@ -221,56 +228,62 @@
             reason=str(error),
         )
 
-    def _put_in_force(
+    def _activate(
         self,
         head: parts.Head,
         index: dict[str, str],
         snapshot: model.Snapshot,
     ) -> None:
-        old, old_index = self.snapshot, self._store.hashes_by_part
-        self._store.put_in_force(head.index, index)
+        previous_snapshot, previous_index = (
+            self.snapshot,
+            self._store.hashes_by_part,
+        )
+        self._store.activate(head.index, index)
         self.head, self.snapshot = head, snapshot
-        self.in_force_since = clock.now()
+        self.active_since = clock.now()
         self._metrics.revision.set({}, head.revision)
         self._log.event(
             "settings_in_force",
             revision=head.revision,
             index=head.index,
-            previous=old.revision,
+            previous=previous_snapshot.revision,
             published_by=head.published_by,
         )
-        self._audit_change(head, old, old_index)
+        self._audit_change(head, previous_snapshot, previous_index)
         self.changes.notify()
 
     def _audit_change(
         self,
         head: parts.Head,
-        old: model.Snapshot,
-        old_index: dict[str, str],
+        previous_snapshot: model.Snapshot,
+        previous_index: dict[str, str],
     ) -> None:
         index = self._store.hashes_by_part
         changed_parts = sorted(
             part
-            for part in old_index.keys() | index.keys()
-            if old_index.get(part) != index.get(part)
+            for part in previous_index.keys() | index.keys()
+            if previous_index.get(part) != index.get(part)
         )
-        found = difference.changes(old, self.snapshot)
+        differences = difference.changes(previous_snapshot, self.snapshot)
         self._audit.record(
             "settings_in_force",
             revision=head.revision,
-            previous=old.revision,
+            previous=previous_snapshot.revision,
             index=head.index,
             published_by=head.published_by,
             published_at=head.published_at,
-            parts=changed_parts[:_AUDITED_CHANGES],
+            parts=changed_parts[:_MAX_AUDITED_CHANGES],
             changed_parts=len(changed_parts),
-            changes=[str(change) for change in found[:_AUDITED_CHANGES]],
-            changed=len(found),
+            changes=[
+                str(change) for change in differences[:_MAX_AUDITED_CHANGES]
+            ],
+            changed=len(differences),
         )
 
     def _report_conflict(self, head: parts.Head) -> None:
-        # Two operators published one number. One of the two believes that his
-        # change is in force everywhere, and it isn't: he has to be told.
+        # Two operators published different versions under one revision number.
+        # One of them wrongly believes that the change is active; both must be
+        # able to see the conflict.
         version = version_of(head)
         if version == self._reported_conflict:
             return
--- a/src/cowsliprill/settings/core.py
+++ b/src/cowsliprill/settings/core.py
@@ -1,4 +1,7 @@
-"""The settings process: one a VM, its only reader of the platform."""
+"""Entry point of the settings process.
+
+Each VM runs one; no other process on the VM reads settings from the platform.
+"""
 
 from cowsliprill import environment as environment_lib
 from cowsliprill import process
@@ -10,16 +13,16 @@
 
 
 async def serve(environment: environment_lib.Environment) -> None:
-    """Runs the settings process until it is told to stop.
+    """Runs the settings process until it is asked to stop.
 
     Args:
-      environment: What the process was told about itself.
+      environment: Configuration from the environment variables.
     """
     log = log_lib.open_log(f"settings.{environment.vm}")
     metrics = metrics_lib.Metrics()
     audit = audit_lib.AuditTrail(environment.vm)
     service = service_lib.SettingsService(environment, log, metrics, audit)
-    shell = process.Process(
+    http_process = process.Process(
         environment,
         log,
         metrics,
@@ -27,7 +30,7 @@
         status=service.status,
         drain=service.stop,
     )
-    shell.listen(handlers.routes(service))
-    service.url = f"http://{environment.host}:{shell.port}"
+    http_process.listen(handlers.routes(service))
+    service.url = f"http://{environment.host}:{http_process.port}"
     service.start()
-    await shell.run_until_stopped()
+    await http_process.run_until_stopped()
--- a/src/cowsliprill/settings/errors.py
+++ b/src/cowsliprill/settings/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the settings, with the codes that operators see."""
+"""Exceptions of the settings, with the error codes shown to operators."""
 
 from cowsliprill import errors
 
 
 class SettingsError(errors.CowsliprillError):
-    """Raised for settings that can't be accepted.
+    """Raised for settings that are invalid or incomplete.
 
     Codes: `settings_invalid`, `settings_not_json`, `unknown_name`,
     `value_too_large`, `part_mismatch`, `part_missing`.
@@ -15,7 +15,7 @@
 
 
 class PlatformError(errors.CowsliprillError):
-    """Raised when the platform gives no usable answer.
+    """Raised when the platform is unavailable or its response is invalid.
 
     Codes: `platform_unavailable`, `value_missing`, `value_too_large`,
     `value_invalid`.
--- a/src/cowsliprill/settings/exchange.py
+++ b/src/cowsliprill/settings/exchange.py
@@ -1,10 +1,10 @@
-"""The exchange of versions and VM news between settings processes.
+"""Gossip of settings versions and leaving notices between settings processes.
 
-A process that puts a version in force or hears news tells a few peers at once
-(about ln n of them); besides, each speaks with one drawn peer every few
-seconds, so that what was lost on the way, or held back by a partition, arrives
-after all. One message serves for both, and its answer is the same message the
-other way.
+A process that activates a version or receives a leaving notice announces it to
+about ln n random peers at once. In addition, each process contacts one random
+peer every few seconds (anti-entropy), which repairs messages lost on the way or
+blocked by a partition. Both use the same message, and the reply is a message of
+the same type.
 """
 
 import asyncio
@@ -26,27 +26,27 @@
 from cowsliprill.settings import fleet as fleet_lib
 from cowsliprill.settings import parts
 
-INTERVAL_S = 3.0
+GOSSIP_INTERVAL_S = 3.0
 
 _STATUS_OK = 200
 _CALL_TIMEOUT_S = 2.0
 
-# A peer's VM list is taken over only when it was read this much later than
-# ours, so that lists aren't passed to and fro while the platform is up.
-_LIST_MARGIN_S = 10.0
+# A peer's VM list replaces the local one only if read from the platform this
+# much later, so that peers don't swap lists while the platform is up.
+_MIN_VM_LIST_AGE_GAIN_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Exchange:
-    """What one settings process tells another.
+    """Gossip message between two settings processes.
 
     Attributes:
       url: URL of the sender.
-      revision: Revision in force at the sender, 0 for none.
-      index: Hash of its index.
-      list_age_s: How long ago its VM list was read from the platform; negative
-        for never.
-      leaving: News of leaving endpoints.
+      revision: Revision active at the sender, 0 for none.
+      index: Hash of the index of that revision.
+      list_age_s: Age of the sender's VM list in seconds since the read from
+        the platform; negative if never read.
+      leaving: Leaving notices of endpoints.
     """
 
     url: str
@@ -57,31 +57,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Told:
-    """What peers were told of."""
+class _Announced:
+    """State that was announced to peers: version and leaving notice ids."""
 
     version: revision.Version = revision.Version()
     item_ids: frozenset[tuple[str, str, int]] = frozenset()
 
-    def adds_to(self, told: "_Told") -> bool:
-        """Returns whether there is anything that was not told yet."""
-        newer = self.version > told.version
-        return newer or not self.item_ids <= told.item_ids
+    def has_updates_since(self, announced: "_Announced") -> bool:
+        """Returns whether any of this state was not announced yet."""
+        newer = self.version > announced.version
+        return newer or not self.item_ids <= announced.item_ids
 
 
-class PeerExchange:
-    """Speaks with the other VMs' settings processes.
+class SettingsGossip:
+    """Gossips with the settings processes of the other VMs.
 
     Args:
-      own_url: Returns this process's own URL.
-      boot_peers: URLs to ask before the VM list is known.
-      settings: Owner of the settings.
-      fleet: Owner of the VM list and the news.
+      own_url: Returns the URL of this process.
+      boot_peers: URLs of peers to contact before the VM list is known.
+      settings: Controller of the active settings.
+      fleet: Controller of the VM list and the leaving notices.
       client: HTTP client.
-      auth: Signs and checks.
-      random_source: Draws peers and intervals.
-      log: This process's log.
-      metrics: This process's metrics.
+      auth: Signs and verifies message bodies.
+      random_source: Source for peer selection and jitter.
+      log: Log of this process.
+      metrics: Metrics of this process.
     """
 
     def __init__(
@@ -108,64 +108,68 @@
         self._tasks: set[asyncio.Task] = set()
 
     def peer_urls(self) -> list[str]:
-        """Returns the peers known: those of the list, else the boot peers."""
-        listed = self._fleet.other_entry_urls()
-        return listed or [
+        """Returns URLs of the listed peers, or the boot peers if none."""
+        listed_urls = self._fleet.other_entry_urls()
+        return listed_urls or [
             url for url in self._boot_peers if url != self._own_url()
         ]
 
-    async def ask_boot_peers(self) -> None:
-        """Speaks with every boot peer once, before this VM is ready.
+    async def query_boot_peers(self) -> None:
+        """Exchanges messages with all boot peers before this VM is ready.
 
-        A platform that is down gives a new VM nothing, and a stale one gives
-        it a revision that is no longer in force elsewhere; its callers would
-        meet rules that were changed long ago. Peers know better.
+        A new VM gets no settings from a platform that is down, and an outdated
+        revision from a stale one, and would then apply outdated rules to its
+        callers. Boot peers supply the revision that is active elsewhere.
         """
-        await asyncio.gather(*(self._speak(url) for url in self._boot_peers))
+        await asyncio.gather(
+            *(self._exchange_with(url) for url in self._boot_peers)
+        )
 
     async def run(self) -> None:
-        """Speaks with peers until cancelled."""
-        told = _Told()
+        """Gossips with peers until cancelled."""
+        announced = _Announced()
         while True:
-            to_tell = self._to_tell()
-            if to_tell.adds_to(told):
-                await self._speak_with(self._fan_out(to_tell, told))
-            elif not await self._wait_for_news():
-                await self._speak_with(1)
-            told = to_tell
-
-    def _to_tell(self) -> "_Told":
+            current = self._current_state()
+            if current.has_updates_since(announced):
+                await self._exchange_with_random_peers(
+                    self._fan_out(current, announced)
+                )
+            elif not await self._wait_for_update():
+                await self._exchange_with_random_peers(1)
+            announced = current
+
+    def _current_state(self) -> "_Announced":
         items = self._fleet.leaving_items()
         ids = {(item.endpoint_id, item.origin, item.number) for item in items}
-        return _Told(self._settings.version, frozenset(ids))
+        return _Announced(self._settings.version, frozenset(ids))
 
-    def _fan_out(self, to_tell: "_Told", told: "_Told") -> int:
-        from_platform = not self._settings.heard_at
-        only_settings = to_tell.item_ids <= told.item_ids
+    def _fan_out(self, current: "_Announced", announced: "_Announced") -> int:
+        from_platform = not self._settings.source_url
+        only_settings = current.item_ids <= announced.item_ids
         return news.fan_out(
             len(self.peer_urls()),
             from_platform=from_platform and only_settings,
         )
 
-    async def _speak_with(self, count: int) -> None:
-        drawn = news.choose_peers(self.peer_urls(), count, self._random)
-        await asyncio.gather(*(self._speak(url) for url in drawn))
+    async def _exchange_with_random_peers(self, count: int) -> None:
+        chosen = news.choose_peers(self.peer_urls(), count, self._random)
+        await asyncio.gather(*(self._exchange_with(url) for url in chosen))
 
-    async def _wait_for_news(self) -> bool:
-        timeout_s = INTERVAL_S * self._random.uniform(0.7, 1.3)
-        waits = {
+    async def _wait_for_update(self) -> bool:
+        timeout_s = GOSSIP_INTERVAL_S * self._random.uniform(0.7, 1.3)
+        wait_tasks = {
             asyncio.create_task(self._settings.changes.wait(timeout_s)),
             asyncio.create_task(self._fleet.heard.wait(timeout_s)),
         }
         done, pending = await asyncio.wait(
-            waits, return_when=asyncio.FIRST_COMPLETED
+            wait_tasks, return_when=asyncio.FIRST_COMPLETED
         )
         for task in pending:
             task.cancel()
         return any(task.result() for task in done)
 
     def message(self) -> Exchange:
-        """Returns what this process has to tell."""
+        """Returns a message with the current state of this process."""
         version = self._settings.version
         age_s = self._fleet.list_age_s() if self._fleet.listed else -1.0
         return Exchange(
@@ -177,17 +181,17 @@
         )
 
     def hear(self, message: Exchange) -> None:
-        """Takes a peer's message; what is missing is fetched in a task.
+        """Handles a peer's message; a task fetches what is missing here.
 
         Args:
-          message: The message.
+          message: The message received.
         """
         self._fleet.hear(list(message.leaving))
-        task = asyncio.create_task(self._catch_up(message))
+        task = asyncio.create_task(self._sync_from(message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _speak(self, url: str) -> None:
+    async def _exchange_with(self, url: str) -> None:
         body = codec.encode(self.message())
         try:
             reply = await self._client.call(
@@ -197,18 +201,18 @@
                 timeout_s=_CALL_TIMEOUT_S,
                 headers=self._auth.headers(body),
             )
-            answer = self._checked(reply, Exchange)
+            answer = self._decode_verified(reply, Exchange)
         except (peer_client.PeerError, codec.CodecError) as error:
             self._metrics.events.inc({"event": "peer_unavailable"})
             self._log.warning("peer_unavailable", url=url, reason=str(error))
             return
         self._fleet.hear(list(answer.leaving))
-        await self._catch_up(dataclasses.replace(answer, url=url))
+        await self._sync_from(dataclasses.replace(answer, url=url))
 
-    async def _catch_up(self, message: Exchange) -> None:
+    async def _sync_from(self, message: Exchange) -> None:
         try:
             await self._pull_settings(message)
-            await self._pull_list(message)
+            await self._pull_vm_list(message)
         except (
             peer_client.PeerError,
             codec.CodecError,
@@ -221,33 +225,40 @@
 
     async def _pull_settings(self, message: Exchange) -> None:
         offered = revision.Version(message.revision, message.index)
-        if not self._settings.wants(offered):
+        if not self._settings.should_fetch(offered):
             return
         reply = await self._client.call(
             "GET", message.url + peers.SETTINGS_PATH, timeout_s=_CALL_TIMEOUT_S
         )
-        head = parts.read_head(self._accepted(reply))
+        head = parts.read_head(self._verified_body(reply))
         await self._settings.offer(head, message.url)
 
-    async def _pull_list(self, message: Exchange) -> None:
+    async def _pull_vm_list(self, message: Exchange) -> None:
         if message.list_age_s < 0:
             return
         age_s = self._fleet.list_age_s()
-        if self._fleet.listed and message.list_age_s + _LIST_MARGIN_S > age_s:
+        if (
+            self._fleet.listed
+            and message.list_age_s + _MIN_VM_LIST_AGE_GAIN_S > age_s
+        ):
             return
         reply = await self._client.call(
             "GET", message.url + peers.FLEET_PATH, timeout_s=_CALL_TIMEOUT_S
         )
-        fleet = self._checked(reply, model.Fleet)
+        fleet = self._decode_verified(reply, model.Fleet)
         self._fleet.put_list(fleet.vms_by_id, message.list_age_s)
 
-    def _checked(self, reply: peer_client.Reply, kind: type) -> object:
-        return codec.decode(kind, self._accepted(reply))
+    def _decode_verified(
+        self, reply: peer_client.Reply, message_type: type
+    ) -> object:
+        return codec.decode(message_type, self._verified_body(reply))
 
-    def _accepted(self, reply: peer_client.Reply) -> bytes:
+    def _verified_body(self, reply: peer_client.Reply) -> bytes:
         if reply.status != _STATUS_OK:
-            raise peer_client.PeerError(f"status {reply.status}")
+            raise peer_client.PeerError(
+                f"unexpected HTTP status {reply.status}"
+            )
         signature = reply.headers.get(peer_auth.HEADER)
         if not self._auth.accepts(reply.body, signature):
-            raise peer_client.PeerError("the answer isn't signed by a peer")
+            raise peer_client.PeerError("the reply has no valid peer signature")
         return reply.body
--- a/src/cowsliprill/settings/fetch.py
+++ b/src/cowsliprill/settings/fetch.py
@@ -1,4 +1,4 @@
-"""Fetching what is missing of a version, from peers and the platform."""
+"""Fetches missing parts of a settings version from peers or the platform."""
 
 import asyncio
 import dataclasses
@@ -19,50 +19,50 @@
 from cowsliprill.settings import store as store_lib
 
 _STATUS_OK = 200
-_BULK_HASHES = 4_000
-_PEERS_ASKED = 2
-_BULK_TIMEOUT_S = 5.0
+_MAX_HASHES_PER_REQUEST = 4_000
+_MAX_PEERS_QUERIED = 2
+_PARTS_REQUEST_TIMEOUT_S = 5.0
 
-# So long without any part, other sources are tried.
-_PLATFORM_PATIENCE_S = 1.5
+# Other sources are tried after this time without a part from the platform.
+_PLATFORM_NO_PROGRESS_TIMEOUT_S = 1.5
 
-# So many parts are read from the platform before peers are asked again. When
-# all VMs start at once, each reads a few and gets the rest from the others;
-# were each to read all, the platform's rate would make it take half an hour.
-_PLATFORM_BATCH = 32
+# Parts read from the platform before peers are queried again. If all VMs start
+# at once, each reads a few parts and gets the rest from its peers; if each read
+# all parts, the platform's rate limit would stretch the start to half an hour.
+_MAX_PLATFORM_PARTS_PER_ROUND = 32
 
-# Up to so many parts are read from the platform without asking peers first;
-# above it the reader is far behind, and the platform's calls are for all.
-_FEW = 4
+# Up to this many missing parts, the platform is queried before peers. A VM that
+# lacks more is far behind, and would use up the call rate that all VMs share.
+_MAX_MISSING_FOR_PLATFORM_FIRST = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartsRequest:
-    """Asks a peer for texts."""
+    """Request to a peer for parts, by hash."""
 
     hashes: list[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartsReply:
-    """The texts that the peer holds, by hash."""
+    """Reply with the texts that the peer has, by hash."""
 
     texts: dict[str, str]
 
 
 class Source(Protocol):
-    """Something that gives the texts of hashes."""
+    """Source of parts, addressed by hash."""
 
     async def fetch(self, hashes: list[str]) -> list[str]:
-        """Returns the texts it could get, each checked against its hash."""
+        """Returns the texts found, each verified against its hash."""
 
 
 class PeerSource:
-    """A settings process, on this VM or another.
+    """Source that fetches parts from a settings process on any VM.
 
     Args:
       client: HTTP client.
-      url: The process's URL.
+      url: URL of the settings process.
     """
 
     def __init__(self, client: peer_client.PeerClient, url: str) -> None:
@@ -70,12 +70,14 @@
         self._url = url
 
     async def fetch(self, hashes: list[str]) -> list[str]:
-        """Returns the texts it could get, each checked against its hash."""
+        """Returns the texts found, each verified against its hash."""
         texts = []
-        left = list(hashes)
-        while left:
+        remaining = list(hashes)
+        while remaining:
             try:
-                found = await self._bulk(left[:_BULK_HASHES])
+                received = await self._request_parts(
+                    remaining[:_MAX_HASHES_PER_REQUEST]
+                )
             except (
                 peer_client.PeerError,
                 codec.CodecError,
@@ -83,37 +85,41 @@
                 UnicodeError,
             ):
                 break
-            if not found:
+            if not received:
                 break
-            texts += found.values()
-            # A peer bounds its answer, so the rest of a bulk is asked again.
-            left = [each for each in left if each not in found]
+            texts += received.values()
+            # A peer limits the reply size; request the remaining parts again.
+            remaining = [
+                text_hash
+                for text_hash in remaining
+                if text_hash not in received
+            ]
         return texts
 
-    async def _bulk(self, hashes: list[str]) -> dict[str, str]:
+    async def _request_parts(self, hashes: list[str]) -> dict[str, str]:
         reply = await self._client.call(
             "POST",
             self._url + peers.PARTS_PATH,
             codec.encode(PartsRequest(hashes)),
-            timeout_s=_BULK_TIMEOUT_S,
+            timeout_s=_PARTS_REQUEST_TIMEOUT_S,
         )
         if reply.status != _STATUS_OK:
             return {}
         texts = codec.decode(PartsReply, reply.body).texts
         return {
-            each: parts.checked_text(texts[each].encode(), each)
-            for each in hashes
-            if each in texts
+            text_hash: parts.checked_text(texts[text_hash].encode(), text_hash)
+            for text_hash in hashes
+            if text_hash in texts
         }
 
 
 class PlatformSource:
-    """The platform, one call a part.
+    """Source that fetches parts from the platform, one call per part.
 
     Args:
-      client: The platform's client.
-      random_source: Mixes the order, so that VMs which all start at once read
-        different parts first and get the others' from each other.
+      client: Client of the platform.
+      random_source: Shuffles the parts, so that VMs starting at the same time
+        read different parts first and get the others from each other.
     """
 
     def __init__(
@@ -125,33 +131,33 @@
         self._random = random_source
 
     async def fetch(self, hashes: list[str]) -> list[str]:
-        """Returns some of the texts, each checked against its hash."""
+        """Returns some of the texts, each verified against its hash."""
         texts: list[str] = []
-        count = min(len(hashes), _PLATFORM_BATCH)
-        left = self._random.sample(hashes, count)
+        count = min(len(hashes), _MAX_PLATFORM_PARTS_PER_ROUND)
+        remaining = self._random.sample(hashes, count)
         backoff = pacing.Backoff(self._random)
-        gives_up_at = clock.now() + _PLATFORM_PATIENCE_S
-        while left and clock.now() < gives_up_at:
+        no_progress_deadline = clock.now() + _PLATFORM_NO_PROGRESS_TIMEOUT_S
+        while remaining and clock.now() < no_progress_deadline:
             try:
-                texts.append(await self._client.part(left[-1]))
+                texts.append(await self._client.part(remaining[-1]))
             except errors.PlatformError:
-                # Without another try, a platform that cuts most calls would
-                # have to answer for the head and each part in a row.
+                # Without a retry, a platform that drops most calls would have
+                # to answer the calls for the head and all parts in a row.
                 await asyncio.sleep(backoff.failed())
                 continue
-            left.pop()
+            remaining.pop()
             backoff.succeeded()
-            gives_up_at = clock.now() + _PLATFORM_PATIENCE_S
+            no_progress_deadline = clock.now() + _PLATFORM_NO_PROGRESS_TIMEOUT_S
         return texts
 
 
 class Fetcher:
-    """Completes a version's texts in a store.
+    """Fetches the missing parts of a version into a store.
 
     Args:
-      store: Where texts are kept.
-      sources_for: Returns the sources to try for a number of missing texts,
-        in order; first comes where the version was heard of.
+      store: Store of the parts.
+      sources_for: Returns the sources to try, in order, for the URL that
+        announced the version and the number of missing parts.
     """
 
     def __init__(
@@ -162,43 +168,49 @@
         self._store = store
         self._sources_for = sources_for
 
-    async def complete(self, head: parts.Head, heard_at: str) -> dict[str, str]:
-        """Fetches what is missing.
+    async def complete(
+        self, head: parts.Head, source_url: str
+    ) -> dict[str, str]:
+        """Fetches the missing index and parts of a version.
 
         Args:
-          head: The version's head.
-          heard_at: Where it was heard of: a URL, or empty for the platform.
+          head: Head of the version.
+          source_url: URL of the settings process that announced the version,
+            or empty for the platform.
 
         Returns:
-          The version's index, hash by part name; the store has all texts.
+          Index of the version, hash by part name; the store has all its parts.
 
         Raises:
-          SettingsError: Something is still missing, or the index isn't valid.
+          SettingsError: Parts are missing at all sources (`part_missing`), or
+            the index is invalid.
         """
         index = parts.derive_index(
             head, self._store.index_hash, self._store.hashes_by_part
         )
         if index is None:
-            await self._fetch([head.index], heard_at)
-            index = parts.read_index(self._store.text(head.index) or "")
-        await self._fetch(list(index.values()), heard_at)
+            await self._fetch([head.index], source_url)
+            index = parts.parse_index(self._store.text(head.index) or "")
+        await self._fetch(list(index.values()), source_url)
         return index
 
-    async def _fetch(self, hashes: list[str], heard_at: str) -> None:
+    async def _fetch(self, hashes: list[str], source_url: str) -> None:
         missing = self._store.missing(hashes)
-        before = len(missing) + 1
-        while 0 < len(missing) < before:
-            before = len(missing)
-            missing = await self._round(hashes, heard_at)
+        previous_count = len(missing) + 1
+        while 0 < len(missing) < previous_count:
+            previous_count = len(missing)
+            missing = await self._fetch_round(hashes, source_url)
         if missing:
             raise errors.SettingsError(
-                f"{len(missing)} parts can't be read, {missing[0]} among them",
+                f"{len(missing)} parts not found, for example {missing[0]}",
                 code="part_missing",
             )
 
-    async def _round(self, hashes: list[str], heard_at: str) -> list[str]:
+    async def _fetch_round(
+        self, hashes: list[str], source_url: str
+    ) -> list[str]:
         missing = self._store.missing(hashes)
-        for source in self._sources_for(heard_at, len(missing)):
+        for source in self._sources_for(source_url, len(missing)):
             if not missing:
                 break
             for text in await source.fetch(missing):
@@ -208,53 +220,58 @@
 
 
 def order_sources(
-    heard_at: str,
+    source_url: str,
     missing: int,
     peer_urls: list[str],
     random_source: random.Random,
 ) -> list[str]:
-    """Orders where to look for missing parts.
+    """Returns the sources to query for missing parts, in order.
 
     Args:
-      heard_at: Where the version was heard of: a URL, or empty for the
-        platform.
-      missing: How many parts are missing.
+      source_url: URL of the settings process that announced the version, or
+        empty for the platform.
+      missing: Number of missing parts.
       peer_urls: URLs of the other VMs' settings processes.
-      random_source: Draws among them.
+      random_source: Source for the selection of peers.
 
     Returns:
-      URLs of peers; an empty one stands for the platform.
+      URLs of peers; an empty URL stands for the platform.
     """
-    drawn = news.choose_peers(peer_urls, _PEERS_ASKED, random_source)
-    if heard_at:
-        order = [heard_at, "", *drawn]
-    elif missing <= _FEW:
-        order = ["", *drawn]
+    chosen = news.choose_peers(peer_urls, _MAX_PEERS_QUERIED, random_source)
+    if source_url:
+        order = [source_url, "", *chosen]
+    elif missing <= _MAX_MISSING_FOR_PLATFORM_FIRST:
+        order = ["", *chosen]
     else:
-        order = [*drawn, ""]
+        order = [*chosen, ""]
     return list(dict.fromkeys(order))
 
 
-def reply(store: store_lib.PartStore, body: bytes, max_bytes: int) -> bytes:
-    """Answers a peer's request for texts.
+def answer_parts_request(
+    store: store_lib.PartStore, body: bytes, max_bytes: int
+) -> bytes:
+    """Returns the reply to a peer's request for parts.
 
     Args:
-      store: The texts held.
+      store: Store of the parts.
       body: JSON of `PartsRequest`.
-      max_bytes: Bound of the answer.
+      max_bytes: Limit of the texts' total length, counted in characters; one
+        text is included whatever its size.
 
     Returns:
       JSON of `PartsReply`.
 
     Raises:
-      CodecError: The body isn't a request.
+      CodecError: The body isn't a valid request.
     """
     texts: dict[str, str] = {}
     size = 0
-    for each in codec.decode(PartsRequest, body).hashes[:_BULK_HASHES]:
-        text = store.text(each)
+    for text_hash in codec.decode(PartsRequest, body).hashes[
+        :_MAX_HASHES_PER_REQUEST
+    ]:
+        text = store.text(text_hash)
         size += len(text or "")
         if text is None or (texts and size > max_bytes):
             continue
-        texts[each] = text
+        texts[text_hash] = text
     return json.dumps({"texts": texts}).encode()
--- a/src/cowsliprill/settings/follower.py
+++ b/src/cowsliprill/settings/follower.py
@@ -1,4 +1,4 @@
-"""The settings and the fleet in a process other than the settings process."""
+"""Client that follows settings and fleet of this VM's settings process."""
 
 import asyncio
 import json
@@ -20,28 +20,29 @@
 from cowsliprill.settings import service as service_lib
 from cowsliprill.settings import store as store_lib
 
-# A poll that is lost looks like one without news until its time is over.
-_WAIT_S = 3.0
-_TIMEOUT_S = _WAIT_S + 1.5
+# A lost long poll can't be told from one without changes until its timeout.
+_LONG_POLL_S = 3.0
+_LONG_POLL_TIMEOUT_S = _LONG_POLL_S + 1.5
 _CALL_TIMEOUT_S = 2.0
-_RETRY_S = 0.2
+_RETRY_DELAY_S = 0.2
 _STATUS_OK = 200
-_STATUS_NOTHING_NEW = 204
+_STATUS_NO_CONTENT = 204
 
 
 class Follower:
-    """Follows this VM's settings process.
+    """Follows this VM's settings process by long polling.
 
-    While that process is away, the last settings and fleet stay in force.
+    While the settings process is unreachable, the last settings and fleet stay
+    active.
 
     Args:
-      environment: What this process was told about itself.
+      environment: Configuration from the environment variables.
       client: HTTP client.
-      log: This process's log.
+      log: Log of this process.
 
     Attributes:
-      snapshot: The settings in force; revision 0 before the first.
-      fleet: The VM list with news.
+      snapshot: The active settings; revision 0 before the first.
+      fleet: The VM list with the ids of leaving endpoints.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         )
         self._client = client
         self._log = log
-        self._keeper = revision.Keeper()
+        self._tracker = revision.Keeper()
         self._resolver = resolve.Resolver()
         self._store = store_lib.PartStore()
         self._fetcher = fetch.Fetcher(
@@ -66,52 +67,54 @@
         )
         self._callbacks: list[Callable[[], None]] = []
         self._changes = changes_lib.Changes()
-        self._away: set[str] = set()
-        self._offered_older = revision.Version()
+        self._unreachable: set[str] = set()
+        self._last_older_version = revision.Version()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Has a function called, without arguments, after each change."""
+        """Registers a callback without arguments, called after each change."""
         self._callbacks.append(callback)
 
     async def ready(self) -> None:
         """Waits for the first settings and the first fleet."""
         while not self.is_ready():
-            await self._changes.wait(_WAIT_S)
+            await self._changes.wait(_LONG_POLL_S)
 
     def is_ready(self) -> bool:
-        """Returns whether settings and fleet are known."""
+        """Returns whether both the settings and the fleet were received."""
         return self.snapshot.revision > 0 and self.fleet.version > 0
 
     async def run(self) -> None:
-        """Follows until cancelled."""
+        """Polls the settings process until cancelled."""
         await asyncio.gather(
-            self._follow("settings", self._next_settings),
-            self._follow("fleet", self._next_fleet),
+            self._poll_forever("settings", self._poll_settings),
+            self._poll_forever("fleet", self._poll_fleet),
         )
 
     def honours_keys(self) -> bool:
-        """Returns True: this platform sets no bound for revoked keys."""
+        """Returns True: keys stay valid whatever the age of the settings."""
         return True
 
     async def report_leaving(self, endpoint_id: str, ttl_s: float) -> None:
-        """Tells all VMs that an endpoint is leaving; a lost report is logged.
+        """Reports a leaving endpoint, for announcement to all VMs.
+
+        A failed report is only logged.
 
         Args:
-          endpoint_id: The endpoint that gave a draining answer.
-          ttl_s: How long the news shall hold, seconds.
+          endpoint_id: Id of the endpoint that returned a draining response.
+          ttl_s: TTL of the leaving notice in seconds.
         """
         report = service_lib.LeavingReport(endpoint_id, ttl_s)
-        await self._tell(peers.LEAVING_PATH, codec.encode(report))
+        await self._post_report(peers.LEAVING_PATH, codec.encode(report))
 
     async def audit(self, entry: dict[str, Any]) -> None:
-        """Adds an entry to this VM's audit trail; a lost one is logged.
+        """Adds an entry to this VM's audit trail; a failure is only logged.
 
         Args:
-          entry: The pairs; `action` names what happened.
+          entry: Fields of the entry; `action` names the event.
         """
-        await self._tell(peers.AUDIT_PATH, json.dumps(entry).encode())
+        await self._post_report(peers.AUDIT_PATH, json.dumps(entry).encode())
 
-    async def _tell(self, path: str, body: bytes) -> None:
+    async def _post_report(self, path: str, body: bytes) -> None:
         headers = self._auth.headers(body)
         try:
             reply = await self._client.call(
@@ -126,91 +129,97 @@
             return
         if reply.status != _STATUS_OK:
             self._log.warning(
-                "report_lost", path=path, reason=f"status {reply.status}"
+                "report_lost",
+                path=path,
+                reason=f"unexpected HTTP status {reply.status}",
             )
 
-    async def _follow(self, what: str, step: Callable[[], Any]) -> None:
+    async def _poll_forever(
+        self, what: str, poll_once: Callable[[], Any]
+    ) -> None:
         while True:
             try:
-                await step()
+                await poll_once()
             except Exception as error:
-                # Whatever it is: a process that no longer follows would serve
-                # by its last settings for ever and look healthy.
-                self._note_away(what, repr(error))
-                await asyncio.sleep(_RETRY_S)
+                # Catch every error: a process whose polling ended would serve
+                # with its last settings forever and still look healthy.
+                self._record_unreachable(what, repr(error))
+                await asyncio.sleep(_RETRY_DELAY_S)
             else:
-                self._note_back(what)
+                self._record_reachable(what)
 
-    async def _next_settings(self) -> None:
-        have = self._keeper.in_force
+    async def _poll_settings(self) -> None:
+        active = self._tracker.in_force
         body = await self._poll(
-            f"{peers.SETTINGS_PATH}?have={have.revision}&index={have.index}"
+            f"{peers.SETTINGS_PATH}?have={active.revision}&index={active.index}"
         )
         if not body:
             return
         head = parts.read_head(body)
         version = revision.Version(head.revision, head.index)
-        if self._keeper.judge(version) is not revision.Verdict.NEWER:
-            # The settings process began anew and knows less than we do. It
-            # will hear of ours from its peers or the platform.
-            self._note_older(version)
-            await asyncio.sleep(_RETRY_S)
+        if self._tracker.judge(version) is not revision.Verdict.NEWER:
+            # The settings process restarted and has an older version than this
+            # process. Its peers or the platform will bring it up to date.
+            self._log_older_version(version)
+            await asyncio.sleep(_RETRY_DELAY_S)
             return
-        await self._put_in_force(head, version)
+        await self._activate(head, version)
 
-    async def _put_in_force(
+    async def _activate(
         self, head: parts.Head, version: revision.Version
     ) -> None:
         index = await self._fetcher.complete(head, self._url)
         snapshot = self._resolver.resolve(
             head.revision, index, self._store.held
         )
-        if not self._keeper.accept(version):
+        if not self._tracker.accept(version):
             return
-        self._store.put_in_force(head.index, index)
+        self._store.activate(head.index, index)
         self.snapshot = snapshot
         self._log.event("settings_followed", revision=head.revision)
-        self._changed()
+        self._notify_changed()
 
-    async def _next_fleet(self) -> None:
+    async def _poll_fleet(self) -> None:
         body = await self._poll(f"{peers.FLEET_PATH}?have={self.fleet.version}")
         if not body:
             return
         self.fleet = codec.decode(model.Fleet, body)
-        self._changed()
+        self._notify_changed()
 
     async def _poll(self, path: str) -> bytes:
         reply = await self._client.call(
             "GET",
-            f"{self._url}{path}&wait_s={_WAIT_S}",
-            timeout_s=_TIMEOUT_S,
+            f"{self._url}{path}&wait_s={_LONG_POLL_S}",
+            timeout_s=_LONG_POLL_TIMEOUT_S,
         )
-        if reply.status == _STATUS_NOTHING_NEW:
+        if reply.status == _STATUS_NO_CONTENT:
             return b""
         if reply.status != _STATUS_OK:
-            raise peer_client.PeerError(f"{path}: status {reply.status}")
+            raise peer_client.PeerError(
+                f"{path}: unexpected HTTP status {reply.status}"
+            )
         return reply.body
 
-    def _changed(self) -> None:
+    def _notify_changed(self) -> None:
         self._changes.notify()
         for callback in self._callbacks:
             callback()
 
-    def _note_older(self, version: revision.Version) -> None:
-        if version != self._offered_older:
+    def _log_older_version(self, version: revision.Version) -> None:
+        if version != self._last_older_version:
             self._log.warning(
                 "settings_offered_older",
                 revision=version.revision,
-                in_force=self._keeper.in_force.revision,
+                in_force=self._tracker.in_force.revision,
             )
-        self._offered_older = version
+        self._last_older_version = version
 
-    def _note_away(self, what: str, reason: str) -> None:
-        if what not in self._away:
+    def _record_unreachable(self, what: str, reason: str) -> None:
+        if what not in self._unreachable:
             self._log.warning("settings_away", what=what, reason=reason)
-        self._away.add(what)
+        self._unreachable.add(what)
 
-    def _note_back(self, what: str) -> None:
-        if what in self._away:
+    def _record_reachable(self, what: str) -> None:
+        if what in self._unreachable:
             self._log.event("settings_back", what=what)
-        self._away.discard(what)
+        self._unreachable.discard(what)
--- a/src/cowsliprill/settings/handlers.py
+++ b/src/cowsliprill/settings/handlers.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the settings process."""
+"""HTTP request handlers of the settings process."""
 
 import json
 from typing import Any
@@ -14,90 +14,99 @@
 from cowsliprill.settings import service as service_lib
 from cowsliprill.settings import tree as tree_lib
 
-_LONGEST_WAIT_S = 30.0
-_STATUS_NOTHING_NEW = 204
-_MAX_PARTS_BYTES = 1_000_000
+_MAX_LONG_POLL_S = 30.0
+_STATUS_NO_CONTENT = 204
+_MAX_PARTS_REPLY_BYTES = 1_000_000
 
 
 class _Handler(web.RequestHandler):
     def initialize(self, service: service_lib.SettingsService) -> None:
         self.service = service
 
-    def answer(self, body: bytes) -> None:
-        """Writes JSON signed for peers."""
+    def write_signed(self, body: bytes) -> None:
+        """Writes a JSON body with a peer signature."""
         self.set_header("Content-Type", "application/json")
         for name, value in self.service.auth.headers(body).items():
             self.set_header(name, value)
         self.write(body)
 
-    def fail(self, status: int, code: str, message: str) -> None:
-        """Writes an error."""
+    def write_error_body(self, status: int, code: str, message: str) -> None:
+        """Writes an error response with a code for clients."""
         self.set_status(status)
         self.write({"error": {"code": code, "message": message}})
 
-    def read_body(self, kind: Any) -> Any:
-        """Returns the body as a type, or None after an error was written."""
+    def read_body(self, body_type: Any) -> Any:
+        """Decodes a signed body; on failure writes an error, returns None."""
         signature = self.request.headers.get(peer_auth.HEADER)
         if not self.service.auth.accepts(self.request.body, signature):
-            self.fail(403, "peer_unknown", "the body isn't signed by a peer")
+            self.write_error_body(
+                403, "peer_unknown", "the body has no valid peer signature"
+            )
             return None
         try:
-            return codec.decode(kind, self.request.body)
+            return codec.decode(body_type, self.request.body)
         except codec.CodecError as error:
-            self.fail(400, error.code, str(error))
+            self.write_error_body(400, error.code, str(error))
             return None
 
-    def number(self, name: str) -> float:
-        """Returns a number of the query, 0 if it isn't there or isn't one."""
+    def query_number(self, name: str) -> float:
+        """Returns a numeric query argument, 0 if missing or not a number."""
         try:
             return float(self.get_query_argument(name, "0"))
         except ValueError:
             return 0.0
 
     def wait_s(self) -> float:
-        """Returns how long the caller is ready to wait, seconds."""
-        return max(0.0, min(self.number("wait_s"), _LONGEST_WAIT_S))
+        """Returns the long-poll timeout of the request in seconds, capped."""
+        return max(0.0, min(self.query_number("wait_s"), _MAX_LONG_POLL_S))
 
 
 class _SettingsHandler(_Handler):
     async def get(self) -> None:
-        have = (int(self.number("have")), self.get_query_argument("index", ""))
-        head = await self.service.wait_for_head(have, self.wait_s())
+        known_version = (
+            int(self.query_number("have")),
+            self.get_query_argument("index", ""),
+        )
+        head = await self.service.wait_for_head(known_version, self.wait_s())
         if head is None:
-            self.set_status(_STATUS_NOTHING_NEW)
+            self.set_status(_STATUS_NO_CONTENT)
             return
-        self.answer(codec.encode(head))
+        self.write_signed(codec.encode(head))
 
 
 class _PartHandler(_Handler):
     def get(self, text_hash: str) -> None:
         text = self.service.store.text(text_hash)
         if text is None:
-            self.fail(404, "part_missing", f"no part {text_hash}")
+            self.write_error_body(
+                404, "part_missing", f"part {text_hash} not found"
+            )
             return
-        self.answer(text.encode())
+        self.write_signed(text.encode())
 
 
 class _PartsHandler(_Handler):
     def post(self) -> None:
-        # Unsigned: a hash can only be asked for by one who knows the index.
+        # Needs no signature: only a client with the index knows the hashes.
         try:
-            body = fetch.reply(
-                self.service.store, self.request.body, _MAX_PARTS_BYTES
+            body = fetch.answer_parts_request(
+                self.service.store, self.request.body, _MAX_PARTS_REPLY_BYTES
             )
         except codec.CodecError as error:
-            self.fail(400, error.code, str(error))
+            self.write_error_body(400, error.code, str(error))
             return
-        self.answer(body)
+        self.write_signed(body)
 
 
 class _DocumentHandler(_Handler):
     def get(self) -> None:
         head = self.service.settings.head
         if head is None:
-            self.fail(503, "no_settings", "no revision is in force yet")
+            self.write_error_body(
+                503, "no_settings", "no revision is active yet"
+            )
             return
-        self.answer(self._document(head).encode())
+        self.write_signed(self._document(head).encode())
 
     def _document(self, head: parts.Head) -> str:
         store = self.service.store
@@ -116,12 +125,12 @@
 
 class _FleetHandler(_Handler):
     async def get(self) -> None:
-        have = int(self.number("have"))
-        fleet = await self.service.wait_for_fleet(have, self.wait_s())
+        known_version = int(self.query_number("have"))
+        fleet = await self.service.wait_for_fleet(known_version, self.wait_s())
         if fleet is None:
-            self.set_status(_STATUS_NOTHING_NEW)
+            self.set_status(_STATUS_NO_CONTENT)
             return
-        self.answer(codec.encode(fleet))
+        self.write_signed(codec.encode(fleet))
 
 
 class _LeavingHandler(_Handler):
@@ -137,12 +146,12 @@
         message = self.read_body(exchange_lib.Exchange)
         if message is not None:
             self.service.exchange.hear(message)
-            self.answer(codec.encode(self.service.exchange.message()))
+            self.write_signed(codec.encode(self.service.exchange.message()))
 
 
 class _AuditHandler(_Handler):
     def get(self) -> None:
-        self.answer(json.dumps(self.service.audit.entries()).encode())
+        self.write_signed(json.dumps(self.service.audit.entries()).encode())
 
     def post(self) -> None:
         entry = self.read_body(dict[str, Any])
@@ -152,7 +161,7 @@
 
 
 def routes(service: service_lib.SettingsService) -> list[tuple]:
-    """Returns the tornado routes of a settings process."""
+    """Returns the Tornado routes of a settings process."""
     options = {"service": service}
     return [
         (peers.SETTINGS_PATH, _SettingsHandler, options),
--- a/src/cowsliprill/settings/parts.py
+++ b/src/cowsliprill/settings/parts.py
@@ -1,9 +1,9 @@
-"""The tree split into parts, so that a change moves only what changed.
+"""Content-addressed parts of the settings tree, for incremental updates.
 
-The platform holds values of up to a megabyte. One value, the head, names the
-revision and the hash of the index; the index names the hash of each part;
-index and parts are stored under their hash. A part read from anywhere (a stale
-replica, a peer) is therefore either exactly the one meant or refused.
+The platform stores values of up to a megabyte. One value, the head, has the
+revision and the hash of the index; the index maps each part to its hash; index
+and parts are stored under their hashes. A part read from any source (a stale
+replica, a peer) therefore either matches its hash or is rejected.
 
 Parts are `root`, `user/NAME`, `children/NAME/BUCKET` (the child users of NAME
 whose names hash to BUCKET), `pool/NAME` and `endpoints/NAME/BUCKET`.
@@ -27,17 +27,17 @@
 PART_PREFIX = "settings.part."
 MAX_VALUE_BYTES = 1_000_000
 
-_HASH_DIGITS = 32
+_HASH_HEX_DIGITS = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Change:
-    """What one revision changed in the index.
+class IndexChange:
+    """Difference between the indexes of two successive revisions.
 
     Attributes:
-      revision: The revision.
-      previous: Hash of the index that it changed.
-      parts: New hash by part name; None for a part that went.
+      revision: The later revision.
+      previous: Hash of the index before the change.
+      parts: New hash by part name; None for a removed part.
     """
 
     revision: int
@@ -47,45 +47,45 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Head:
-    """The small value that readers watch.
+    """Small value that identifies the latest version; VMs watch it.
 
     Attributes:
-      revision: Number of the revision.
+      revision: Revision number.
       index: Hash of the index.
-      published_by: Operator who published it.
-      published_at: When, as the operator's tool wrote it.
-      changes: The last revisions' changes, oldest first.
+      published_by: Operator who published the revision.
+      published_at: Time of publication, as written by the operator's tool.
+      changes: Index changes of the last revisions, oldest first.
     """
 
     revision: int
     index: str
     published_by: str
     published_at: str = ""
-    changes: tuple[Change, ...] = ()
+    changes: tuple[IndexChange, ...] = ()
 
 
 def hash_of(text: str) -> str:
     """Returns the hash under which a text is stored."""
-    return hashlib.sha256(text.encode()).hexdigest()[:_HASH_DIGITS]
+    return hashlib.sha256(text.encode()).hexdigest()[:_HASH_HEX_DIGITS]
 
 
-def canonical(value: Any) -> str:
-    """Writes JSON of which equal values give equal texts."""
+def canonical_json(value: Any) -> str:
+    """Encodes a value as canonical JSON: equal values give equal texts."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"))
 
 
 def bucket_of(name: str, buckets: int) -> int:
-    """Returns the bucket of a child customer's or endpoint's name."""
+    """Returns the hash bucket of the name of a child customer or endpoint."""
     return xxhash.xxh3_64_intdigest(name.encode()) % buckets
 
 
 def head_text(head: Head) -> str:
-    """Writes a head as JSON."""
+    """Encodes a head as JSON."""
     return codec.encode(head).decode()
 
 
 def read_head(text: bytes) -> Head:
-    """Reads a head.
+    """Parses a head.
 
     Args:
       text: JSON of `Head`.
@@ -94,7 +94,7 @@
       The head.
 
     Raises:
-      SettingsError: The text isn't a head.
+      SettingsError: The text is too large or not a valid head.
     """
     check_size(text)
     try:
@@ -102,59 +102,62 @@
     except codec.CodecError as error:
         raise errors.SettingsError(f"head: {error}") from error
     if not 1 <= head.revision <= schema.MAX_REVISION:
-        raise errors.SettingsError(f"head: revision {head.revision}")
+        raise errors.SettingsError(
+            f"head: revision {head.revision} out of range"
+        )
     return head
 
 
-def read_members(text: str, where: str) -> dict[str, Any]:
-    """Reads a part of child users or endpoints.
+def read_members(text: str, tree_path: str) -> dict[str, Any]:
+    """Parses a part that contains child users or endpoints.
 
     Args:
-      text: Its text.
-      where: Path in the tree, for the message.
+      text: Text of the part.
+      tree_path: Path in the tree, for error messages.
 
     Returns:
       JSON values by name.
 
     Raises:
-      SettingsError: It isn't a JSON object.
+      SettingsError: The text isn't a JSON object.
     """
     try:
         members = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise errors.SettingsError(
-            f"{where}: not JSON: {error}", code="settings_not_json"
+            f"{tree_path}: invalid JSON: {error}", code="settings_not_json"
         ) from error
     if not isinstance(members, dict):
-        raise errors.SettingsError(f"{where}: not an object")
+        raise errors.SettingsError(f"{tree_path}: expected a JSON object")
     return members
 
 
-def check_bucket(name: str, buckets: int, bucket: int, where: str) -> None:
-    """Refuses what stands in a bucket that its name doesn't hash to.
+def check_bucket(name: str, buckets: int, bucket: int, tree_path: str) -> None:
+    """Checks that an entry is in the bucket that its name hashes to.
 
-    The bucket is found from the name. A customer elsewhere would be listed but
-    never found, and its calls refused; and one name could stand twice.
+    Lookups compute the bucket from the name. A customer in another bucket
+    would be listed but never found, and its calls rejected; a name could also
+    occur twice.
 
     Args:
       name: Name of the child customer or endpoint.
       buckets: Number of buckets.
-      bucket: Where it stands.
-      where: Path in the tree, for the message.
+      bucket: Bucket that contains the entry.
+      tree_path: Path in the tree, for error messages.
 
     Raises:
-      SettingsError: It stands in the wrong bucket, or the name isn't one.
+      SettingsError: The bucket is wrong, or the name is invalid.
     """
     if not schema.is_name(name):
-        raise errors.SettingsError(f"{where}: {name!r} is not a name")
+        raise errors.SettingsError(f"{tree_path}: invalid name {name!r}")
     if bucket_of(name, buckets) != bucket:
-        raise errors.SettingsError(f"{where}.{name}: stands in the wrong part")
+        raise errors.SettingsError(f"{tree_path}.{name}: is in the wrong part")
 
 
 def index_of(
     texts_by_part: Mapping[str, str],
 ) -> tuple[dict[str, str], Callable[[str], packed.PackedText]]:
-    """Returns the index of texts at hand, and what gives the text of a hash."""
+    """Returns the index of the texts, and a lookup of texts by hash."""
     index = {part: hash_of(text) for part, text in texts_by_part.items()}
     texts = {
         index[part]: packed.PackedText(text)
@@ -164,14 +167,14 @@
 
 
 def index_text(hashes_by_part: Mapping[str, str]) -> str:
-    """Writes an index."""
-    return canonical(dict(hashes_by_part))
+    """Encodes an index as canonical JSON."""
+    return canonical_json(dict(hashes_by_part))
 
 
 def derive_index(
     head: Head, index_hash: str, hashes_by_part: Mapping[str, str]
 ) -> dict[str, str] | None:
-    """Works out the head's index from an older one and the head's changes.
+    """Derives the index of a head from an older index and the head's changes.
 
     Args:
       head: The head.
@@ -179,36 +182,36 @@
       hashes_by_part: The older index.
 
     Returns:
-      The head's index, or None if the changes don't lead to it; then the whole
-      index has to be read.
+      The index of the head, or None if the changes don't lead to its hash;
+      then the whole index must be fetched.
     """
-    current = index_hash
-    derived = dict(hashes_by_part)
+    current_hash = index_hash
+    derived_index = dict(hashes_by_part)
     for change in head.changes:
-        if change.previous != current:
+        if change.previous != current_hash:
             continue
         for part, new_hash in change.parts.items():
             if new_hash is None:
-                derived.pop(part, None)
+                derived_index.pop(part, None)
             else:
-                derived[part] = new_hash
-        current = hash_of(index_text(derived))
-    return derived if current == head.index else None
+                derived_index[part] = new_hash
+        current_hash = hash_of(index_text(derived_index))
+    return derived_index if current_hash == head.index else None
 
 
 def checked_text(content: bytes, text_hash: str) -> str:
-    """Checks the bytes that came for a hash.
+    """Decodes content and verifies it against its hash.
 
     Args:
-      content: The bytes.
-      text_hash: Hash that was asked for.
+      content: Bytes received for the hash.
+      text_hash: Hash that was requested.
 
     Returns:
-      The text.
+      The decoded text.
 
     Raises:
-      SettingsError: They are too many, or not the ones of the hash: a reader
-        got half a value, or another's.
+      SettingsError: The content is too large, or doesn't match the hash
+        because it is truncated or belongs to another value.
     """
     check_size(content)
     try:
@@ -217,14 +220,14 @@
         text = ""
     if hash_of(text) != text_hash:
         raise errors.SettingsError(
-            f"part {text_hash}: the content has another hash",
+            f"part {text_hash}: content doesn't match the hash",
             code="part_mismatch",
         )
     return text
 
 
-def read_index(text: str) -> dict[str, str]:
-    """Reads an index.
+def parse_index(text: str) -> dict[str, str]:
+    """Parses an index.
 
     Args:
       text: JSON object of hash by part name.
@@ -233,7 +236,7 @@
       The index.
 
     Raises:
-      SettingsError: It isn't one.
+      SettingsError: The text isn't a valid index.
     """
     try:
         return codec.decode(dict[str, str], text)
@@ -242,16 +245,16 @@
 
 
 def check_size(value: bytes) -> None:
-    """Refuses a value that the platform couldn't hold.
+    """Checks a value against the size limit of the platform.
 
     Args:
-      value: The bytes.
+      value: Bytes of the value.
 
     Raises:
-      SettingsError: There are too many.
+      SettingsError: The value is larger than `MAX_VALUE_BYTES`.
     """
     if len(value) > MAX_VALUE_BYTES:
         raise errors.SettingsError(
-            f"value of {len(value)} bytes, allowed are {MAX_VALUE_BYTES}",
+            f"value of {len(value)} bytes exceeds {MAX_VALUE_BYTES}",
             code="value_too_large",
         )
--- a/src/cowsliprill/settings/platform_client.py
+++ b/src/cowsliprill/settings/platform_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform: values, watches and the VM list."""
+"""Client of the platform API: stored values, watches and the VM list."""
 
 import asyncio
 import urllib.parse
@@ -13,24 +13,24 @@
 from cowsliprill.settings import errors
 from cowsliprill.settings import parts
 
-# A platform slower than this counts as down; peers are asked instead.
+# A platform slower than this counts as down, and peers are queried instead.
 _READ_TIMEOUT_S = 4.0
-_WATCH_GRACE_S = 2.0
+_WATCH_TIMEOUT_MARGIN_S = 2.0
 _STATUS_OK = 200
-_STATUS_NOTHING_NEW = 204
-_STATUS_UNCHANGED = 304
-_STATUS_MISSING = 404
-_VMS = pydantic.TypeAdapter(list[model.Vm])
+_STATUS_NO_CONTENT = 204
+_STATUS_NOT_MODIFIED = 304
+_STATUS_NOT_FOUND = 404
+_VM_LIST_ADAPTER = pydantic.TypeAdapter(list[model.Vm])
 
 
 class PlatformClient:
-    """Reads from the platform within this VM's share of its calls.
+    """Reads from the platform within this VM's share of the call rate.
 
     Args:
-      client: HTTP client; its longest body bounds what a value may cost us.
-      platform_url: URL of the values.
+      client: HTTP client; its maximum body size bounds the memory per value.
+      platform_url: Base URL of the stored values.
       vm_list_url: URL of the VM list.
-      budget: The share.
+      rate_limiter: Rate limiter for this VM's share of the calls.
     """
 
     def __init__(
@@ -38,30 +38,31 @@
         client: peer_client.PeerClient,
         platform_url: str,
         vm_list_url: str,
-        budget: pacing.CallBudget,
+        rate_limiter: pacing.CallBudget,
     ) -> None:
         self._client = client
         self._platform_url = platform_url
         self._vm_list_url = vm_list_url
-        self._budget = budget
-        self._list: dict[str, model.Vm] = {}
-        self._list_tag = ""
+        self._rate_limiter = rate_limiter
+        self._vms_by_id: dict[str, model.Vm] = {}
+        self._vm_list_etag = ""
 
-    def share_with(self, readers: int) -> None:
-        """Tells how many VMs share the platform's calls."""
-        self._budget.readers = readers
+    def set_reader_count(self, readers: int) -> None:
+        """Sets the number of VMs that share the platform's call rate."""
+        self._rate_limiter.readers = readers
 
     async def part(self, part_hash: str) -> str:
         """Reads a part or an index.
 
         Args:
-          part_hash: Its hash.
+          part_hash: Hash of the text.
 
         Returns:
-          The text, checked against the hash.
+          The text, verified against the hash.
 
         Raises:
-          PlatformError: There is no such value or no usable answer.
+          PlatformError: The value doesn't exist, the request failed or the
+            response is invalid.
         """
         body = await self._get(self._value_url(parts.PART_PREFIX + part_hash))
         try:
@@ -71,24 +72,27 @@
                 str(error), code="value_invalid"
             ) from error
 
-    async def head(self, above: int, wait_s: float) -> parts.Head | None:
+    async def head(
+        self, above_revision: int, wait_s: float
+    ) -> parts.Head | None:
         """Reads or watches the head.
 
         Args:
-          above: Revision above which it is wanted; -1 reads what there is.
-          wait_s: How long the platform may wait for it, seconds.
+          above_revision: Watch for a revision above this one; -1 reads the
+            current head.
+          wait_s: Long-poll timeout of the watch in seconds.
 
         Returns:
-          The head, or None if there is none above.
+          The head, or None if no such revision appeared in time.
 
         Raises:
-          PlatformError: There was no usable answer.
+          PlatformError: The request failed or the response is invalid.
         """
         url = self._value_url(parts.HEAD_NAME)
         timeout_s = _READ_TIMEOUT_S
-        if above >= 0:
-            url += f"?above={above}&wait_s={wait_s}"
-            timeout_s = wait_s + _WATCH_GRACE_S
+        if above_revision >= 0:
+            url += f"?above={above_revision}&wait_s={wait_s}"
+            timeout_s = wait_s + _WATCH_TIMEOUT_MARGIN_S
         body = await self._get(url, timeout_s)
         if not body:
             return None
@@ -100,40 +104,44 @@
             ) from error
 
     async def vms(self) -> dict[str, model.Vm]:
-        """Reads the VM list, or learns that it is as it was.
+        """Reads the VM list, with a conditional request (ETag).
 
         Returns:
           The VMs by id.
 
         Raises:
-          PlatformError: There was no usable answer.
+          PlatformError: The request failed or the response is invalid.
         """
-        headers = {"If-None-Match": self._list_tag} if self._list_tag else {}
+        headers = (
+            {"If-None-Match": self._vm_list_etag} if self._vm_list_etag else {}
+        )
         reply = await self._call(
             self._vm_list_url, _READ_TIMEOUT_S, headers=headers
         )
-        if reply.status == _STATUS_UNCHANGED:
-            return self._list
+        if reply.status == _STATUS_NOT_MODIFIED:
+            return self._vms_by_id
         try:
-            vms = _VMS.validate_json(self._body(self._vm_list_url, reply))
+            vms = _VM_LIST_ADAPTER.validate_json(
+                self._checked_body(self._vm_list_url, reply)
+            )
         except ValueError as error:
             raise errors.PlatformError(
-                "the VM list isn't valid", code="value_invalid"
+                "invalid VM list", code="value_invalid"
             ) from error
-        self._list = {vm.id: vm for vm in vms}
-        self._list_tag = reply.headers.get("Etag", "")
-        return self._list
+        self._vms_by_id = {vm.id: vm for vm in vms}
+        self._vm_list_etag = reply.headers.get("Etag", "")
+        return self._vms_by_id
 
     def _value_url(self, name: str) -> str:
         return f"{self._platform_url}/v1/values/{urllib.parse.quote(name)}"
 
     async def _get(self, url: str, timeout_s: float = _READ_TIMEOUT_S) -> bytes:
-        return self._body(url, await self._call(url, timeout_s))
+        return self._checked_body(url, await self._call(url, timeout_s))
 
     async def _call(
         self, url: str, timeout_s: float, **options: Any
     ) -> peer_client.Reply:
-        wait_s = self._budget.take(clock.now())
+        wait_s = self._rate_limiter.take(clock.now())
         if wait_s:
             await asyncio.sleep(wait_s)
         try:
@@ -143,13 +151,15 @@
         except peer_client.PeerError as error:
             raise errors.PlatformError(str(error)) from error
 
-    def _body(self, url: str, reply: peer_client.Reply) -> bytes:
-        if reply.status == _STATUS_NOTHING_NEW:
+    def _checked_body(self, url: str, reply: peer_client.Reply) -> bytes:
+        if reply.status == _STATUS_NO_CONTENT:
             return b""
-        if reply.status == _STATUS_MISSING:
+        if reply.status == _STATUS_NOT_FOUND:
             raise errors.PlatformError(
-                f"{url}: no such value", code="value_missing"
+                f"{url}: value not found", code="value_missing"
             )
         if reply.status != _STATUS_OK:
-            raise errors.PlatformError(f"{url}: status {reply.status}")
+            raise errors.PlatformError(
+                f"{url}: unexpected HTTP status {reply.status}"
+            )
         return reply.body
--- a/src/cowsliprill/settings/publish.py
+++ b/src/cowsliprill/settings/publish.py
@@ -1,7 +1,7 @@
-"""From a whole document to the values that operators publish.
+"""Conversion of a settings document to the values published on the platform.
 
-The parts and the index go first and the head last, so that whoever reads the
-head finds what it names.
+Parts and index are written first and the head last, so that a reader of the
+head finds everything that the head references.
 """
 
 import dataclasses
@@ -11,22 +11,22 @@
 from cowsliprill.settings import parts
 from cowsliprill.settings import schema
 
-# About 32 child users or endpoints make a part of some 4 KB: at 25,000 changes
-# a day one part a change stays below the 4 KB/s that a node may spend.
-_NAMES_PER_BUCKET = 32
+# 32 child users or endpoints make a part of about 4 KB. At 25,000 changes a
+# day, one part per change stays below the limit of 4 KB/s per VM.
+_TARGET_NAMES_PER_BUCKET = 32
 
-# Changes that the head repeats, so that a reader a few revisions behind needs
-# no whole index.
-_CHANGES_IN_HEAD = 4
+# Changes repeated in the head, so that a VM a few revisions behind needn't
+# fetch the whole index.
+_MAX_CHANGES_IN_HEAD = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publication:
-    """What an operator publishes: parts and index first, the head last.
+    """Values of one revision; the head must be written last.
 
     Attributes:
-      head: The head.
-      texts_by_hash: Text of the index and of each part.
+      head: Head of the revision.
+      texts_by_hash: Texts of the index and of all parts, by hash.
     """
 
     head: parts.Head
@@ -34,7 +34,7 @@
 
 
 def split(document: str) -> dict[str, str]:
-    """Splits a whole document.
+    """Splits a settings document into parts.
 
     Args:
       document: JSON of `schema.Document`.
@@ -43,7 +43,7 @@
       Text by part name.
 
     Raises:
-      SettingsError: The document isn't valid.
+      SettingsError: The document is invalid.
     """
     schema.parse(schema.Document, document)
     tree = json.loads(document)
@@ -54,42 +54,44 @@
     }
     values: dict[str, Any] = {"root": root}
     for name, customer in tree.get("users", {}).items():
-        values.update(_bucketed("user", "children", "users", name, customer))
+        values.update(_split_node("user", "children", "users", name, customer))
     for name, pool in tree.get("pools", {}).items():
-        values.update(_bucketed("pool", "endpoints", "endpoints", name, pool))
-    return {name: parts.canonical(value) for name, value in values.items()}
+        values.update(_split_node("pool", "endpoints", "endpoints", name, pool))
+    return {name: parts.canonical_json(value) for name, value in values.items()}
 
 
-def _bucketed(
-    kind: str, below: str, key: str, name: str, node: dict[str, Any]
+def _split_node(
+    kind: str, children_prefix: str, key: str, name: str, node: dict[str, Any]
 ) -> dict[str, Any]:
-    """Splits a node: what it says itself, and buckets of what is below."""
+    """Splits a node into a part of its own fields and buckets of children."""
     members = node.get(key, {})
     buckets = 0
     if members:
-        wanted = -(-len(members) // _NAMES_PER_BUCKET)
-        # A power of two, so that most growth leaves the buckets alone.
-        buckets = 1 << (wanted - 1).bit_length()
-    own = {field: value for field, value in node.items() if field != key}
-    values: dict[str, Any] = {f"{kind}/{name}": {**own, "buckets": buckets}}
+        min_buckets = -(-len(members) // _TARGET_NAMES_PER_BUCKET)
+        # Powers of two keep the bucket count stable under most growth.
+        buckets = 1 << (min_buckets - 1).bit_length()
+    own_fields = {field: value for field, value in node.items() if field != key}
+    values: dict[str, Any] = {
+        f"{kind}/{name}": {**own_fields, "buckets": buckets}
+    }
     for member, value in members.items():
-        part = f"{below}/{name}/{parts.bucket_of(member, buckets)}"
+        part = f"{children_prefix}/{name}/{parts.bucket_of(member, buckets)}"
         values.setdefault(part, {})[member] = value
     return values
 
 
 def publish(document: str, previous: Publication | None = None) -> Publication:
-    """Makes the values that an operator publishes for a document.
+    """Converts a document to the values to publish.
 
     Args:
       document: JSON of `schema.Document`.
-      previous: What was published before, if known.
+      previous: Publication of the previous revision, if known.
 
     Returns:
       The publication.
 
     Raises:
-      SettingsError: The document isn't valid, or a part is too large.
+      SettingsError: The document is invalid, or a part is too large.
     """
     texts = split(document)
     hashes = {part: parts.hash_of(text) for part, text in texts.items()}
@@ -104,31 +106,31 @@
         index=parts.hash_of(index),
         published_by=fields["published_by"],
         published_at=fields.get("published_at", ""),
-        changes=_changes(previous, fields["revision"], hashes),
+        changes=_recent_changes(previous, fields["revision"], hashes),
     )
     return Publication(head, texts_by_hash)
 
 
-def _changes(
+def _recent_changes(
     previous: Publication | None, revision: int, hashes: dict[str, str]
-) -> tuple[parts.Change, ...]:
+) -> tuple[parts.IndexChange, ...]:
     if previous is None:
         return ()
-    old = json.loads(previous.texts_by_hash[previous.head.index])
-    change = parts.Change(
+    old_index = json.loads(previous.texts_by_hash[previous.head.index])
+    change = parts.IndexChange(
         revision=revision,
         previous=previous.head.index,
-        parts=_index_change(old, hashes),
+        parts=_index_diff(old_index, hashes),
     )
-    return (*previous.head.changes, change)[-_CHANGES_IN_HEAD:]
+    return (*previous.head.changes, change)[-_MAX_CHANGES_IN_HEAD:]
 
 
-def _index_change(
-    old: dict[str, str], new: dict[str, str]
+def _index_diff(
+    old_index: dict[str, str], new_index: dict[str, str]
 ) -> dict[str, str | None]:
-    names = old.keys() | new.keys()
+    names = old_index.keys() | new_index.keys()
     return {
-        name: new.get(name)
+        name: new_index.get(name)
         for name in sorted(names)
-        if old.get(name) != new.get(name)
+        if old_index.get(name) != new_index.get(name)
     }
--- a/src/cowsliprill/settings/reader.py
+++ b/src/cowsliprill/settings/reader.py
@@ -1,4 +1,4 @@
-"""The tasks that read from the platform: the settings and the VM list."""
+"""Tasks that watch the platform's settings head and poll the VM list."""
 
 import asyncio
 import random
@@ -11,16 +11,16 @@
 from cowsliprill.settings import fleet as fleet_lib
 from cowsliprill.settings import platform_client
 
-# A watch waits so long. Were it longer, a platform that takes calls but never
-# answers would hide its recovery for as long.
-_WATCH_S = 5.0
-_UNWATCHED_S = 1.0
-_LIST_INTERVAL_S = 2.0
-_READ_ALL = -1
+# A longer watch would delay detecting the recovery of a platform that accepts
+# calls but doesn't respond.
+_WATCH_TIMEOUT_S = 5.0
+_IGNORED_WATCH_MIN_DELAY_S = 1.0
+_VM_LIST_INTERVAL_S = 2.0
+_READ_CURRENT = -1
 
 
-class _Health:
-    """Tells of a source's faults, once at each change."""
+class _SourceStatus:
+    """Logs the faults of a source, once per change of the error code."""
 
     def __init__(
         self, name: str, log: log_lib.Log, metrics: metrics_lib.Metrics
@@ -28,29 +28,29 @@
         self._name = name
         self._log = log
         self._metrics = metrics
-        self._trouble = ""
+        self._fault_code = ""
 
-    def well(self) -> None:
-        if self._trouble:
-            self._log.event(f"{self._name}_recovered", after=self._trouble)
-        self._trouble = ""
+    def record_success(self) -> None:
+        if self._fault_code:
+            self._log.event(f"{self._name}_recovered", after=self._fault_code)
+        self._fault_code = ""
 
-    def trouble(self, code: str, reason: str) -> None:
+    def record_fault(self, code: str, reason: str) -> None:
         self._metrics.events.inc({"event": f"{self._name}_{code}"})
-        if code != self._trouble:
+        if code != self._fault_code:
             self._log.warning(f"{self._name}_trouble", code=code, reason=reason)
-        self._trouble = code
+        self._fault_code = code
 
 
-class SettingsReader:
-    """Watches the platform's head and offers what it says.
+class HeadWatcher:
+    """Watches the platform's settings head and submits new versions.
 
     Args:
-      client: The platform's client.
-      settings: Owner of the settings.
+      client: Client of the platform.
+      settings: Controller of the active settings.
       random_source: Source of jitter.
-      log: This process's log.
-      metrics: This process's metrics.
+      log: Log of this process.
+      metrics: Metrics of this process.
     """
 
     def __init__(
@@ -64,87 +64,92 @@
         self._client = client
         self._settings = settings
         self._backoff = pacing.Backoff(random_source)
-        self._health = _Health("platform", log, metrics)
+        self._source_status = _SourceStatus("platform", log, metrics)
 
     async def run(self) -> None:
-        """Reads and watches in turn, until cancelled.
+        """Watches for new revisions until cancelled.
 
-        A watch tells only of higher numbers. Of two operators who published
-        one number at once, the later one's version would stay unseen until
-        some VM restarts; so after each watch that ends with nothing the head
-        is read as it is.
+        A watch reports only higher revision numbers. If two operators publish
+        the same number at once, the later version would stay unnoticed until a
+        VM restarts, so a plain read follows each watch without a new version.
         """
-        above = _READ_ALL
+        above_revision = _READ_CURRENT
         while True:
-            accepted = await self.read(above)
-            if accepted or above == _READ_ALL:
-                above = self._settings.version.revision
+            accepted = await self.read(above_revision)
+            if accepted or above_revision == _READ_CURRENT:
+                above_revision = self._settings.version.revision
             else:
-                above = _READ_ALL
+                above_revision = _READ_CURRENT
 
-    async def read(self, above: int) -> bool:
-        """Reads or watches once, and waits after a fault.
+    async def read(self, above_revision: int) -> bool:
+        """Reads or watches the head once and backs off after a fault.
 
         Args:
-          above: Revision to watch above; -1 reads what there is.
+          above_revision: Watch for a revision above this one; -1 reads the
+            current head.
 
         Returns:
-          Whether a version was accepted.
+          Whether a new version was activated.
         """
         try:
-            head = await self._client.head(above, _WATCH_S)
+            head = await self._client.head(above_revision, _WATCH_TIMEOUT_S)
         except errors.PlatformError as error:
-            await self._pause(error.code, str(error))
+            await self._fail_and_back_off(error.code, str(error))
             return False
         if head is None:
-            self._healthy()
+            self._mark_healthy()
             return False
         outcome = await self._settings.offer(head, "")
         match outcome:
             case controller_lib.Outcome.ACCEPTED:
-                self._healthy()
+                self._mark_healthy()
                 return True
-            case controller_lib.Outcome.UNCHANGED if above == _READ_ALL:
-                self._healthy()
+            case controller_lib.Outcome.UNCHANGED if (
+                above_revision == _READ_CURRENT
+            ):
+                self._mark_healthy()
             case (
                 controller_lib.Outcome.UNCHANGED | controller_lib.Outcome.OLDER
-            ) if head.revision > above != _READ_ALL:
-                # A peer brought it, or a newer one, while the watch waited.
-                self._healthy()
+            ) if head.revision > above_revision != _READ_CURRENT:
+                # A peer announced this version or a newer one during the watch.
+                self._mark_healthy()
             case controller_lib.Outcome.UNCHANGED:
-                # A watch that doesn't wait would be called without end, and
-                # use up the calls that all readers share.
-                await self._pause(
-                    "watch_ignored", "a watch didn't wait", _UNWATCHED_S
+                # Repeating a watch that returns at once would use up the call
+                # rate that all VMs share.
+                await self._fail_and_back_off(
+                    "watch_ignored",
+                    "the watch returned at once without a newer revision",
+                    _IGNORED_WATCH_MIN_DELAY_S,
                 )
             case _:
-                in_force = self._settings.version.revision
-                await self._pause(
+                active_revision = self._settings.version.revision
+                await self._fail_and_back_off(
                     f"settings_{outcome}",
-                    f"offers revision {head.revision}, in force is {in_force}",
+                    f"head has revision {head.revision}, "
+                    f"active is {active_revision}",
                 )
         return False
 
-    def _healthy(self) -> None:
-        self._health.well()
+    def _mark_healthy(self) -> None:
+        self._source_status.record_success()
         self._backoff.succeeded()
 
-    async def _pause(
-        self, code: str, reason: str, least_s: float = 0.0
+    async def _fail_and_back_off(
+        self, code: str, reason: str, min_delay_s: float = 0.0
     ) -> None:
-        self._health.trouble(code, reason)
-        await asyncio.sleep(max(least_s, self._backoff.failed()))
+        self._source_status.record_fault(code, reason)
+        await asyncio.sleep(max(min_delay_s, self._backoff.failed()))
 
 
-class ListReader:
-    """Reads the VM list regularly.
+class VmListPoller:
+    """Polls the platform's VM list.
 
     Args:
-      client: The platform's client.
-      fleet: Owner of the list.
+      client: Client of the platform.
+      fleet: Controller of the VM list.
       random_source: Source of jitter.
-      log: This process's log.
-      metrics: This process's metrics.
+      log: Log of this process.
+      metrics: Metrics of this process.
     """
 
     def __init__(
@@ -159,29 +164,31 @@
         self._fleet = fleet
         self._random = random_source
         self._backoff = pacing.Backoff(random_source)
-        self._health = _Health("vm_list", log, metrics)
+        self._source_status = _SourceStatus("vm_list", log, metrics)
 
     async def run(self) -> None:
-        """Reads until cancelled."""
+        """Polls until cancelled."""
         while True:
-            pause_s = await self.read()
-            await asyncio.sleep(pause_s)
+            delay_s = await self.read()
+            await asyncio.sleep(delay_s)
 
     async def read(self) -> float:
-        """Reads the list once.
+        """Reads the VM list once.
 
         Returns:
-          Seconds to wait before the next time.
+          Delay before the next read, in seconds.
         """
         try:
             vms_by_id = await self._client.vms()
         except errors.PlatformError as error:
-            self._health.trouble(error.code, str(error))
+            self._source_status.record_fault(error.code, str(error))
             return self._backoff.failed()
         if not self._fleet.put_list(vms_by_id):
-            self._health.trouble("value_invalid", "the VM list is empty")
+            self._source_status.record_fault(
+                "value_invalid", "the VM list is empty"
+            )
             return self._backoff.failed()
-        self._health.well()
+        self._source_status.record_success()
         self._backoff.succeeded()
-        self._client.share_with(1 + len(self._fleet.other_entry_urls()))
-        return _LIST_INTERVAL_S * self._random.uniform(0.7, 1.3)
+        self._client.set_reader_count(1 + len(self._fleet.other_entry_urls()))
+        return _VM_LIST_INTERVAL_S * self._random.uniform(0.7, 1.3)
--- a/src/cowsliprill/settings/service.py
+++ b/src/cowsliprill/settings/service.py
@@ -1,4 +1,4 @@
-"""The parts of one settings process, put together."""
+"""Assembly of a settings process: controllers, watchers, gossip and tasks."""
 
 import asyncio
 import dataclasses
@@ -25,17 +25,17 @@
 from cowsliprill.settings import resolve
 from cowsliprill.settings import store as store_lib
 
-# A bulk of parts is at most a megabyte, or one part, plus JSON's escapes.
+# A reply has at most a megabyte of parts, or one part; JSON escapes add to it.
 _MAX_BODY_BYTES = 4 * parts.MAX_VALUE_BYTES
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeavingReport:
-    """A local process's report that an endpoint is leaving.
+    """Report of a local process that an endpoint is leaving.
 
     Attributes:
-      endpoint_id: The endpoint.
-      ttl_s: How long the news shall hold, seconds.
+      endpoint_id: Id of the endpoint.
+      ttl_s: TTL of the leaving notice in seconds.
     """
 
     endpoint_id: str
@@ -43,22 +43,22 @@
 
 
 class SettingsService:
-    """One settings process without its HTTP server.
+    """A settings process without its HTTP server.
 
     Args:
-      environment: What the process was told about itself.
-      log: Its log.
-      metrics: Its metrics.
-      audit: The VM's audit trail.
+      environment: Configuration from the environment variables.
+      log: Log of the process.
+      metrics: Metrics of the process.
+      audit: Audit trail of the VM.
 
     Attributes:
-      url: This process's own URL, set once its port is known.
-      auth: Signs and checks peers' bodies.
-      audit: The audit trail.
-      store: Texts of the settings' parts.
-      settings: Owner of the settings in force.
-      fleet: Owner of the VM list.
-      exchange: Speaks with peers.
+      url: URL of this process, set once its port is known.
+      auth: Signs and verifies the bodies of peer messages.
+      audit: Audit trail of the VM.
+      store: Store of the settings parts.
+      settings: Controller of the active settings.
+      fleet: Controller of the VM list.
+      exchange: Gossip with the settings processes of other VMs.
     """
 
     def __init__(
@@ -93,13 +93,14 @@
         )
         self.fleet = fleet_lib.FleetController(
             environment.vm,
-            # Above the versions of this VM's earlier lives, with no memory of
-            # them: followers would take a lower one for an old answer.
+            # Start above the versions of earlier incarnations of this VM, which
+            # aren't stored: followers would take a lower version for an
+            # outdated response.
             int(time.time() * 1000),
             self._endpoints,
             audit,
         )
-        self.exchange = exchange_lib.PeerExchange(
+        self.exchange = exchange_lib.SettingsGossip(
             lambda: self.url,
             environment.boot_peers,
             self.settings,
@@ -110,10 +111,10 @@
             log,
             metrics,
         )
-        self._settings_reader = reader.SettingsReader(
+        self._head_watcher = reader.HeadWatcher(
             self._platform, self.settings, self._random, log, metrics
         )
-        self._list_reader = reader.ListReader(
+        self._vm_list_poller = reader.VmListPoller(
             self._platform, self.fleet, self._random, log, metrics
         )
         self._booted = False
@@ -121,21 +122,21 @@
         self._tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Starts the tasks."""
+        """Starts the background tasks."""
         if not self.auth.checks:
             self._log.warning("peer_secret_missing")
-        jobs = {
+        jobs_by_name = {
             "controller": self.settings.run,
             "fleet": self.fleet.run,
-            "endpoints": self._follow_endpoints,
+            "endpoints": self._refresh_fleet_on_change,
             "boot": self._boot,
         }
-        for name, job in jobs.items():
-            task = asyncio.create_task(self._keep_running(name, job))
+        for name, job in jobs_by_name.items():
+            task = asyncio.create_task(self._supervise(name, job))
             self._tasks.append(task)
 
     async def stop(self) -> None:
-        """Ends the tasks and lets waiting callers go."""
+        """Cancels the background tasks and ends all long polls."""
         self._stopping = True
         for task in self._tasks:
             task.cancel()
@@ -144,24 +145,26 @@
         self._client.close()
 
     def unready_reason(self) -> str:
-        """Returns why the settings here can't be used yet, empty if so."""
+        """Returns why this process isn't ready, empty if ready."""
         if not self._booted:
-            return "the boot peers were not all asked yet"
+            return (
+                "startup queries to platform and boot peers are still running"
+            )
         if self.settings.head is None:
-            return "no revision is in force yet"
+            return "no revision is active yet"
         if not self.fleet.listed:
-            return "no VM list was read yet"
+            return "no VM list was received yet"
         return ""
 
     def status(self) -> dict[str, Any]:
-        """Returns what `GET /v1/status` answers."""
+        """Returns the response body of `GET /v1/status`."""
         head = self.settings.head
         refused = self.settings.refused()
         return {
             "revision": self.settings.version.revision,
             "index": self.settings.version.index,
             "published_by": head.published_by if head else "",
-            "in_force_for_s": clock.now() - self.settings.in_force_since,
+            "in_force_for_s": clock.now() - self.settings.active_since,
             "refused": {
                 f"{version.revision}/{version.index}": reason
                 for version, reason in refused.items()
@@ -175,58 +178,60 @@
         }
 
     async def wait_for_head(
-        self, have: tuple[int, str], wait_s: float
+        self, known_version: tuple[int, str], wait_s: float
     ) -> parts.Head | None:
-        """Waits for a version other than the one the caller has.
+        """Waits until the active version differs from the caller's.
 
         Args:
-          have: Revision and index hash that the caller has.
-          wait_s: How long at most, seconds.
+          known_version: Revision and index hash that the caller has.
+          wait_s: Timeout in seconds.
 
         Returns:
-          The head in force; None if the caller has it, or this VM is not ready
-          yet: a local process must not begin with a version that peers would
-          have replaced.
+          The active head. None on timeout or shutdown, also while startup is
+          incomplete: a local process must not start with a version that peers
+          would replace.
         """
-        ends_at = clock.now() + wait_s
-        while not self._has_other(have):
-            left_s = ends_at - clock.now()
-            if left_s <= 0 or self._stopping:
+        deadline = clock.now() + wait_s
+        while not self._has_other_version(known_version):
+            remaining_s = deadline - clock.now()
+            if remaining_s <= 0 or self._stopping:
                 return None
-            await self.settings.changes.wait(left_s)
+            await self.settings.changes.wait(remaining_s)
         return self.settings.head
 
     async def wait_for_fleet(
-        self, have: int, wait_s: float
+        self, known_version: int, wait_s: float
     ) -> model.Fleet | None:
-        """Waits for a version of the fleet other than the caller's.
+        """Waits until the fleet's version differs from the caller's.
 
         Args:
-          have: Version that the caller has.
-          wait_s: How long at most, seconds.
+          known_version: Fleet version that the caller has.
+          wait_s: Timeout in seconds.
 
         Returns:
-          The fleet; None if the caller has it or none is known.
+          The fleet; None on timeout or shutdown.
         """
-        ends_at = clock.now() + wait_s
-        while not self.fleet.listed or self.fleet.fleet.version == have:
-            left_s = ends_at - clock.now()
-            if left_s <= 0 or self._stopping:
+        deadline = clock.now() + wait_s
+        while (
+            not self.fleet.listed or self.fleet.fleet.version == known_version
+        ):
+            remaining_s = deadline - clock.now()
+            if remaining_s <= 0 or self._stopping:
                 return None
-            await self.fleet.changes.wait(left_s)
+            await self.fleet.changes.wait(remaining_s)
         return self.fleet.fleet
 
-    def _has_other(self, have: tuple[int, str]) -> bool:
+    def _has_other_version(self, known_version: tuple[int, str]) -> bool:
         version = self.settings.version
-        known = self._booted and self.settings.head is not None
-        return known and (version.revision, version.index) != have
+        is_known = self._booted and self.settings.head is not None
+        return is_known and (version.revision, version.index) != known_version
 
     def _endpoints(self) -> list[model.Endpoint]:
         return list(self.settings.snapshot.endpoints_by_id.values())
 
-    def _sources(self, heard_at: str, missing: int) -> list[fetch.Source]:
+    def _sources(self, source_url: str, missing: int) -> list[fetch.Source]:
         order = fetch.order_sources(
-            heard_at, missing, self.exchange.peer_urls(), self._random
+            source_url, missing, self.exchange.peer_urls(), self._random
         )
         return [
             fetch.PeerSource(self._client, url)
@@ -235,28 +240,28 @@
             for url in order
         ]
 
-    async def _follow_endpoints(self) -> None:
+    async def _refresh_fleet_on_change(self) -> None:
         while True:
-            await self.settings.changes.wait(exchange_lib.INTERVAL_S)
+            await self.settings.changes.wait(exchange_lib.GOSSIP_INTERVAL_S)
             self.fleet.refresh()
 
     async def _boot(self) -> None:
         await asyncio.gather(
-            self._settings_reader.read(-1),
-            self._list_reader.read(),
-            self.exchange.ask_boot_peers(),
+            self._head_watcher.read(-1),
+            self._vm_list_poller.read(),
+            self.exchange.query_boot_peers(),
         )
         self._booted = True
         self.settings.changes.notify()
         await asyncio.gather(
-            self._keep_running("settings_reader", self._settings_reader.run),
-            self._keep_running("list_reader", self._list_reader.run),
-            self._keep_running("exchange", self.exchange.run),
+            self._supervise("settings_reader", self._head_watcher.run),
+            self._supervise("list_reader", self._vm_list_poller.run),
+            self._supervise("exchange", self.exchange.run),
         )
 
-    async def _keep_running(self, name: str, job: Any) -> None:
-        # A process that lost one of its tasks would answer its health check
-        # and stay at an old revision for ever.
+    async def _supervise(self, name: str, job: Any) -> None:
+        # Restart a failed task: without it the process would pass its health
+        # checks and stay at an old revision forever.
         while True:
             try:
                 await job()
--- a/src/cowsliprill/settings/store.py
+++ b/src/cowsliprill/settings/store.py
@@ -1,21 +1,21 @@
-"""Texts of the parts that this process holds, compressed, by hash."""
+"""Content-addressed store of settings parts, compressed in memory."""
 
 from collections.abc import Iterable
 
 from cowsliprill.settings import packed
 from cowsliprill.settings import parts
 
-# Parts fetched for a revision that isn't complete yet. They are kept, so that
-# a fetch which fails midway goes on where it stopped, but not without end.
+# Limit for parts of versions that aren't active yet. Keeping them lets a fetch
+# that fails midway resume; the limit bounds the memory.
 _MAX_PENDING_BYTES = 32_000_000
 
 
 class PartStore:
-    """Holds the parts of the version in force and of one being fetched.
+    """Stores the parts of the active version and of versions being fetched.
 
     Attributes:
-      index_hash: Hash of the index in force, empty if none.
-      hashes_by_part: The index in force.
+      index_hash: Hash of the active index, empty if none.
+      hashes_by_part: The active index: hash by part name.
     """
 
     def __init__(self) -> None:
@@ -25,46 +25,44 @@
         self._pending_bytes = 0
 
     def add(self, text: str) -> None:
-        """Keeps the text of a part or an index."""
+        """Stores the text of a part or an index under its hash."""
         text_hash = parts.hash_of(text)
         if text_hash in self._packed_by_hash:
             return
-        kept = packed.PackedText(text)
-        if self._pending_bytes + len(kept) > _MAX_PENDING_BYTES:
-            self.drop_pending()
-        self._packed_by_hash[text_hash] = kept
-        self._pending_bytes += len(kept)
+        compressed = packed.PackedText(text)
+        if self._pending_bytes + len(compressed) > _MAX_PENDING_BYTES:
+            self.drop_unreferenced()
+        self._packed_by_hash[text_hash] = compressed
+        self._pending_bytes += len(compressed)
 
     def text(self, text_hash: str) -> str | None:
-        """Returns the text of a hash, or None if it isn't held."""
-        kept = self._packed_by_hash.get(text_hash)
-        return None if kept is None else str(kept)
+        """Returns the text with a hash, or None if the store lacks it."""
+        compressed = self._packed_by_hash.get(text_hash)
+        return None if compressed is None else str(compressed)
 
     def held(self, text_hash: str) -> packed.PackedText:
-        """Returns what is kept of a hash that is known to be held."""
+        """Returns the compressed text with a hash; KeyError if missing."""
         return self._packed_by_hash[text_hash]
 
     def missing(self, hashes: Iterable[str]) -> list[str]:
-        """Returns those of the hashes whose text isn't held."""
+        """Returns the hashes whose text isn't stored, sorted."""
         return sorted(set(hashes) - self._packed_by_hash.keys())
 
-    def put_in_force(
-        self, index_hash: str, hashes_by_part: dict[str, str]
-    ) -> None:
-        """Makes an index the one in force and drops what it doesn't name.
+    def activate(self, index_hash: str, hashes_by_part: dict[str, str]) -> None:
+        """Makes an index the active one and drops unreferenced texts.
 
         Args:
           index_hash: Hash of the index.
-          hashes_by_part: The index; all its parts are held.
+          hashes_by_part: The index; all its parts must be in the store.
         """
         self.index_hash = index_hash
         self.hashes_by_part = hashes_by_part
         self.add(parts.index_text(hashes_by_part))
-        self.drop_pending()
+        self.drop_unreferenced()
 
-    def drop_pending(self) -> None:
-        """Drops the parts that the index in force doesn't name."""
-        wanted = {self.index_hash, *self.hashes_by_part.values()}
-        for text_hash in self._packed_by_hash.keys() - wanted:
+    def drop_unreferenced(self) -> None:
+        """Drops the texts that the active index doesn't reference."""
+        referenced = {self.index_hash, *self.hashes_by_part.values()}
+        for text_hash in self._packed_by_hash.keys() - referenced:
             del self._packed_by_hash[text_hash]
         self._pending_bytes = 0
--- a/tests/test_settings_controller.py
+++ b/tests/test_settings_controller.py
@@ -19,41 +19,41 @@
 from cowsliprill.settings import resolve
 from cowsliprill.settings import store as store_lib
 
-_PATIENCE_S = 5.0
+_TEST_TIMEOUT_S = 5.0
 
 
-def _run(play: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(play, _PATIENCE_S))
+def _run(scenario: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, _TEST_TIMEOUT_S))
 
 
 class _Source:
-    """Gives texts, once it is let."""
+    """Source whose replies can be held back or made to fail."""
 
     def __init__(self) -> None:
         self.texts_by_hash: dict[str, str] = {}
-        self.let = asyncio.Event()
-        self.let.set()
-        self.faulty = False
-        self.asked = asyncio.Event()
+        self.released = asyncio.Event()
+        self.released.set()
+        self.fails = False
+        self.fetch_started = asyncio.Event()
 
     async def fetch(self, hashes: list[str]) -> list[str]:
-        if self.faulty:
-            raise KeyError("an answer that nobody foresaw")
-        self.asked.set()
-        await self.let.wait()
+        if self.fails:
+            raise KeyError("unexpected response")
+        self.fetch_started.set()
+        await self.released.wait()
         return [
-            self.texts_by_hash[each]
-            for each in hashes
-            if each in self.texts_by_hash
+            self.texts_by_hash[text_hash]
+            for text_hash in hashes
+            if text_hash in self.texts_by_hash
         ]
 
 
 class _FaultyResolver(resolve.Resolver):
-    """Has a fault that revision 2 brings to light."""
+    """Resolver with a bug that revision 2 triggers."""
 
     def resolve(self, revision: int, *arguments: Any) -> model.Snapshot:
         if revision == 2:
-            raise KeyError("a fault in the checks")
+            raise KeyError("bug in validation")
         return super().resolve(revision, *arguments)
 
 
@@ -83,16 +83,16 @@
 
 
 class TestSettingsController:
-    """The task that puts versions in force."""
+    """Activation of candidate versions."""
 
-    def test_a_fault_in_the_checks_does_not_end_it(self) -> None:
-        """A revision meets a fault of ours that no check foresaw.
+    def test_a_validation_bug_does_not_end_the_task(self) -> None:
+        """Validation of a revision raises an unexpected exception.
 
-        Without care the task would end and the VM stay at its revision for
-        ever, while its health check is fine.
+        Guards against the controller task ending: the VM would stay at its
+        revision forever while its health check passes.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             source = _Source()
             async with _running(source, _FaultyResolver()) as settings:
                 outcomes = []
@@ -104,35 +104,36 @@
                 assert outcomes == ["accepted", "invalid", "accepted"]
                 assert settings.version.revision == 3
 
-        _run(play())
+        _run(scenario())
 
-    def test_a_faulty_source_does_not_end_it(self) -> None:
-        """A source answers in a way that no check foresaw.
+    def test_a_failing_source_does_not_end_the_task(self) -> None:
+        """A source raises an unexpected exception.
 
-        The revision must neither be given up for ever nor the task end.
+        Guards against the task ending, and against rejecting the revision for
+        good: a later attempt must succeed.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             source = _Source()
             async with _running(source, resolve.Resolver()) as settings:
                 publication = _publication(1)
                 source.texts_by_hash = publication.texts_by_hash
-                source.faulty = True
+                source.fails = True
                 outcome = await settings.offer(publication.head, "")
                 assert outcome == "incomplete"
-                source.faulty = False
+                source.fails = False
                 outcome = await settings.offer(publication.head, "")
                 assert outcome == "accepted"
 
-        _run(play())
+        _run(scenario())
 
-    def test_an_offer_read_slowly_does_not_turn_back(self) -> None:
-        """Revision 2 is offered while 3 waits for slow parts, and after it.
+    def test_a_slow_fetch_does_not_activate_an_older_revision(self) -> None:
+        """Revision 2 is announced while the parts of 3 are fetched slowly.
 
-        It must not replace 3, neither from the queue nor later.
+        Guards against the queued older revision replacing revision 3.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             source = _Source()
             async with _running(source, resolve.Resolver()) as settings:
                 two, three = _publication(2), _publication(3)
@@ -140,22 +141,22 @@
                     **two.texts_by_hash,
                     **three.texts_by_hash,
                 }
-                source.let.clear()
+                source.released.clear()
                 newer = asyncio.create_task(settings.offer(three.head, ""))
-                await source.asked.wait()
+                await source.fetch_started.wait()
                 older = asyncio.create_task(settings.offer(two.head, ""))
                 await asyncio.sleep(0)
-                source.let.set()
+                source.released.set()
                 assert await newer == "accepted"
                 assert await older == "older"
                 assert settings.snapshot.revision == 3
 
-        _run(play())
+        _run(scenario())
 
-    def test_missing_parts_leave_the_old_revision(self) -> None:
-        """A part is nowhere to be had yet, because it is published late."""
+    def test_missing_parts_keep_the_old_revision(self) -> None:
+        """A part is published late, so no source has it at first."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             source = _Source()
             async with _running(source, resolve.Resolver()) as settings:
                 one, two = _publication(1), _publication(2)
@@ -166,4 +167,4 @@
                 source.texts_by_hash |= two.texts_by_hash
                 assert await settings.offer(two.head, "") == "accepted"
 
-        _run(play())
+        _run(scenario())
--- a/tests/test_settings_fetch.py
+++ b/tests/test_settings_fetch.py
@@ -13,7 +13,7 @@
 
 
 class _Platform:
-    """Answers one part a call, and counts the calls."""
+    """Platform that returns one part per call and counts the calls."""
 
     def __init__(self, texts_by_hash: dict[str, str]) -> None:
         self._texts_by_hash = texts_by_hash
@@ -26,7 +26,7 @@
 
 
 class _Peer:
-    """Another VM, asked without a network."""
+    """Peer that reads from another VM's store without a network."""
 
     def __init__(self, store: store_lib.PartStore) -> None:
         self._store = store
@@ -38,13 +38,13 @@
 
 
 def _fetcher(
-    own: int, stores: list[store_lib.PartStore], platform: _Platform
+    own_index: int, stores: list[store_lib.PartStore], platform: _Platform
 ) -> fetch.Fetcher:
-    random_source = random.Random(own)
-    names = [str(each) for each in range(_VMS) if each != own]
+    random_source = random.Random(own_index)
+    names = [str(each) for each in range(_VMS) if each != own_index]
 
-    def sources(heard_at: str, missing: int) -> list[fetch.Source]:
-        order = fetch.order_sources(heard_at, missing, names, random_source)
+    def sources(source_url: str, missing: int) -> list[fetch.Source]:
+        order = fetch.order_sources(source_url, missing, names, random_source)
         return [
             _Peer(stores[int(name)])
             if name
@@ -52,7 +52,7 @@
             for name in order
         ]
 
-    return fetch.Fetcher(stores[own], sources)
+    return fetch.Fetcher(stores[own_index], sources)
 
 
 async def _start_all() -> tuple[int, int]:
@@ -62,8 +62,8 @@
     stores = [store_lib.PartStore() for _ in range(_VMS)]
     await asyncio.gather(
         *(
-            _fetcher(own, stores, platform).complete(publication.head, "")
-            for own in range(_VMS)
+            _fetcher(own_index, stores, platform).complete(publication.head, "")
+            for own_index in range(_VMS)
         )
     )
     for store in stores:
@@ -72,26 +72,26 @@
 
 
 class TestColdStart:
-    """All VMs start at once, and none has any settings."""
+    """All VMs start at once without any settings."""
 
-    def test_vms_share_the_reading(self) -> None:
-        """The platform answers so many calls a second to all together.
+    def test_vms_share_the_platform_reads(self) -> None:
+        """The platform limits the total call rate of all VMs.
 
-        Were each VM to read every part by itself, a large fleet would take
-        half an hour to start again after an outage.
+        Guards against each VM reading every part from the platform: a large
+        fleet would need half an hour to restart after an outage.
         """
         calls, texts = asyncio.run(_start_all())
         assert calls < texts * _VMS / 2
 
 
 class TestOrderSources:
-    """Where parts are looked for."""
+    """Order of the sources for missing parts."""
 
-    def test_the_peer_that_told_comes_first(self) -> None:
+    def test_the_announcing_peer_comes_first(self) -> None:
         order = fetch.order_sources("b", 1, ["a", "b"], random.Random(1))
         assert order[:2] == ["b", ""]
 
-    def test_far_behind_peers_come_before_the_platform(self) -> None:
+    def test_with_many_missing_parts_peers_come_first(self) -> None:
         order = fetch.order_sources("", 500, ["a", "b"], random.Random(1))
         assert order[-1] == ""
         assert fetch.order_sources("", 1, ["a"], random.Random(1)) == ["", "a"]
--- a/tests/test_settings_follower.py
+++ b/tests/test_settings_follower.py
@@ -1,4 +1,4 @@
-"""Tests of `settings.follower` against a settings process that is silent."""
+"""Tests of `settings.follower` with an unresponsive settings process."""
 
 import asyncio
 import io
@@ -11,17 +11,17 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.settings import follower as follower_lib
 
-# A change of the settings is in force everywhere within this time.
-_IN_FORCE_S = 9.0
+# Maximum time until a settings change is active on all VMs.
+_MAX_PROPAGATION_S = 9.0
 
-_WATCHED_S = 60.0
+_OBSERVED_S = 60.0
 
 
-class _SilentClient:
-    """A client whose calls are never answered.
+class _UnresponsiveClient:
+    """Client whose calls all time out.
 
     Attributes:
-      called_at_by_path: When each path was called, seconds.
+      called_at_by_path: Times of the calls to each path, in seconds.
     """
 
     def __init__(self) -> None:
@@ -45,19 +45,21 @@
     )
 
 
-class TestSilence:
-    """A poll of the settings process gets no answer."""
+class TestLostPolls:
+    """Long polls that get no response."""
 
-    def test_a_lost_poll_is_repeated_before_a_change_is_due(self, monkeypatch):
-        """Guards against settings that stay old behind a poll that was lost."""
+    def test_a_lost_poll_is_retried_within_the_propagation_time(
+        self, monkeypatch
+    ):
+        """Guards against outdated settings while a lost poll times out."""
 
         async def scenario():
-            client = _SilentClient()
+            client = _UnresponsiveClient()
             follower = follower_lib.Follower(
                 _environment(), client, log_lib.open_log("t", io.StringIO())
             )
             task = asyncio.create_task(follower.run())
-            await asyncio.sleep(_WATCHED_S)
+            await asyncio.sleep(_OBSERVED_S)
             task.cancel()
             await asyncio.wait([task])
             return client.called_at_by_path
@@ -72,4 +74,4 @@
                 )
             ]
             assert gaps_s
-            assert max(gaps_s) < _IN_FORCE_S
+            assert max(gaps_s) < _MAX_PROPAGATION_S
--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_reader.py
@@ -13,34 +13,34 @@
 from cowsliprill.settings import reader
 
 _HEAD = parts.Head(revision=4, index="aa", published_by="ann")
-_CALLS = 2
+_MAX_CALLS = 2
 
 
 class _Platform:
-    """Answers every call at once, also a watch, with what it holds."""
+    """Stale replica: returns its head at once, also to a watch."""
 
     def __init__(self, revision_held: int) -> None:
         self._head = dataclasses.replace(_HEAD, revision=revision_held)
-        self.asked: list[int] = []
+        self.requested_revisions: list[int] = []
 
-    async def head(self, above: int, wait_s: float) -> parts.Head:
-        self.asked.append(above)
-        if len(self.asked) > _CALLS:
+    async def head(self, above_revision: int, wait_s: float) -> parts.Head:
+        self.requested_revisions.append(above_revision)
+        if len(self.requested_revisions) > _MAX_CALLS:
             raise asyncio.CancelledError
         return self._head
 
 
 class _Settings:
-    """Has had the platform's version in force for long."""
+    """Controller whose active version is that of the platform."""
 
     version = revision.Version(_HEAD.revision, _HEAD.index)
 
-    async def offer(self, head: parts.Head, heard_at: str) -> object:
+    async def offer(self, head: parts.Head, source_url: str) -> object:
         return controller.Outcome.UNCHANGED
 
 
 async def _read(platform: _Platform, stream: io.StringIO) -> None:
-    settings_reader = reader.SettingsReader(
+    settings_reader = reader.HeadWatcher(
         platform,
         _Settings(),
         random.Random(1),
@@ -53,27 +53,27 @@
         pass
 
 
-class TestSettingsReader:
-    """Watching the platform."""
+class TestHeadWatcher:
+    """Watching the platform's settings head."""
 
-    def test_a_watch_that_does_not_wait(self) -> None:
-        """A stale replica answers each watch at once with what it holds.
+    def test_a_watch_that_returns_at_once_is_delayed(self) -> None:
+        """A stale replica answers each watch at once with its current head.
 
-        Without a pause the reader would call it as fast as it can, and use up
-        the calls that all readers share.
+        Guards against a busy loop of watches, which would use up the call rate
+        that all VMs share.
         """
         platform, stream = _Platform(4), io.StringIO()
         asyncio.run(_read(platform, stream))
-        assert platform.asked == [-1, 4, -1]
+        assert platform.requested_revisions == [-1, 4, -1]
         assert "code=watch_ignored" in stream.getvalue()
 
-    def test_a_peer_that_was_faster(self) -> None:
-        """Revision 5 comes from a peer a moment before the watch tells of it.
+    def test_a_version_from_a_peer_during_a_watch_is_no_fault(self) -> None:
+        """Revision 5 arrives from a peer just before the watch reports it.
 
-        That is no fault of the platform. A pause for it would make the next
-        revision late here.
+        Guards against counting this as a fault of the platform: the backoff
+        would delay the next revision.
         """
         platform, stream = _Platform(5), io.StringIO()
         asyncio.run(_read(platform, stream))
-        assert platform.asked == [-1, 4, -1]
+        assert platform.requested_revisions == [-1, 4, -1]
         assert "trouble" not in stream.getvalue()
