--- a/src/cowsliprill/settings/controller.py
+++ b/src/cowsliprill/settings/controller.py
@@ -144,12 +144,12 @@
     async def run(self) -> None:
         """Processes queued candidates until cancelled."""
         while True:
-            offer = await self._candidates.get()
-            outcome = self._known_outcome(offer.head)
+            candidate = await self._candidates.get()
+            outcome = self._known_outcome(candidate.head)
             if outcome is None:
-                outcome = await self._process(offer)
-            if not offer.outcome.done():
-                offer.outcome.set_result(outcome)
+                outcome = await self._process(candidate)
+            if not candidate.outcome.done():
+                candidate.outcome.set_result(outcome)
 
     def _known_outcome(self, head: parts.Head) -> Outcome | None:
         version = version_of(head)
@@ -165,10 +165,10 @@
             case revision.Verdict.NEWER:
                 return None
 
-    async def _process(self, offer: Candidate) -> Outcome:
-        head = offer.head
+    async def _process(self, candidate: Candidate) -> Outcome:
+        head = candidate.head
         try:
-            index = await self._fetcher.complete(head, offer.source_url)
+            index = await self._fetcher.complete(head, candidate.source_url)
         except errors.SettingsError as error:
             if error.code != "part_missing":
                 return self._reject(head, error)
@@ -197,7 +197,7 @@
             )
         if not self._tracker.accept(version_of(head)):
             return Outcome.OLDER
-        self.source_url = offer.source_url
+        self.source_url = candidate.source_url
         self._activate(head, index, snapshot)
         return Outcome.ACCEPTED
 
@@ -282,8 +282,8 @@
 
     def _report_conflict(self, head: parts.Head) -> None:
         # Two operators published different versions under one revision number.
-        # One of them wrongly believes that the change is active; both must be
-        # able to see the conflict.
+        # One of them wrongly believes that the change is active on all VMs, so
+        # the conflict must be reported.
         version = version_of(head)
         if version == self._reported_conflict:
             return
--- a/src/cowsliprill/settings/fetch.py
+++ b/src/cowsliprill/settings/fetch.py
@@ -142,7 +142,7 @@
                 texts.append(await self._client.part(remaining[-1]))
             except errors.PlatformError:
                 # Without a retry, a platform that drops most calls would have
-                # to answer the calls for the head and all parts in a row.
+                # to answer for the head and every part without a failure.
                 await asyncio.sleep(backoff.failed())
                 continue
             remaining.pop()
--- a/src/cowsliprill/settings/follower.py
+++ b/src/cowsliprill/settings/follower.py
@@ -20,7 +20,7 @@
 from cowsliprill.settings import service as service_lib
 from cowsliprill.settings import store as store_lib
 
-# A lost long poll can't be told from one without changes until its timeout.
+# A lost long poll looks like one without changes until its timeout.
 _LONG_POLL_S = 3.0
 _LONG_POLL_TIMEOUT_S = _LONG_POLL_S + 1.5
 _CALL_TIMEOUT_S = 2.0
--- a/src/cowsliprill/settings/service.py
+++ b/src/cowsliprill/settings/service.py
@@ -187,9 +187,9 @@
           wait_s: Timeout in seconds.
 
         Returns:
-          The active head. None on timeout or shutdown, also while startup is
-          incomplete: a local process must not start with a version that peers
-          would replace.
+          The active head; None on timeout or shutdown. No head is returned
+          before startup is complete: a local process must not start with a
+          version that peers would replace.
         """
         deadline = clock.now() + wait_s
         while not self._has_other_version(known_version):
--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_reader.py
@@ -17,10 +17,10 @@
 
 
 class _Platform:
-    """Stale replica: returns its head at once, also to a watch."""
+    """Platform that returns its head at once, also to a watch."""
 
-    def __init__(self, revision_held: int) -> None:
-        self._head = dataclasses.replace(_HEAD, revision=revision_held)
+    def __init__(self, head_revision: int) -> None:
+        self._head = dataclasses.replace(_HEAD, revision=head_revision)
         self.requested_revisions: list[int] = []
 
     async def head(self, above_revision: int, wait_s: float) -> parts.Head:
@@ -40,7 +40,7 @@
 
 
 async def _read(platform: _Platform, stream: io.StringIO) -> None:
-    settings_reader = reader.HeadWatcher(
+    head_watcher = reader.HeadWatcher(
         platform,
         _Settings(),
         random.Random(1),
@@ -48,7 +48,7 @@
         metrics.Metrics(),
     )
     try:
-        await settings_reader.run()
+        await head_watcher.run()
     except asyncio.CancelledError:
         pass
 
