--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Tests of `settings.reader`."""
+"""Tests of the watch on the platform's settings head."""
 
 import asyncio
 import dataclasses
