--- a/src/cowsliprill/settings/handlers.py
+++ b/src/cowsliprill/settings/handlers.py
@@ -40,7 +40,7 @@
         signature = self.request.headers.get(peer_auth.HEADER)
         if not self.service.auth.accepts(self.request.body, signature):
             self.write_error_body(
-                403, "peer_unknown", "the body has no valid peer signature"
+                403, "peer_unknown", "the body isn't signed by a peer"
             )
             return None
         try:
@@ -78,9 +78,7 @@
     def get(self, text_hash: str) -> None:
         text = self.service.store.text(text_hash)
         if text is None:
-            self.write_error_body(
-                404, "part_missing", f"part {text_hash} not found"
-            )
+            self.write_error_body(404, "part_missing", f"no part {text_hash}")
             return
         self.write_signed(text.encode())
 
@@ -103,7 +101,7 @@
         head = self.service.settings.head
         if head is None:
             self.write_error_body(
-                503, "no_settings", "no revision is active yet"
+                503, "no_settings", "no revision is in force yet"
             )
             return
         self.write_signed(self._document(head).encode())
--- a/src/cowsliprill/settings/parts.py
+++ b/src/cowsliprill/settings/parts.py
@@ -125,10 +125,10 @@
         members = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise errors.SettingsError(
-            f"{tree_path}: invalid JSON: {error}", code="settings_not_json"
+            f"{tree_path}: not JSON: {error}", code="settings_not_json"
         ) from error
     if not isinstance(members, dict):
-        raise errors.SettingsError(f"{tree_path}: expected a JSON object")
+        raise errors.SettingsError(f"{tree_path}: not an object")
     return members
 
 
@@ -149,9 +149,11 @@
       SettingsError: The bucket is wrong, or the name is invalid.
     """
     if not schema.is_name(name):
-        raise errors.SettingsError(f"{tree_path}: invalid name {name!r}")
+        raise errors.SettingsError(f"{tree_path}: {name!r} is not a name")
     if bucket_of(name, buckets) != bucket:
-        raise errors.SettingsError(f"{tree_path}.{name}: is in the wrong part")
+        raise errors.SettingsError(
+            f"{tree_path}.{name}: stands in the wrong part"
+        )
 
 
 def index_of(
@@ -255,6 +257,6 @@
     """
     if len(value) > MAX_VALUE_BYTES:
         raise errors.SettingsError(
-            f"value of {len(value)} bytes exceeds {MAX_VALUE_BYTES}",
+            f"value of {len(value)} bytes, allowed are {MAX_VALUE_BYTES}",
             code="value_too_large",
         )
--- a/src/cowsliprill/settings/service.py
+++ b/src/cowsliprill/settings/service.py
@@ -147,13 +147,11 @@
     def unready_reason(self) -> str:
         """Returns why this process isn't ready, empty if ready."""
         if not self._booted:
-            return (
-                "startup queries to platform and boot peers are still running"
-            )
+            return "the boot peers were not all asked yet"
         if self.settings.head is None:
-            return "no revision is active yet"
+            return "no revision is in force yet"
         if not self.fleet.listed:
-            return "no VM list was received yet"
+            return "no VM list was read yet"
         return ""
 
     def status(self) -> dict[str, Any]:
