--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -168,16 +168,16 @@
 
 def _publish_texts(context, texts: dict[str, str], **wrong: str) -> None:
     """Publishes parts, with the wrong content under some parts' hashes."""
-    hashes = {name: parts.hash_of(text) for name, text in texts.items()}
-    index = parts.index_text(hashes)
+    hashes = {name: parts.content_hash(text) for name, text in texts.items()}
+    index = parts.encode_index(hashes)
     for text in [*texts.values(), index]:
-        text_hash = parts.hash_of(text)
+        text_hash = parts.content_hash(text)
         content = wrong.get(text_hash, text).encode()
         _put_raw(context, parts.PART_PREFIX + text_hash, content, 2)
     head = parts.Head(
-        revision=2, index=parts.hash_of(index), published_by="ann"
+        revision=2, index=parts.content_hash(index), published_by="ann"
     )
-    _put_raw(context, parts.HEAD_NAME, parts.head_text(head).encode(), 2)
+    _put_raw(context, parts.HEAD_NAME, parts.encode_head(head).encode(), 2)
 
 
 def _texts(priority: int) -> dict[str, str]:
@@ -187,7 +187,7 @@
 
 def _half_a_head(context) -> None:
     head = parts.Head(revision=2, index="ab" * 16, published_by="ann")
-    text = parts.head_text(head)
+    text = parts.encode_head(head)
     _put_raw(context, parts.HEAD_NAME, text[: len(text) // 2].encode(), 2)
 
 
@@ -214,7 +214,7 @@
 def _wrong_part(context) -> None:
     texts = _texts(13)
     old = publish.split(json.dumps(settings_cluster.document(1)))
-    text_hash = parts.hash_of(texts["user/umurongo"])
+    text_hash = parts.content_hash(texts["user/umurongo"])
     _publish_texts(context, texts, **{text_hash: old["user/umurongo"]})
 
 
--- a/src/cowsliprill/capacity/measure.py
+++ b/src/cowsliprill/capacity/measure.py
@@ -96,8 +96,8 @@
     texts = publish.split(synthetic.text(customers, services, engines))
     store = _stored(texts)
     resolver = resolve.Resolver()
-    index, _ = parts.index_of(texts)
-    return resolver, store, resolver.resolve(1, index, store.held)
+    index, _ = parts.build_index(texts)
+    return resolver, store, resolver.resolve(1, index, store.packed_text)
 
 
 def _stored(*texts_by_part: dict[str, str]) -> store_lib.PartStore:
@@ -171,7 +171,7 @@
         if text_hash not in before.texts_by_hash
     }
     del new[after.head.index]
-    return sum(map(len, new.values())) + len(parts.head_text(after.head))
+    return sum(map(len, new.values())) + len(parts.encode_head(after.head))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -216,13 +216,13 @@
 def _resolve_cpu_s(old: dict[str, str], new: dict[str, str]) -> float:
     """Measures resolving again after one customer has changed."""
     store = _stored(old, new)
-    indexes = [parts.index_of(texts)[0] for texts in (old, new)]
+    indexes = [parts.build_index(texts)[0] for texts in (old, new)]
     resolver = resolve.Resolver()
     numbers = itertools.count(1)
 
     def step() -> None:
         number = next(numbers)
-        resolver.resolve(number, indexes[number % 2], store.held)
+        resolver.resolve(number, indexes[number % 2], store.packed_text)
 
     step()
     return gauge.cpu_s(step, 4)
--- a/src/cowsliprill/cli/core.py
+++ b/src/cowsliprill/cli/core.py
@@ -192,7 +192,7 @@
     for text_hash, text in publication.texts_by_hash.items():
         if text_hash not in held:
             _write(folder / (parts.PART_PREFIX + text_hash), text, terminal)
-    head = parts.head_text(publication.head)
+    head = parts.encode_head(publication.head)
     _write(folder / parts.HEAD_NAME, head, terminal)
 
 
--- a/src/cowsliprill/peers.py
+++ b/src/cowsliprill/peers.py
@@ -15,7 +15,7 @@
   draining answer; passed on to peers with its own expiry.
   `GET /v1/audit` -> the recent audit entries. `POST /v1/audit` takes entries
   of the local processes.
-  `POST /v1/exchange` takes and answers `settings.exchange.Exchange`.
+  `POST /v1/exchange` takes and answers `settings.exchange.ExchangeMessage`.
 Dispatch process (one a VM):
   `POST /v1/slots` `{"entry", "asks": [SlotDemand], "wait_s"}` ->
   `{"grants": [SlotGrant], "not_home": [endpoint id]}` with `expires_in_s` in
--- a/src/cowsliprill/settings/changes.py
+++ b/src/cowsliprill/settings/change_notifier.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class Changes:
+class ChangeNotifier:
     """Wakes all waiting tasks at each change, like a condition variable."""
 
     def __init__(self) -> None:
--- a/src/cowsliprill/settings/controller.py
+++ b/src/cowsliprill/settings/controller.py
@@ -15,7 +15,7 @@
 from cowsliprill.observability import audit as audit_lib
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
-from cowsliprill.settings import changes as changes_lib
+from cowsliprill.settings import change_notifier as change_notifier_lib
 from cowsliprill.settings import difference
 from cowsliprill.settings import errors
 from cowsliprill.settings import fetch
@@ -93,7 +93,7 @@
         self.snapshot = model.Snapshot()
         self.source_url = ""
         self.active_since = 0.0
-        self.changes = changes_lib.Changes()
+        self.changes = change_notifier_lib.ChangeNotifier()
         self._store = store
         self._fetcher = fetcher
         self._log = log
@@ -120,7 +120,7 @@
         """Returns the recently rejected versions with the reasons."""
         return self._tracker.refused()
 
-    async def offer(self, head: parts.Head, source_url: str) -> Outcome:
+    async def submit(self, head: parts.Head, source_url: str) -> Outcome:
         """Queues a version as a candidate and waits for the outcome.
 
         Args:
@@ -184,13 +184,13 @@
             return Outcome.INCOMPLETE
         try:
             snapshot = self._resolver.resolve(
-                head.revision, index, self._store.held
+                head.revision, index, self._store.packed_text
             )
         except errors.SettingsError as error:
             return self._reject(head, error)
         except Exception as error:
             # A bug in validation must not end this task: no later revision
-            # would become active on this VM, and the caller of `offer` would
+            # would become active on this VM, and the caller of `submit` would
             # wait forever.
             return self._reject(
                 head, errors.SettingsError(repr(error), code="internal_error")
--- a/src/cowsliprill/settings/customers.py
+++ b/src/cowsliprill/settings/customers.py
@@ -67,7 +67,7 @@
     """
     _, parent, bucket = part.split("/")
     where = f"users.{parent}.users"
-    tree = parts.read_members(str(text), where)
+    tree = parts.parse_members(str(text), where)
     prefixes = array.array("Q")
     overriding = {}
     for name, value in tree.items():
--- a/src/cowsliprill/settings/fetch.py
+++ b/src/cowsliprill/settings/fetch.py
@@ -107,7 +107,7 @@
             return {}
         texts = codec.decode(PartsReply, reply.body).texts
         return {
-            text_hash: parts.checked_text(texts[text_hash].encode(), text_hash)
+            text_hash: parts.verified_text(texts[text_hash].encode(), text_hash)
             for text_hash in hashes
             if text_hash in texts
         }
--- a/src/cowsliprill/settings/fleet.py
+++ b/src/cowsliprill/settings/fleet.py
@@ -8,7 +8,7 @@
 from cowsliprill.decisions import leaving_notices as news_lib
 from cowsliprill.decisions import model
 from cowsliprill.observability import audit as audit_lib
-from cowsliprill.settings import changes as changes_lib
+from cowsliprill.settings import change_notifier as change_notifier_lib
 
 _SHORTEST_SLEEP_S = 0.01
 _LONGEST_SLEEP_S = 60.0
@@ -27,7 +27,7 @@
       fleet: What is known now.
       listed: Whether any VM list was read.
       changes: Notified after each change of `fleet`.
-      heard: Notified when there is news to pass on.
+      notices_changed: Notified when there is news to pass on.
     """
 
     def __init__(
@@ -39,8 +39,8 @@
     ) -> None:
         self.fleet = model.Fleet(version=first_number)
         self.listed = False
-        self.changes = changes_lib.Changes()
-        self.heard = changes_lib.Changes()
+        self.changes = change_notifier_lib.ChangeNotifier()
+        self.notices_changed = change_notifier_lib.ChangeNotifier()
         self._vm = vm
         self._endpoints = endpoints
         self._audit = audit
@@ -51,7 +51,7 @@
         """Returns how long ago the list was read from the platform, seconds."""
         return clock.now() - self._list_read_at
 
-    def put_list(
+    def apply_vm_list(
         self, vms_by_id: dict[str, model.Vm], age_s: float = 0.0
     ) -> bool:
         """Takes a VM list.
@@ -79,7 +79,7 @@
             "endpoint_leaving", endpoint=endpoint_id, ttl_s=ttl_s
         )
         self.refresh()
-        self.heard.notify()
+        self.notices_changed.notify()
 
     def receive(self, items: list[news_lib.LeavingNotice]) -> None:
         """Takes a peer's news."""
@@ -87,9 +87,9 @@
         new = [item for item in items if self._notices.receive(item, now)]
         if new:
             self.refresh()
-            self.heard.notify()
+            self.notices_changed.notify()
 
-    def leaving_items(self) -> list[news_lib.LeavingNotice]:
+    def leaving_notices(self) -> list[news_lib.LeavingNotice]:
         """Returns the news to pass on, with the time that remains."""
         return self._notices.items(clock.now())
 
--- a/src/cowsliprill/settings/follower.py
+++ b/src/cowsliprill/settings/follower.py
@@ -13,7 +13,7 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import settings_version
 from cowsliprill.observability import log as log_lib
-from cowsliprill.settings import changes as changes_lib
+from cowsliprill.settings import change_notifier as change_notifier_lib
 from cowsliprill.settings import fetch
 from cowsliprill.settings import parts
 from cowsliprill.settings import resolve
@@ -66,7 +66,7 @@
             self._store, lambda *_: [fetch.PeerSource(client, self._url)]
         )
         self._callbacks: list[Callable[[], None]] = []
-        self._changes = changes_lib.Changes()
+        self._changes = change_notifier_lib.ChangeNotifier()
         self._unreachable: set[str] = set()
         self._last_older_version = settings_version.Version()
 
@@ -155,7 +155,7 @@
         )
         if not body:
             return
-        head = parts.read_head(body)
+        head = parts.parse_head(body)
         version = settings_version.Version(head.revision, head.index)
         if (
             self._tracker.classify(version)
@@ -173,7 +173,7 @@
     ) -> None:
         index = await self._fetcher.complete(head, self._url)
         snapshot = self._resolver.resolve(
-            head.revision, index, self._store.held
+            head.revision, index, self._store.packed_text
         )
         if not self._tracker.accept(version):
             return
--- a/src/cowsliprill/settings/exchange.py
+++ b/src/cowsliprill/settings/gossip.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Exchange:
+class ExchangeMessage:
     """Gossip message between two settings processes.
 
     Attributes:
@@ -139,7 +139,7 @@
             announced = current
 
     def _current_state(self) -> "_Announced":
-        items = self._fleet.leaving_items()
+        items = self._fleet.leaving_notices()
         ids = {(item.endpoint_id, item.origin, item.number) for item in items}
         return _Announced(self._settings.version, frozenset(ids))
 
@@ -161,7 +161,7 @@
         timeout_s = GOSSIP_INTERVAL_S * self._random.uniform(0.7, 1.3)
         wait_tasks = {
             asyncio.create_task(self._settings.changes.wait(timeout_s)),
-            asyncio.create_task(self._fleet.heard.wait(timeout_s)),
+            asyncio.create_task(self._fleet.notices_changed.wait(timeout_s)),
         }
         done, pending = await asyncio.wait(
             wait_tasks, return_when=asyncio.FIRST_COMPLETED
@@ -170,19 +170,19 @@
             task.cancel()
         return any(task.result() for task in done)
 
-    def message(self) -> Exchange:
+    def message(self) -> ExchangeMessage:
         """Returns a message with the current state of this process."""
         version = self._settings.version
         age_s = self._fleet.list_age_s() if self._fleet.listed else -1.0
-        return Exchange(
+        return ExchangeMessage(
             url=self._own_url(),
             revision=version.revision,
             index=version.index,
             list_age_s=age_s,
-            leaving=tuple(self._fleet.leaving_items()),
+            leaving=tuple(self._fleet.leaving_notices()),
         )
 
-    def receive(self, message: Exchange) -> None:
+    def receive(self, message: ExchangeMessage) -> None:
         """Handles a peer's message; a task fetches what is missing here.
 
         Args:
@@ -203,7 +203,7 @@
                 timeout_s=_CALL_TIMEOUT_S,
                 headers=self._auth.headers(body),
             )
-            answer = self._decode_verified(reply, Exchange)
+            answer = self._decode_verified(reply, ExchangeMessage)
         except (peer_client.PeerError, codec.CodecError) as error:
             self._metrics.events.inc({"event": "peer_unavailable"})
             self._log.warning("peer_unavailable", url=url, reason=str(error))
@@ -211,7 +211,7 @@
         self._fleet.receive(list(answer.leaving))
         await self._sync_from(dataclasses.replace(answer, url=url))
 
-    async def _sync_from(self, message: Exchange) -> None:
+    async def _sync_from(self, message: ExchangeMessage) -> None:
         try:
             await self._pull_settings(message)
             await self._pull_vm_list(message)
@@ -225,17 +225,17 @@
                 "peer_unavailable", url=message.url, reason=str(error)
             )
 
-    async def _pull_settings(self, message: Exchange) -> None:
+    async def _pull_settings(self, message: ExchangeMessage) -> None:
         offered = settings_version.Version(message.revision, message.index)
         if not self._settings.should_fetch(offered):
             return
         reply = await self._client.call(
             "GET", message.url + peers.SETTINGS_PATH, timeout_s=_CALL_TIMEOUT_S
         )
-        head = parts.read_head(self._verified_body(reply))
-        await self._settings.offer(head, message.url)
+        head = parts.parse_head(self._verified_body(reply))
+        await self._settings.submit(head, message.url)
 
-    async def _pull_vm_list(self, message: Exchange) -> None:
+    async def _pull_vm_list(self, message: ExchangeMessage) -> None:
         if message.list_age_s < 0:
             return
         age_s = self._fleet.list_age_s()
@@ -248,7 +248,7 @@
             "GET", message.url + peers.FLEET_PATH, timeout_s=_CALL_TIMEOUT_S
         )
         fleet = self._decode_verified(reply, model.Fleet)
-        self._fleet.put_list(fleet.vms_by_id, message.list_age_s)
+        self._fleet.apply_vm_list(fleet.vms_by_id, message.list_age_s)
 
     def _decode_verified(
         self, reply: peer_client.Reply, message_type: type
--- a/src/cowsliprill/settings/handlers.py
+++ b/src/cowsliprill/settings/handlers.py
@@ -8,8 +8,8 @@
 from cowsliprill import codec
 from cowsliprill import peer_auth
 from cowsliprill import peers
-from cowsliprill.settings import exchange as exchange_lib
 from cowsliprill.settings import fetch
+from cowsliprill.settings import gossip as gossip_lib
 from cowsliprill.settings import parts
 from cowsliprill.settings import service as service_lib
 from cowsliprill.settings import tree as tree_lib
@@ -141,7 +141,7 @@
 
 class _ExchangeHandler(_Handler):
     def post(self) -> None:
-        message = self.read_body(exchange_lib.Exchange)
+        message = self.read_body(gossip_lib.ExchangeMessage)
         if message is not None:
             self.service.exchange.receive(message)
             self.write_signed(codec.encode(self.service.exchange.message()))
--- a/src/cowsliprill/settings/measure.py
+++ b/src/cowsliprill/settings/measure.py
@@ -21,8 +21,8 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.settings import controller as controller_lib
-from cowsliprill.settings import exchange
 from cowsliprill.settings import fetch
+from cowsliprill.settings import gossip
 from cowsliprill.settings import parts
 from cowsliprill.settings import publish
 from cowsliprill.settings import resolve
@@ -178,14 +178,14 @@
     cpu_s = 0.0
     head_bytes = 0
     for publication in publications:
-        head_bytes += len(parts.head_text(publication.head))
+        head_bytes += len(parts.encode_head(publication.head))
         cpu_s += await _put(settings, source, publication)
     running.cancel()
     return ChangeCost(
         users=users,
         endpoints=endpoints,
         parts=len(index),
-        index_bytes=len(parts.index_text(index)),
+        index_bytes=len(parts.encode_index(index)),
         tree_bytes=sum(map(len, first.texts_by_hash.values())),
         cpu_s=cpu_s / changes,
         first_cpu_s=first_cpu_s,
@@ -240,7 +240,7 @@
 ) -> float:
     source.texts_by_hash = publication.texts_by_hash
     started_at = time.process_time()
-    outcome = await settings.offer(publication.head, "")
+    outcome = await settings.submit(publication.head, "")
     cpu_s = time.process_time() - started_at
     if outcome is not controller_lib.Outcome.ACCEPTED:
         raise RuntimeError(f"revision was not accepted: {outcome}")
@@ -276,7 +276,7 @@
         newly = told - known
         known |= newly
         count = leaving_notices.gossip_fanout(vms - 1)
-    message = exchange.Exchange(
+    message = gossip.ExchangeMessage(
         url="http://10.0.0.1:7000", revision=10**6, index="f" * 32
     )
     return Spread(
--- a/src/cowsliprill/settings/parts.py
+++ b/src/cowsliprill/settings/parts.py
@@ -64,7 +64,7 @@
     changes: tuple[IndexChange, ...] = ()
 
 
-def hash_of(text: str) -> str:
+def content_hash(text: str) -> str:
     """Returns the hash under which a text is stored."""
     return hashlib.sha256(text.encode()).hexdigest()[:_HASH_HEX_DIGITS]
 
@@ -79,12 +79,12 @@
     return xxhash.xxh3_64_intdigest(name.encode()) % buckets
 
 
-def head_text(head: Head) -> str:
+def encode_head(head: Head) -> str:
     """Encodes a head as JSON."""
     return codec.encode(head).decode()
 
 
-def read_head(text: bytes) -> Head:
+def parse_head(text: bytes) -> Head:
     """Parses a head.
 
     Args:
@@ -108,7 +108,7 @@
     return head
 
 
-def read_members(text: str, tree_path: str) -> dict[str, Any]:
+def parse_members(text: str, tree_path: str) -> dict[str, Any]:
     """Parses a part that contains child users or endpoints.
 
     Args:
@@ -156,11 +156,11 @@
         )
 
 
-def index_of(
+def build_index(
     texts_by_part: Mapping[str, str],
 ) -> tuple[dict[str, str], Callable[[str], packed.PackedText]]:
     """Returns the index of the texts, and a lookup of texts by hash."""
-    index = {part: hash_of(text) for part, text in texts_by_part.items()}
+    index = {part: content_hash(text) for part, text in texts_by_part.items()}
     texts = {
         index[part]: packed.PackedText(text)
         for part, text in texts_by_part.items()
@@ -168,7 +168,7 @@
     return index, texts.__getitem__
 
 
-def index_text(hashes_by_part: Mapping[str, str]) -> str:
+def encode_index(hashes_by_part: Mapping[str, str]) -> str:
     """Encodes an index as canonical JSON."""
     return canonical_json(dict(hashes_by_part))
 
@@ -197,11 +197,11 @@
                 derived_index.pop(part, None)
             else:
                 derived_index[part] = new_hash
-        current_hash = hash_of(index_text(derived_index))
+        current_hash = content_hash(encode_index(derived_index))
     return derived_index if current_hash == head.index else None
 
 
-def checked_text(content: bytes, text_hash: str) -> str:
+def verified_text(content: bytes, text_hash: str) -> str:
     """Decodes content and verifies it against its hash.
 
     Args:
@@ -220,7 +220,7 @@
         text = content.decode()
     except UnicodeDecodeError:
         text = ""
-    if hash_of(text) != text_hash:
+    if content_hash(text) != text_hash:
         raise errors.SettingsError(
             f"part {text_hash}: content doesn't match the hash",
             code="part_mismatch",
--- a/src/cowsliprill/settings/platform_client.py
+++ b/src/cowsliprill/settings/platform_client.py
@@ -66,7 +66,7 @@
         """
         body = await self._get(self._value_url(parts.PART_PREFIX + part_hash))
         try:
-            return parts.checked_text(body, part_hash)
+            return parts.verified_text(body, part_hash)
         except errors.SettingsError as error:
             raise errors.PlatformError(
                 str(error), code="value_invalid"
@@ -97,7 +97,7 @@
         if not body:
             return None
         try:
-            return parts.read_head(body)
+            return parts.parse_head(body)
         except errors.SettingsError as error:
             raise errors.PlatformError(
                 str(error), code="value_invalid"
--- a/src/cowsliprill/settings/reader.py
+++ b/src/cowsliprill/settings/platform_watch.py
@@ -99,7 +99,7 @@
         if head is None:
             self._mark_healthy()
             return False
-        outcome = await self._settings.offer(head, "")
+        outcome = await self._settings.submit(head, "")
         match outcome:
             case controller_lib.Outcome.ACCEPTED:
                 self._mark_healthy()
@@ -183,7 +183,7 @@
         except errors.PlatformError as error:
             self._source_status.record_fault(error.code, str(error))
             return self._backoff.next_delay_s()
-        if not self._fleet.put_list(vms_by_id):
+        if not self._fleet.apply_vm_list(vms_by_id):
             self._source_status.record_fault(
                 "value_invalid", "the VM list is empty"
             )
--- a/src/cowsliprill/settings/publish.py
+++ b/src/cowsliprill/settings/publish.py
@@ -94,16 +94,16 @@
       SettingsError: The document is invalid, or a part is too large.
     """
     texts = split(document)
-    hashes = {part: parts.hash_of(text) for part, text in texts.items()}
-    index = parts.index_text(hashes)
-    texts_by_hash = {parts.hash_of(text): text for text in texts.values()}
-    texts_by_hash[parts.hash_of(index)] = index
+    hashes = {part: parts.content_hash(text) for part, text in texts.items()}
+    index = parts.encode_index(hashes)
+    texts_by_hash = {parts.content_hash(text): text for text in texts.values()}
+    texts_by_hash[parts.content_hash(index)] = index
     for text in texts_by_hash.values():
         parts.check_size(text.encode())
     fields = json.loads(document)
     head = parts.Head(
         revision=fields["revision"],
-        index=parts.hash_of(index),
+        index=parts.content_hash(index),
         published_by=fields["published_by"],
         published_at=fields.get("published_at", ""),
         changes=_recent_changes(previous, fields["revision"], hashes),
--- a/src/cowsliprill/settings/resolve.py
+++ b/src/cowsliprill/settings/resolve.py
@@ -65,7 +65,7 @@
       SettingsError: The document isn't valid.
     """
     texts_by_part = publish.split(document)
-    index, text_of = parts.index_of(texts_by_part)
+    index, text_of = parts.build_index(texts_by_part)
     return tree_lib.TreeReader().read(index, text_of)
 
 
@@ -103,7 +103,7 @@
         self, revision: int, texts_by_part: Mapping[str, str]
     ) -> model.Snapshot:
         """Resolves a revision whose texts are all at hand; as `resolve`."""
-        return self.resolve(revision, *parts.index_of(texts_by_part))
+        return self.resolve(revision, *parts.build_index(texts_by_part))
 
     def resolve(
         self,
--- a/src/cowsliprill/settings/service.py
+++ b/src/cowsliprill/settings/service.py
@@ -16,12 +16,12 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.settings import controller as controller_lib
-from cowsliprill.settings import exchange as exchange_lib
 from cowsliprill.settings import fetch
 from cowsliprill.settings import fleet as fleet_lib
+from cowsliprill.settings import gossip as gossip_lib
 from cowsliprill.settings import parts
 from cowsliprill.settings import platform_client
-from cowsliprill.settings import reader
+from cowsliprill.settings import platform_watch
 from cowsliprill.settings import resolve
 from cowsliprill.settings import store as store_lib
 
@@ -100,7 +100,7 @@
             self._endpoints,
             audit,
         )
-        self.exchange = exchange_lib.SettingsGossip(
+        self.exchange = gossip_lib.SettingsGossip(
             lambda: self.url,
             environment.boot_peers,
             self.settings,
@@ -111,10 +111,10 @@
             log,
             metrics,
         )
-        self._head_watcher = reader.HeadWatcher(
+        self._head_watcher = platform_watch.HeadWatcher(
             self._platform, self.settings, self._random, log, metrics
         )
-        self._vm_list_poller = reader.VmListPoller(
+        self._vm_list_poller = platform_watch.VmListPoller(
             self._platform, self.fleet, self._random, log, metrics
         )
         self._booted = False
@@ -240,7 +240,7 @@
 
     async def _refresh_fleet_on_change(self) -> None:
         while True:
-            await self.settings.changes.wait(exchange_lib.GOSSIP_INTERVAL_S)
+            await self.settings.changes.wait(gossip_lib.GOSSIP_INTERVAL_S)
             self.fleet.refresh()
 
     async def _boot(self) -> None:
--- a/src/cowsliprill/settings/store.py
+++ b/src/cowsliprill/settings/store.py
@@ -26,7 +26,7 @@
 
     def add(self, text: str) -> None:
         """Stores the text of a part or an index under its hash."""
-        text_hash = parts.hash_of(text)
+        text_hash = parts.content_hash(text)
         if text_hash in self._packed_by_hash:
             return
         compressed = packed.PackedText(text)
@@ -40,7 +40,7 @@
         compressed = self._packed_by_hash.get(text_hash)
         return None if compressed is None else str(compressed)
 
-    def held(self, text_hash: str) -> packed.PackedText:
+    def packed_text(self, text_hash: str) -> packed.PackedText:
         """Returns the compressed text with a hash; KeyError if missing."""
         return self._packed_by_hash[text_hash]
 
@@ -57,7 +57,7 @@
         """
         self.index_hash = index_hash
         self.hashes_by_part = hashes_by_part
-        self.add(parts.index_text(hashes_by_part))
+        self.add(parts.encode_index(hashes_by_part))
         self.drop_unreferenced()
 
     def drop_unreferenced(self) -> None:
--- a/src/cowsliprill/settings/tree.py
+++ b/src/cowsliprill/settings/tree.py
@@ -47,7 +47,7 @@
         """
         where = f"pools.{self.pool}.endpoints"
         nodes = {}
-        for name, value in parts.read_members(str(self.text), where).items():
+        for name, value in parts.parse_members(str(self.text), where).items():
             parts.check_bucket(name, self.buckets, self.bucket, where)
             nodes[name] = schema.check(
                 schema.EndpointNode, value, f"{where}.{name}"
--- a/src/cowsliprill/standins/platform.py
+++ b/src/cowsliprill/standins/platform.py
@@ -112,7 +112,7 @@
                 self.put(name, text.encode(), publication.head.revision)
         self.put(
             parts.HEAD_NAME,
-            parts.head_text(publication.head).encode(),
+            parts.encode_head(publication.head).encode(),
             publication.head.revision,
         )
         self._publication = publication
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -131,7 +131,7 @@
         code, out, _ = _run(commands.PackCommand(path, folder, _BOTH))
         assert code == errors.ExitCode.OK
         assert out.splitlines() == [str(folder / parts.HEAD_NAME)]
-        head = parts.read_head((folder / parts.HEAD_NAME).read_bytes())
+        head = parts.parse_head((folder / parts.HEAD_NAME).read_bytes())
         assert head.revision == 2
 
 
--- a/tests/test_settings_controller.py
+++ b/tests/test_settings_controller.py
@@ -99,7 +99,7 @@
                 for number in (1, 2, 3):
                     publication = _publication(number)
                     source.texts_by_hash |= publication.texts_by_hash
-                    outcome = await settings.offer(publication.head, "")
+                    outcome = await settings.submit(publication.head, "")
                     outcomes.append(outcome)
                 assert outcomes == ["accepted", "invalid", "accepted"]
                 assert settings.version.revision == 3
@@ -119,10 +119,10 @@
                 publication = _publication(1)
                 source.texts_by_hash = publication.texts_by_hash
                 source.fails = True
-                outcome = await settings.offer(publication.head, "")
+                outcome = await settings.submit(publication.head, "")
                 assert outcome == "incomplete"
                 source.fails = False
-                outcome = await settings.offer(publication.head, "")
+                outcome = await settings.submit(publication.head, "")
                 assert outcome == "accepted"
 
         _run(scenario())
@@ -142,9 +142,9 @@
                     **three.texts_by_hash,
                 }
                 source.released.clear()
-                newer = asyncio.create_task(settings.offer(three.head, ""))
+                newer = asyncio.create_task(settings.submit(three.head, ""))
                 await source.fetch_started.wait()
-                older = asyncio.create_task(settings.offer(two.head, ""))
+                older = asyncio.create_task(settings.submit(two.head, ""))
                 await asyncio.sleep(0)
                 source.released.set()
                 assert await newer == "accepted"
@@ -161,10 +161,10 @@
             async with _running(source, resolve.Resolver()) as settings:
                 one, two = _publication(1), _publication(2)
                 source.texts_by_hash = dict(one.texts_by_hash)
-                assert await settings.offer(one.head, "") == "accepted"
-                assert await settings.offer(two.head, "") == "incomplete"
+                assert await settings.submit(one.head, "") == "accepted"
+                assert await settings.submit(two.head, "") == "incomplete"
                 assert settings.snapshot.revision == 1
                 source.texts_by_hash |= two.texts_by_hash
-                assert await settings.offer(two.head, "") == "accepted"
+                assert await settings.submit(two.head, "") == "accepted"
 
         _run(scenario())
--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_platform_watch.py
@@ -10,7 +10,7 @@
 from cowsliprill.observability import metrics
 from cowsliprill.settings import controller
 from cowsliprill.settings import parts
-from cowsliprill.settings import reader
+from cowsliprill.settings import platform_watch
 
 _HEAD = parts.Head(revision=4, index="aa", published_by="ann")
 _MAX_CALLS = 2
@@ -35,12 +35,12 @@
 
     version = settings_version.Version(_HEAD.revision, _HEAD.index)
 
-    async def offer(self, head: parts.Head, source_url: str) -> object:
+    async def submit(self, head: parts.Head, source_url: str) -> object:
         return controller.Outcome.UNCHANGED
 
 
 async def _read(platform: _Platform, stream: io.StringIO) -> None:
-    head_watcher = reader.HeadWatcher(
+    head_watcher = platform_watch.HeadWatcher(
         platform,
         _Settings(),
         random.Random(1),
--- a/tests/test_settings_resolve.py
+++ b/tests/test_settings_resolve.py
@@ -351,7 +351,7 @@
         """
         text = '{"a": {}}'
         with pytest.raises(errors.SettingsError) as caught:
-            parts.checked_text(text[:5].encode(), parts.hash_of(text))
+            parts.verified_text(text[:5].encode(), parts.content_hash(text))
         assert caught.value.code == "part_mismatch"
 
     def test_a_customer_in_the_wrong_bucket_is_refused(self) -> None:
