--- a/src/cowsliprill/settings/customers.py
+++ b/src/cowsliprill/settings/customers.py
@@ -1,10 +1,10 @@
-"""Customers by id and by API key, in little memory.
+"""Memory-efficient lookup of customers by id and by API key.
 
-At the size we design for there are 42,000 users. As data classes in dicts they
-would take about as much memory as the rest of an entry process; a process that
-outgrows its limit is killed and cuts its streams. So child users stay as the
-compressed text of their part, with eight bytes of each API key's hash to find
-the part by, and the few in use are built when asked for.
+The design size is 42,000 customers. As data classes in dicts they would take
+about as much memory as the rest of an entry process, and a process above its
+memory limit is killed and cuts its streams. Child customers therefore stay in
+the compressed text of their part. Eight bytes of each API key's hash identify
+the part, and `model.Customer` objects are built on access.
 """
 
 import array
@@ -23,19 +23,20 @@
 from cowsliprill.settings import parts
 from cowsliprill.settings import schema
 
-_USERS_KEPT = 512
+_MAX_CACHED_CUSTOMERS = 512
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChildrenPart:
-    """One `children/NAME/BUCKET` part after its checks.
+    """One validated `children/NAME/BUCKET` part.
 
     Attributes:
       parent: Name of the parent customer.
-      text: The text.
-      count: Number of users in it.
+      text: JSON text of the part, compressed.
+      count: Number of child customers in the part.
       prefixes: First 64 bits of each API key's hash.
-      overriding: Customers that state services or service defaults, by name.
+      overriding: Child customers that set services or service defaults, by
+        name.
     """
 
     parent: str
@@ -45,62 +46,62 @@
     overriding: dict[str, schema.ChildCustomerNode]
 
     def nodes(self) -> dict[str, dict]:
-        """Returns the users' JSON objects by name."""
+        """Parses the part into the child customers' JSON objects by name."""
         return json.loads(str(self.text))
 
 
 def read_children(
     part: str, text: packed.PackedText, buckets: int
 ) -> ChildrenPart:
-    """Checks a part of child users.
+    """Validates a part with child customers.
 
     Args:
-      part: The part's name.
-      text: Its text.
-      buckets: Number of buckets that the parent states.
+      part: Name of the part.
+      text: JSON text of the part, compressed.
+      buckets: Number of buckets that the parent customer sets.
 
     Returns:
-      The part.
+      The validated part.
 
     Raises:
-      SettingsError: A customer isn't valid or stands in the wrong bucket.
+      SettingsError: A customer is invalid or in the wrong bucket.
     """
     _, parent, bucket = part.split("/")
-    where = f"users.{parent}.users"
-    tree = parts.read_members(str(text), where)
+    node_path = f"users.{parent}.users"
+    tree = parts.read_members(str(text), node_path)
     prefixes = array.array("Q")
     overriding = {}
     for name, value in tree.items():
-        path = f"{where}.{name}"
-        node = schema.check(schema.ChildCustomerNode, value, path)
-        parts.check_bucket(name, buckets, int(bucket), where)
-        prefixes.extend(key_table.prefix_of(key) for key in node.key_hashes)
+        path = f"{node_path}.{name}"
+        node = schema.validate_node(schema.ChildCustomerNode, value, path)
+        parts.check_bucket(name, buckets, int(bucket), node_path)
+        prefixes.extend(key_table.hash_prefix(key) for key in node.key_hashes)
         if node.services or node.service_defaults.model_fields_set:
             overriding[name] = node
     return ChildrenPart(parent, text, len(tree), prefixes, overriding)
 
 
-class _Recent:
-    """The users asked for lately, by id or by key; the oldest ones go."""
+class _CustomerCache:
+    """LRU cache of child customers, by id or by API key hash."""
 
     def __init__(self) -> None:
-        self._kept: collections.OrderedDict[str, model.Customer] = (
+        self._customers_by_key: collections.OrderedDict[str, model.Customer] = (
             collections.OrderedDict()
         )
 
     def get(self, key: str) -> model.Customer | None:
-        customer = self._kept.get(key)
+        customer = self._customers_by_key.get(key)
         if customer is not None:
-            self._kept.move_to_end(key)
+            self._customers_by_key.move_to_end(key)
         return customer
 
     def put(self, key: str, customer: model.Customer) -> None:
-        self._kept[key] = customer
-        if len(self._kept) > _USERS_KEPT:
-            self._kept.popitem(last=False)
+        self._customers_by_key[key] = customer
+        if len(self._customers_by_key) > _MAX_CACHED_CUSTOMERS:
+            self._customers_by_key.popitem(last=False)
 
 
-def _top_customer(name: str, node: schema.CustomerPart) -> model.Customer:
+def _top_level_customer(name: str, node: schema.CustomerPart) -> model.Customer:
     return model.Customer(
         id=name, key_hashes=frozenset(node.key_hashes), share=node.share
     )
@@ -109,7 +110,7 @@
 def _child_customer(
     parent: str, name: str, node: dict[str, Any]
 ) -> model.Customer:
-    # The node was checked when its part was read.
+    # `read_children` has already validated the node.
     return model.Customer(
         id=f"{parent}/{name}",
         parent=parent,
@@ -118,82 +119,85 @@
     )
 
 
-class _Values(ValuesView[model.Customer]):
-    """All users, with each part opened once and not once a customer."""
+class _CustomersView(ValuesView[model.Customer]):
+    """Values view that decompresses each part once, not once per customer."""
 
     def __iter__(self) -> Iterator[model.Customer]:
-        return self._mapping.each()
+        return self._mapping.iter_customers()
 
 
 class CustomersById(Mapping[str, model.Customer]):
-    """All users by id; child users are built when asked for.
+    """All customers by id; child customers are built on access.
 
     Args:
-      top: Checked parts of the users at the top, by name.
-      children: Checked parts of child users, by part name.
+      top_level: Validated parts of the top-level customers, by name.
+      children: Validated parts with child customers, by part name.
     """
 
     def __init__(
         self,
-        top: Mapping[str, schema.CustomerPart],
+        top_level: Mapping[str, schema.CustomerPart],
         children: Mapping[str, ChildrenPart],
     ) -> None:
-        self._top = {
-            name: _top_customer(name, node) for name, node in top.items()
+        self._top_level = {
+            name: _top_level_customer(name, node)
+            for name, node in top_level.items()
+        }
+        self._bucket_counts = {
+            name: node.buckets for name, node in top_level.items()
         }
-        self._buckets = {name: node.buckets for name, node in top.items()}
         self._children = children
-        self._recent = _Recent()
+        self._cache = _CustomerCache()
 
     def __getitem__(self, customer_id: str) -> model.Customer:
-        if customer_id in self._top:
-            return self._top[customer_id]
-        customer = self._recent.get(customer_id)
+        if customer_id in self._top_level:
+            return self._top_level[customer_id]
+        customer = self._cache.get(customer_id)
         if customer is None:
-            customer = self._build(customer_id)
-            self._recent.put(customer_id, customer)
+            customer = self._build_child_customer(customer_id)
+            self._cache.put(customer_id, customer)
         return customer
 
     def __iter__(self) -> Iterator[str]:
-        yield from self._top
+        yield from self._top_level
         for part in self._children.values():
             for name in part.nodes():
                 yield f"{part.parent}/{name}"
 
     def __len__(self) -> int:
         count = sum(part.count for part in self._children.values())
-        return len(self._top) + count
+        return len(self._top_level) + count
 
     def values(self) -> ValuesView[model.Customer]:
-        """Returns all users."""
-        return _Values(self)
+        """Returns a view of all customers."""
+        return _CustomersView(self)
 
-    def each(self) -> Iterator[model.Customer]:
-        """Yields all users, the top ones first."""
-        yield from self._top.values()
+    def iter_customers(self) -> Iterator[model.Customer]:
+        """Yields all customers, top-level customers first."""
+        yield from self._top_level.values()
         for part in self._children.values():
             for name, node in part.nodes().items():
                 yield _child_customer(part.parent, name, node)
 
-    def with_key(self, part: str, key_hash: str) -> model.Customer | None:
-        """Finds the customer of an API key in one part of child users.
+    def find_by_key(self, part: str, key_hash: str) -> model.Customer | None:
+        """Finds the child customer of an API key in one part.
 
         Args:
           part: Name of the part.
-          key_hash: Hash of the key.
+          key_hash: Hash of the API key.
 
         Returns:
-          The customer, None if it isn't there.
+          The customer, or None if no customer of the part has the key.
         """
-        found = self._children[part]
-        for name, node in found.nodes().items():
+        children = self._children[part]
+        for name, node in children.nodes().items():
             if key_hash in node.get("key_hashes", ()):
-                return self[f"{found.parent}/{name}"]
+                return self[f"{children.parent}/{name}"]
         return None
 
-    def _build(self, customer_id: str) -> model.Customer:
+    def _build_child_customer(self, customer_id: str) -> model.Customer:
         parent, _, name = customer_id.partition("/")
-        buckets = self._buckets.get(parent, 0)
+        buckets = self._bucket_counts.get(parent, 0)
         if not buckets:
             raise KeyError(customer_id)
         bucket = parts.bucket_of(name, buckets)
@@ -205,38 +209,38 @@
 
 
 class CustomersByKeyHash(Mapping[str, model.Customer]):
-    """The customer of each API key's hash.
+    """All customers by API key hash.
 
     Args:
-      top: Checked parts of the users at the top, by name.
-      keys: Where the child users' keys stand.
-      users: All users.
+      top_level: Validated parts of the top-level customers, by name.
+      child_keys: Table of the parts that hold the child customers' keys.
+      users: All customers by id.
 
     Raises:
-      SettingsError: One API key stands at two users.
+      SettingsError: Two customers have the same API key.
     """
 
     def __init__(
         self,
-        top: Mapping[str, schema.CustomerPart],
-        keys: key_table.KeyTable,
+        top_level: Mapping[str, schema.CustomerPart],
+        child_keys: key_table.KeyTable,
         users: CustomersById,
     ) -> None:
         self._users = users
-        self._keys = keys
-        self._recent = _Recent()
-        self._top: dict[str, model.Customer] = {}
-        for name, node in top.items():
+        self._child_keys = child_keys
+        self._cache = _CustomerCache()
+        self._top_level: dict[str, model.Customer] = {}
+        for name, node in top_level.items():
             for key in node.key_hashes:
-                self._add_top(key, users[name])
+                self._add_top_level(key, users[name])
 
     def __getitem__(self, key_hash: str) -> model.Customer:
-        if key_hash in self._top:
-            return self._top[key_hash]
-        customer = self._recent.get(key_hash)
+        if key_hash in self._top_level:
+            return self._top_level[key_hash]
+        customer = self._cache.get(key_hash)
         if customer is None:
-            customer = self._find(key_hash)
-            self._recent.put(key_hash, customer)
+            customer = self._find_child_customer(key_hash)
+            self._cache.put(key_hash, customer)
         return customer
 
     def __iter__(self) -> Iterator[str]:
@@ -244,23 +248,26 @@
             yield from customer.key_hashes
 
     def __len__(self) -> int:
-        return len(self._top) + len(self._keys)
+        return len(self._top_level) + len(self._child_keys)
 
-    def _add_top(self, key_hash: str, customer: model.Customer) -> None:
-        taken = self._keys.part_of(key_table.prefix_of(key_hash)) is not None
-        if taken or key_hash in self._top:
+    def _add_top_level(self, key_hash: str, customer: model.Customer) -> None:
+        in_use = (
+            self._child_keys.find_part(key_table.hash_prefix(key_hash))
+            is not None
+        )
+        if in_use or key_hash in self._top_level:
             raise errors.SettingsError(
                 f"users.{customer.id}: the API key hash {key_hash[:16]}... "
                 "stands twice"
             )
-        self._top[key_hash] = customer
+        self._top_level[key_hash] = customer
 
-    def _find(self, key_hash: str) -> model.Customer:
+    def _find_child_customer(self, key_hash: str) -> model.Customer:
         try:
-            part = self._keys.part_of(key_table.prefix_of(key_hash))
+            part = self._child_keys.find_part(key_table.hash_prefix(key_hash))
         except ValueError:
             part = None
-        customer = self._users.with_key(part, key_hash) if part else None
+        customer = self._users.find_by_key(part, key_hash) if part else None
         if customer is None:
             raise KeyError(key_hash)
         return customer
--- a/src/cowsliprill/settings/difference.py
+++ b/src/cowsliprill/settings/difference.py
@@ -1,4 +1,4 @@
-"""What one snapshot changes against another."""
+"""Compares two settings snapshots."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -9,14 +9,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldChange:
-    """One changed field of a service or an endpoint.
+    """One changed field of a service or endpoint, or its addition or removal.
 
     Attributes:
       kind: `service` or `endpoint`.
-      id: Which one.
-      field: Name of the field; empty where the whole was added or removed.
-      old: Value before, None where there was none.
-      new: Value after, None where there is none.
+      id: Id of the service or endpoint.
+      field: Name of the changed field; empty if the whole service or endpoint
+        was added or removed.
+      old: Value in the old snapshot; None if added.
+      new: Value in the new snapshot; None if removed.
     """
 
     kind: str
@@ -27,68 +28,87 @@
 
     def __str__(self) -> str:
         if not self.field:
-            what = "added" if self.old is None else "removed"
-            return f"{self.kind} {self.id} {what}"
+            action = "added" if self.old is None else "removed"
+            return f"{self.kind} {self.id} {action}"
         return f"{self.kind} {self.id}: {self.field} {self.old} -> {self.new}"
 
 
 def changes(old: model.Snapshot, new: model.Snapshot) -> list[FieldChange]:
-    """Lists what differs in services and endpoints.
+    """Compares the services and endpoints of two snapshots.
 
     Args:
-      old: The snapshot before.
-      new: The snapshot after.
+      old: The old snapshot.
+      new: The new snapshot.
 
     Returns:
-      The changes, by kind and id.
+      The changes: services first, then endpoints, each sorted by id.
     """
     return [
-        *_changes("service", old.services_by_id, new.services_by_id),
-        *_changes("endpoint", old.endpoints_by_id, new.endpoints_by_id),
+        *_diff_entries("service", old.services_by_id, new.services_by_id),
+        *_diff_entries("endpoint", old.endpoints_by_id, new.endpoints_by_id),
     ]
 
 
 def customer_changes(old: model.Snapshot, new: model.Snapshot) -> list[str]:
-    """Lists users that were added, removed or changed; reads all users."""
-    before, after = dict(old.customers_by_id), dict(new.customers_by_id)
-    found = []
-    for customer_id in sorted(before.keys() | after.keys()):
-        if customer_id not in before:
-            found.append(f"customer {customer_id} added")
-        elif customer_id not in after:
-            found.append(f"customer {customer_id} removed")
-        elif before[customer_id] != after[customer_id]:
-            found.append(f"customer {customer_id} changed")
-    return found
-
-
-def _changes(
+    """Describes the customers that were added, removed or changed.
+
+    The cost grows with the number of all customers.
+
+    Args:
+      old: The old snapshot.
+      new: The new snapshot.
+
+    Returns:
+      One line of text per customer, sorted by id.
+    """
+    old_customers, new_customers = (
+        dict(old.customers_by_id),
+        dict(new.customers_by_id),
+    )
+    differences = []
+    for customer_id in sorted(old_customers.keys() | new_customers.keys()):
+        if customer_id not in old_customers:
+            differences.append(f"customer {customer_id} added")
+        elif customer_id not in new_customers:
+            differences.append(f"customer {customer_id} removed")
+        elif old_customers[customer_id] != new_customers[customer_id]:
+            differences.append(f"customer {customer_id} changed")
+    return differences
+
+
+def _diff_entries(
     kind: str, old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> list[FieldChange]:
-    found = []
-    # What a change doesn't touch is the same object in both snapshots, and
-    # need not be compared.
-    touched = [
-        each
-        for each in old.keys() | new.keys()
-        if old.get(each) is not new.get(each)
+    differences = []
+    # Entries that a revision doesn't touch are the same object in both
+    # snapshots, so identity is enough to skip them.
+    changed_ids = [
+        entry_id
+        for entry_id in old.keys() | new.keys()
+        if old.get(entry_id) is not new.get(entry_id)
     ]
-    for each in sorted(touched):
-        if each not in old:
-            found.append(FieldChange(kind, each, "", None, new[each]))
-        elif each not in new:
-            found.append(FieldChange(kind, each, "", old[each], None))
+    for entry_id in sorted(changed_ids):
+        if entry_id not in old:
+            differences.append(
+                FieldChange(kind, entry_id, "", None, new[entry_id])
+            )
+        elif entry_id not in new:
+            differences.append(
+                FieldChange(kind, entry_id, "", old[entry_id], None)
+            )
         else:
-            found.extend(_field_changes(kind, each, old[each], new[each]))
-    return found
+            differences.extend(
+                _diff_fields(kind, entry_id, old[entry_id], new[entry_id])
+            )
+    return differences
 
 
-def _field_changes(
-    kind: str, each: str, old: Any, new: Any
+def _diff_fields(
+    kind: str, entry_id: str, old: Any, new: Any
 ) -> list[FieldChange]:
     return [
-        FieldChange(kind, each, field.name, before, after)
+        FieldChange(kind, entry_id, field.name, old_value, new_value)
         for field in dataclasses.fields(old)
-        if (before := getattr(old, field.name))
-        != (after := getattr(new, field.name))
+        if (old_value := getattr(old, field.name))
+        != (new_value := getattr(new, field.name))
     ]
--- a/src/cowsliprill/settings/fleet.py
+++ b/src/cowsliprill/settings/fleet.py
@@ -1,4 +1,7 @@
-"""What this VM knows of VMs: the platform's list and the news it lacks."""
+"""Tracks the platform's VM list and notices of leaving endpoints.
+
+A leaving notice says that an endpoint drains before the VM list shows this.
+"""
 
 import dataclasses
 import math
@@ -6,63 +9,64 @@
 
 from cowsliprill import clock
 from cowsliprill.decisions import model
-from cowsliprill.decisions import news as news_lib
+from cowsliprill.decisions import news as notices_lib
 from cowsliprill.observability import audit as audit_lib
 from cowsliprill.settings import changes as changes_lib
 
-_SHORTEST_SLEEP_S = 0.01
-_LONGEST_SLEEP_S = 60.0
+_MIN_WAIT_S = 0.01
+_MAX_WAIT_S = 60.0
 
 
 class FleetController:
-    """Owns the VM list and the news of leaving endpoints.
+    """Owns the VM list and the leaving notices of this VM.
 
     Args:
       vm: Id of this VM.
-      first_number: Above all versions of this VM's earlier lives.
-      endpoints: Returns the endpoints of the settings in force.
+      first_version: Initial version of `fleet`; must be above all versions of
+        earlier incarnations of this VM.
+      endpoints: Returns the endpoints of the active settings.
       audit: This VM's audit trail.
 
     Attributes:
-      fleet: What is known now.
-      listed: Whether any VM list was read.
+      fleet: Current VM list and leaving endpoints.
+      listed: Whether a VM list was ever received.
       changes: Notified after each change of `fleet`.
-      heard: Notified when there is news to pass on.
+      heard: Notified when there are new leaving notices to send to peers.
     """
 
     def __init__(
         self,
         vm: str,
-        first_number: int,
+        first_version: int,
         endpoints: Callable[[], list[model.Endpoint]],
         audit: audit_lib.AuditTrail,
     ) -> None:
-        self.fleet = model.Fleet(version=first_number)
+        self.fleet = model.Fleet(version=first_version)
         self.listed = False
         self.changes = changes_lib.Changes()
         self.heard = changes_lib.Changes()
         self._vm = vm
         self._endpoints = endpoints
         self._audit = audit
-        self._news = news_lib.LeavingNews(vm, first_number)
+        self._notices = notices_lib.LeavingNews(vm, first_version)
         self._list_read_at = -math.inf
 
     def list_age_s(self) -> float:
-        """Returns how long ago the list was read from the platform, seconds."""
+        """Returns the seconds since the list was read from the platform."""
         return clock.now() - self._list_read_at
 
     def put_list(
         self, vms_by_id: dict[str, model.Vm], age_s: float = 0.0
     ) -> bool:
-        """Takes a VM list.
+        """Applies a VM list.
 
         Args:
-          vms_by_id: The VMs; an empty list never replaces a filled one, since
-            all VMs leaving at once is less likely than a fault of the list.
-          age_s: How long ago it was read from the platform, seconds.
+          vms_by_id: The VMs by id. An empty list never replaces a non-empty
+            one: a faulty list is more likely than all VMs leaving at once.
+          age_s: Seconds since the list was read from the platform.
 
         Returns:
-          Whether it was taken.
+          Whether the list was applied.
         """
         if not vms_by_id and self.fleet.vms_by_id:
             return False
@@ -72,8 +76,13 @@
         return True
 
     def report_leaving(self, endpoint_id: str, ttl_s: float) -> None:
-        """Takes a local process's report of an endpoint that is leaving."""
-        if self._news.report(endpoint_id, ttl_s, clock.now()) is None:
+        """Records a report by a local process that an endpoint is leaving.
+
+        Args:
+          endpoint_id: The leaving endpoint.
+          ttl_s: Time to live of the notice in seconds.
+        """
+        if self._notices.report(endpoint_id, ttl_s, clock.now()) is None:
             return
         self._audit.record(
             "endpoint_leaving", endpoint=endpoint_id, ttl_s=ttl_s
@@ -81,17 +90,19 @@
         self.refresh()
         self.heard.notify()
 
-    def hear(self, items: list[news_lib.LeavingItem]) -> None:
-        """Takes a peer's news."""
+    def hear(self, notices: list[notices_lib.LeavingItem]) -> None:
+        """Applies the leaving notices of a peer."""
         now = clock.now()
-        new = [item for item in items if self._news.hear(item, now)]
-        if new:
+        new_notices = [
+            notice for notice in notices if self._notices.hear(notice, now)
+        ]
+        if new_notices:
             self.refresh()
             self.heard.notify()
 
-    def leaving_items(self) -> list[news_lib.LeavingItem]:
-        """Returns the news to pass on, with the time that remains."""
-        return self._news.items(clock.now())
+    def leaving_items(self) -> list[notices_lib.LeavingItem]:
+        """Returns the notices to send to peers, with their remaining TTL."""
+        return self._notices.items(clock.now())
 
     def other_entry_urls(self) -> list[str]:
         """Returns the URLs of the other VMs' settings processes."""
@@ -104,22 +115,24 @@
         )
 
     def refresh(self) -> None:
-        """Works out the leaving endpoints anew."""
+        """Recomputes the leaving endpoints and notifies of a change."""
         self._update(self.fleet.vms_by_id)
 
     async def run(self) -> None:
-        """Lets news expire, until cancelled."""
+        """Expires leaving notices at the end of their TTL, until cancelled."""
         while True:
             now = clock.now()
-            wait_s = min(self._news.next_expiry(now) - now, _LONGEST_SLEEP_S)
-            await self.changes.wait(max(wait_s, _SHORTEST_SLEEP_S))
+            wait_s = min(self._notices.next_expiry(now) - now, _MAX_WAIT_S)
+            await self.changes.wait(max(wait_s, _MIN_WAIT_S))
             self.refresh()
 
     def _update(self, vms_by_id: dict[str, model.Vm]) -> None:
-        by_list = news_lib.leaving_by_list(self._endpoints(), vms_by_id)
-        leaving = by_list | self._news.leaving(clock.now())
-        known = (self.fleet.vms_by_id, self.fleet.leaving_endpoint_ids)
-        if known == (vms_by_id, leaving):
+        leaving_by_vm = notices_lib.leaving_by_list(
+            self._endpoints(), vms_by_id
+        )
+        leaving = leaving_by_vm | self._notices.leaving(clock.now())
+        current = (self.fleet.vms_by_id, self.fleet.leaving_endpoint_ids)
+        if current == (vms_by_id, leaving):
             return
         self.fleet = dataclasses.replace(
             self.fleet,
--- a/src/cowsliprill/settings/key_table.py
+++ b/src/cowsliprill/settings/key_table.py
@@ -1,8 +1,8 @@
-"""In which part of the settings the customer of an API key stands.
+"""Maps API keys to the part of the settings that holds their customer.
 
-Sorted arrays of the first 64 bits of each key's hash, twelve bytes a key. A
-change copies the arrays and moves only its own keys, so an older snapshot
-keeps its table.
+The table consists of sorted arrays with the first 64 bits of each key's hash,
+12 bytes per key. An update copies the arrays and changes only the affected
+keys, so an older snapshot keeps its own table.
 """
 
 import array
@@ -11,109 +11,113 @@
 
 from cowsliprill.settings import errors
 
-_PREFIX_DIGITS = 16
+_PREFIX_HEX_DIGITS = 16
 
-# Above so many new keys, sorting all anew is cheaper than inserting each.
-_SORT_ABOVE = 1_000
+# With more new keys, sorting the whole table is cheaper than inserting each.
+_MAX_SINGLE_INSERTS = 1_000
 
 
-def prefix_of(key_hash: str) -> int:
-    """Returns the first 64 bits of an API key's hash in hex digits."""
-    return int(key_hash[:_PREFIX_DIGITS], 16)
+def hash_prefix(key_hash: str) -> int:
+    """Returns the first 64 bits of an API key's hash, given in hex digits."""
+    return int(key_hash[:_PREFIX_HEX_DIGITS], 16)
 
 
 class KeyTable:
-    """Part names by key; not changed once made."""
+    """Immutable mapping from the prefix of an API key's hash to a part name."""
 
     def __init__(self) -> None:
         self._prefixes = array.array("Q")
-        self._numbers = array.array("I")
+        self._part_numbers = array.array("I")
         self._part_names: list[str] = []
-        self._numbers_by_part: dict[str, int] = {}
+        self._number_by_part: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._prefixes)
 
-    def part_of(self, prefix: int) -> str | None:
-        """Returns the part that holds a key, None if no part does."""
-        place = bisect.bisect_left(self._prefixes, prefix)
-        if place == len(self._prefixes) or self._prefixes[place] != prefix:
+    def find_part(self, prefix: int) -> str | None:
+        """Returns the part that holds a key, or None if no part does."""
+        position = bisect.bisect_left(self._prefixes, prefix)
+        if (
+            position == len(self._prefixes)
+            or self._prefixes[position] != prefix
+        ):
             return None
-        return self._part_names[self._numbers[place]]
+        return self._part_names[self._part_numbers[position]]
 
-    def replaced(
+    def with_parts_replaced(
         self,
         old: Mapping[str, array.array],
         new: Mapping[str, array.array],
     ) -> "KeyTable":
-        """Makes a table with other keys in some parts.
+        """Returns a copy of the table with the keys of some parts replaced.
 
         Args:
-          old: Keys that changed parts held before, by part.
-          new: Keys that they hold now, by part.
+          old: Key prefixes that the changed parts held before, by part.
+          new: Key prefixes that the changed parts hold now, by part.
 
         Returns:
           The new table.
 
         Raises:
-          SettingsError: A key stands twice. Told apart are 64 bits; that two
-            different keys agree in them has a chance of about one in 10^10
-            at 42,000 keys.
+          SettingsError: Two keys have the same prefix. With 64-bit prefixes
+            and 42,000 keys, the probability that two different keys collide is
+            about one in 10^10.
         """
         table = KeyTable()
         table._prefixes = self._prefixes[:]
-        table._numbers = self._numbers[:]
+        table._part_numbers = self._part_numbers[:]
         table._part_names = list(self._part_names)
-        table._numbers_by_part = dict(self._numbers_by_part)
-        # All old keys go before the first new one comes: a key may move.
+        table._number_by_part = dict(self._number_by_part)
+        # All old keys are removed before any new key is inserted, since a key
+        # may move between parts.
         for prefixes in old.values():
             for prefix in prefixes:
                 table._remove(prefix)
-        if sum(map(len, new.values())) > _SORT_ABOVE:
+        if sum(map(len, new.values())) > _MAX_SINGLE_INSERTS:
             table._merge(new)
             return table
         for part, prefixes in new.items():
-            number = table._number(part)
+            number = table._part_number(part)
             for prefix in prefixes:
                 table._insert(prefix, number)
         return table
 
-    def _number(self, part: str) -> int:
-        if part not in self._numbers_by_part:
-            self._numbers_by_part[part] = len(self._part_names)
+    def _part_number(self, part: str) -> int:
+        if part not in self._number_by_part:
+            self._number_by_part[part] = len(self._part_names)
             self._part_names.append(part)
-        return self._numbers_by_part[part]
+        return self._number_by_part[part]
 
     def _remove(self, prefix: int) -> None:
-        place = bisect.bisect_left(self._prefixes, prefix)
-        del self._prefixes[place]
-        del self._numbers[place]
+        position = bisect.bisect_left(self._prefixes, prefix)
+        del self._prefixes[position]
+        del self._part_numbers[position]
 
     def _insert(self, prefix: int, number: int) -> None:
-        if self.part_of(prefix) is not None:
-            raise _repeated(prefix)
-        place = bisect.bisect_left(self._prefixes, prefix)
-        self._prefixes.insert(place, prefix)
-        self._numbers.insert(place, number)
+        if self.find_part(prefix) is not None:
+            raise _duplicate_key_error(prefix)
+        position = bisect.bisect_left(self._prefixes, prefix)
+        self._prefixes.insert(position, prefix)
+        self._part_numbers.insert(position, number)
 
     def _merge(self, new: Mapping[str, array.array]) -> None:
-        pairs = list(zip(self._prefixes, self._numbers, strict=True))
+        pairs = list(zip(self._prefixes, self._part_numbers, strict=True))
         for part, prefixes in new.items():
-            number = self._number(part)
+            number = self._part_number(part)
             pairs.extend((prefix, number) for prefix in prefixes)
         pairs.sort()
         self._prefixes = array.array("Q", (pair[0] for pair in pairs))
-        self._numbers = array.array("I", (pair[1] for pair in pairs))
-        for left, right in zip(
+        self._part_numbers = array.array("I", (pair[1] for pair in pairs))
+        for previous, current in zip(
             self._prefixes, self._prefixes[1:], strict=False
         ):
-            if left == right:
-                raise _repeated(left)
+            if previous == current:
+                raise _duplicate_key_error(previous)
 
 
-def _repeated(prefix: int) -> errors.SettingsError:
-    # A key at two users would give one firm the other's answers, depending on
-    # which of the two happened to be found first.
+def _duplicate_key_error(prefix: int) -> errors.SettingsError:
+    # With the same key at two customers, one could get responses meant for the
+    # other, depending on which of the two is found first.
     return errors.SettingsError(
         f"users: the API key hash {prefix:016x}... stands twice"
     )
--- a/src/cowsliprill/settings/layers.py
+++ b/src/cowsliprill/settings/layers.py
@@ -1,7 +1,7 @@
-"""Inheritance: layers of one value, from the root to the node itself.
+"""Inheritance of settings: merges the layers from the root down to a node.
 
-The nearest node wins, field by field; objects such as `retries` are merged
-field by field as well.
+For each field, the layer closest to the node takes precedence. Nested objects
+such as `retries` are merged field by field too.
 """
 
 import dataclasses
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Layer:
-    """What one node of the tree states.
+    """The fields that one node of the settings tree sets.
 
     Attributes:
       path: The node's path, for example `users.umurongo.services.brief`.
-      fields: The stated fields, nested objects as dicts.
+      fields: The fields set at this node, with nested objects as dicts.
     """
 
     path: str
@@ -28,52 +28,49 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Merged:
-    """The result of a merge.
+    """The effective fields of a node.
 
     Attributes:
-      fields: Values by field, nested objects as dicts.
-      origins: Path of the node that each value comes from, by field; a
-        nested field is named `outer.inner`.
+      fields: Effective value of each field, with nested objects as dicts.
+      origins: Path of the node that sets each value, by field; a nested field
+        is named `outer.inner`.
     """
 
     fields: dict[str, Any]
     origins: dict[str, str]
 
 
-def layer(path: str, node: pydantic.BaseModel) -> Layer:
-    """Makes the layer of a node.
+def make_layer(path: str, node: pydantic.BaseModel) -> Layer:
+    """Returns the layer of a node, with only the fields that the node sets.
 
     Args:
-      path: The node's path.
-      node: The node.
-
-    Returns:
-      A layer with the fields that the node states.
+      path: The node's path in the settings tree.
+      node: The validated node.
     """
     return Layer(path, node.model_dump(exclude_unset=True, exclude_none=True))
 
 
 def merge(layers: Iterable[Layer]) -> Merged:
-    """Merges layers, the farthest (the root) first.
+    """Merges layers; later layers override earlier ones.
 
     Args:
-      layers: The layers.
+      layers: The layers, from the root to the node.
 
     Returns:
-      The merged fields and where each comes from.
+      The effective fields and the origin of each.
     """
     fields: dict[str, Any] = {}
     origins: dict[str, str] = {}
-    for each in layers:
-        for name, value in each.fields.items():
+    for layer in layers:
+        for name, value in layer.fields.items():
             if isinstance(value, dict):
                 fields[name] = {**fields.get(name, {}), **value}
                 origins.update(
-                    {f"{name}.{inner}": each.path for inner in value}
+                    {f"{name}.{inner}": layer.path for inner in value}
                 )
             else:
                 fields[name] = value
-                origins[name] = each.path
+                origins[name] = layer.path
     return Merged(fields, origins)
 
 
@@ -82,22 +79,27 @@
     users: Iterable[tuple[str, schema.ChildCustomerNode]],
     name: str,
 ) -> list[Layer]:
-    """Collects the layers of a service.
+    """Collects the layers that apply to a service.
 
     Args:
-      root: The root's defaults.
-      users: Paths and nodes of the customer and its parents, the top one first.
+      root: The root part, with the defaults of all services.
+      users: Path and node of the customer's ancestors and of the customer
+        itself, top-level customer first.
       name: Name of the service.
 
     Returns:
-      The layers, the root's first.
+      The layers, from the root to the customer.
     """
-    found = [layer("service_defaults", root.service_defaults)]
+    layers = [make_layer("service_defaults", root.service_defaults)]
     for path, node in users:
-        found.append(layer(f"{path}.service_defaults", node.service_defaults))
+        layers.append(
+            make_layer(f"{path}.service_defaults", node.service_defaults)
+        )
         if name in node.services:
-            found.append(layer(f"{path}.services.{name}", node.services[name]))
-    return found
+            layers.append(
+                make_layer(f"{path}.services.{name}", node.services[name])
+            )
+    return layers
 
 
 def endpoint_layers(
@@ -107,21 +109,21 @@
     name: str,
     node: schema.EndpointNode,
 ) -> list[Layer]:
-    """Collects the layers of an endpoint.
+    """Collects the layers that apply to an endpoint.
 
     Args:
-      root: The root's defaults.
-      pool_name: Name of the pool.
-      pool: The pool's own part.
+      root: The root part, with the defaults of all endpoints.
+      pool_name: Name of the endpoint's pool.
+      pool: The pool's part, with the defaults of the pool's endpoints.
       name: Name of the endpoint.
-      node: The endpoint's own node.
+      node: The endpoint's node.
 
     Returns:
-      The layers, the root's first.
+      The layers, from the root to the endpoint.
     """
     path = f"pools.{pool_name}"
     return [
-        layer("endpoint_defaults", root.endpoint_defaults),
-        layer(f"{path}.endpoint_defaults", pool.endpoint_defaults),
-        layer(f"{path}.endpoints.{name}", node),
+        make_layer("endpoint_defaults", root.endpoint_defaults),
+        make_layer(f"{path}.endpoint_defaults", pool.endpoint_defaults),
+        make_layer(f"{path}.endpoints.{name}", node),
     ]
--- a/src/cowsliprill/settings/measure.py
+++ b/src/cowsliprill/settings/measure.py
@@ -1,7 +1,8 @@
-"""What settings cost a process, by size: for docs/CAPACITY.md and its tool.
+"""Benchmarks of the settings process: CPU, memory and traffic by size.
 
-The figures come from the code that runs in the settings process and, but for
-the audit trail and the exchange, in every follower.
+The benchmarks are for docs/CAPACITY.md and its tool. They run the code of the
+settings process; except for the audit trail and the peer exchange, every
+follower runs it too.
 """
 
 import asyncio
@@ -29,24 +30,24 @@
 from cowsliprill.settings import store as store_lib
 
 _MODELS = 3
-_PREFILL_SHARE = 3
+_ENGINES_PER_PREFILL_ENGINE = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeCost:
-    """What one change of one customer costs at one size.
+    """Cost of changing one customer, for settings of a given size.
 
     Attributes:
-      users: Child users in the settings.
-      endpoints: Endpoints in the settings.
-      parts: Parts that the tree is split into.
-      index_bytes: Size of the index.
-      tree_bytes: Size of all parts.
-      cpu_s: CPU time to put one change in force, seconds.
-      first_cpu_s: CPU time to put the first revision in force, seconds.
-      moved_bytes: Bytes of values read for one change: the head and what
-        changed, without the protocol's own.
-      memory_bytes: Memory that the settings in force take in all.
+      users: Number of child customers.
+      endpoints: Number of endpoints.
+      parts: Number of parts that the settings tree is split into.
+      index_bytes: Size of the index in bytes.
+      tree_bytes: Size of the index and all parts in bytes.
+      cpu_s: Mean CPU time to activate one change, in seconds.
+      first_cpu_s: CPU time to activate the first revision, in seconds.
+      transferred_bytes: Mean size of the values read for one change: the head
+        and the changed values, without protocol overhead.
+      memory_bytes: Memory that the active settings take, in bytes.
     """
 
     users: int
@@ -56,45 +57,49 @@
     tree_bytes: int
     cpu_s: float
     first_cpu_s: float
-    moved_bytes: float
+    transferred_bytes: float
     memory_bytes: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Spread:
-    """How one piece of news spreads between settings processes.
+class GossipSpread:
+    """Result of spreading one update between settings processes by gossip.
 
     Attributes:
       vms: Number of VMs.
-      rounds: Rounds of messages until no VM has anything new to tell.
-      reached: VMs that know it then; the regular exchange tells the rest.
-      messages: Messages sent by each VM that heard of it from a peer; one
-        that read it from the platform sends `news.fan_out` of that.
-      message_bytes: Size of one message, without the protocol's own bytes.
+      rounds: Number of gossip rounds until no VM has an update to forward.
+      informed_vms: Number of VMs that then have the update; the periodic
+        exchange brings it to the rest.
+      messages: Messages sent by each VM that received the update from a peer. A
+        VM that read it from the platform sends
+        `news.fan_out(vms - 1, from_platform=True)` messages.
+      message_bytes: Size of one message, without protocol overhead.
     """
 
     vms: int
     rounds: int
-    reached: int
+    informed_vms: int
     messages: int
     message_bytes: int
 
 
 def tree_of_size(users: int, endpoints: int) -> dict[str, Any]:
-    """Makes settings of a size: child users of one customer, engines, services.
+    """Generates synthetic settings with one top-level customer.
 
     Args:
-      users: Number of child users, each with one API key.
-      endpoints: Number of engines, one in three for prefill.
+      users: Number of child customers, each with one API key.
+      endpoints: Number of engines; one in three is a prefill engine.
 
     Returns:
-      The tree.
+      The settings document as a JSON object.
     """
     services = {
         f"model-{number}": {"kind": "model", "pool": f"pool-{number}"}
         for number in range(_MODELS)
     }
-    firms = {f"firm-{number}": _firm(number) for number in range(users)}
+    child_customers = {
+        f"firm-{number}": _child_customer(number) for number in range(users)
+    }
     pools: dict[str, Any] = {
         f"pool-{number}": {"endpoints": {}} for number in range(_MODELS)
     }
@@ -111,18 +116,18 @@
             "prefill_tokens_per_s": 8_000.0,
             "seconds_per_token": 0.025,
         },
-        "users": {"site": {"services": services, "users": firms}},
+        "users": {"site": {"services": services, "users": child_customers}},
         "pools": pools,
     }
 
 
-def _firm(number: int) -> dict[str, Any]:
+def _child_customer(number: int) -> dict[str, Any]:
     digest = api_keys.digest(f"key-{number}")
     return {"key_hashes": [digest], "share": 1.0}
 
 
 def _engine(number: int) -> dict[str, Any]:
-    kind = "decode" if number % _PREFILL_SHARE else "prefill"
+    kind = "decode" if number % _ENGINES_PER_PREFILL_ENGINE else "prefill"
     return {
         "kind": kind,
         "host": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}",
@@ -132,15 +137,15 @@
     }
 
 
-class _MemorySource:
-    """Gives texts without a network and counts their bytes."""
+class _InMemorySource:
+    """Source of part texts in memory; counts the bytes read."""
 
     def __init__(self) -> None:
         self.texts_by_hash: dict[str, str] = {}
         self.read_bytes = 0
 
     async def fetch(self, hashes: list[str]) -> list[str]:
-        texts = [self.texts_by_hash[each] for each in hashes]
+        texts = [self.texts_by_hash[text_hash] for text_hash in hashes]
         self.read_bytes += sum(map(len, texts))
         return texts
 
@@ -148,16 +153,16 @@
 def change_cost(
     users: int, endpoints: int, changes: int = 20, seed: int = 1
 ) -> ChangeCost:
-    """Measures what a change of one customer costs.
+    """Benchmarks changes of one customer.
 
     Args:
-      users: Number of child users.
+      users: Number of child customers.
       endpoints: Number of engines.
-      changes: How many changes to measure.
-      seed: Draws the users that change.
+      changes: Number of changes to average over.
+      seed: Seed for choosing the customers that change.
 
     Returns:
-      The cost of one change.
+      The mean cost of one change.
     """
     return asyncio.run(_change_cost(users, endpoints, changes, seed))
 
@@ -167,44 +172,46 @@
 ) -> ChangeCost:
     tree = tree_of_size(users, endpoints)
     publications = _publications(tree, changes, random.Random(seed))
-    source = _MemorySource()
-    first = next(publications)
-    index = json.loads(first.texts_by_hash[first.head.index])
-    memory_bytes = await _memory_bytes(first)
+    source = _InMemorySource()
+    first_publication = next(publications)
+    index = json.loads(
+        first_publication.texts_by_hash[first_publication.head.index]
+    )
+    memory_bytes = await _memory_bytes(first_publication)
     settings = _controller(source)
-    running = asyncio.create_task(settings.run())
-    first_cpu_s = await _put(settings, source, first)
+    task = asyncio.create_task(settings.run())
+    first_cpu_s = await _apply(settings, source, first_publication)
     source.read_bytes = 0
     cpu_s = 0.0
     head_bytes = 0
     for publication in publications:
         head_bytes += len(parts.head_text(publication.head))
-        cpu_s += await _put(settings, source, publication)
-    running.cancel()
+        cpu_s += await _apply(settings, source, publication)
+    task.cancel()
     return ChangeCost(
         users=users,
         endpoints=endpoints,
         parts=len(index),
         index_bytes=len(parts.index_text(index)),
-        tree_bytes=sum(map(len, first.texts_by_hash.values())),
+        tree_bytes=sum(map(len, first_publication.texts_by_hash.values())),
         cpu_s=cpu_s / changes,
         first_cpu_s=first_cpu_s,
-        moved_bytes=(source.read_bytes + head_bytes) / changes,
+        transferred_bytes=(source.read_bytes + head_bytes) / changes,
         memory_bytes=memory_bytes,
     )
 
 
 async def _memory_bytes(publication: publish.Publication) -> int:
-    # Apart from the measurement of time, which tracing would falsify.
-    source = _MemorySource()
+    # Separate from the CPU benchmark, because tracing allocations slows it.
+    source = _InMemorySource()
     tracemalloc.start()
     settings = _controller(source)
-    running = asyncio.create_task(settings.run())
-    await _put(settings, source, publication)
-    taken = tracemalloc.get_traced_memory()[0]
+    task = asyncio.create_task(settings.run())
+    await _apply(settings, source, publication)
+    traced_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    running.cancel()
-    return taken
+    task.cancel()
+    return traced_bytes
 
 
 def _publications(
@@ -212,16 +219,16 @@
 ) -> Any:
     publication = publish.publish(json.dumps(tree))
     yield publication
-    firms = tree["users"]["site"]["users"]
+    child_customers = tree["users"]["site"]["users"]
     for number in range(changes):
-        name = random_source.choice(sorted(firms))
-        firms[name]["share"] = 2.0 + number
+        name = random_source.choice(sorted(child_customers))
+        child_customers[name]["share"] = 2.0 + number
         tree["revision"] += 1
         publication = publish.publish(json.dumps(tree), publication)
         yield publication
 
 
-def _controller(source: _MemorySource) -> controller_lib.SettingsController:
+def _controller(source: _InMemorySource) -> controller_lib.SettingsController:
     store = store_lib.PartStore()
     return controller_lib.SettingsController(
         store,
@@ -233,9 +240,9 @@
     )
 
 
-async def _put(
+async def _apply(
     settings: controller_lib.SettingsController,
-    source: _MemorySource,
+    source: _InMemorySource,
     publication: publish.Publication,
 ) -> float:
     source.texts_by_hash = publication.texts_by_hash
@@ -243,70 +250,72 @@
     outcome = await settings.offer(publication.head, "")
     cpu_s = time.process_time() - started_at
     if outcome is not controller_lib.Outcome.ACCEPTED:
-        raise RuntimeError(f"revision was not accepted: {outcome}")
+        raise RuntimeError(f"controller did not accept the revision: {outcome}")
     return cpu_s
 
 
-def spread(vms: int, seed: int = 1) -> Spread:
-    """Plays how a revision spreads that one VM alone read from the platform.
+def simulate_gossip(vms: int, seed: int = 1) -> GossipSpread:
+    """Simulates the gossip of a revision that one VM read from the platform.
 
-    All messages arrive.
+    No message is lost.
 
     Args:
       vms: Number of VMs.
-      seed: Draws the peers.
+      seed: Seed for choosing peers.
 
     Returns:
-      How far it got and what it cost.
+      How many VMs the revision reached, and the cost.
     """
     random_source = random.Random(seed)
     names = [f"vm{number}" for number in range(vms)]
-    known = {names[0]}
-    newly = set(known)
+    informed = {names[0]}
+    newly_informed = set(informed)
     rounds = 0
-    count = news.fan_out(vms - 1, from_platform=True)
-    while newly:
+    peers_per_vm = news.fan_out(vms - 1, from_platform=True)
+    while newly_informed:
         rounds += 1
-        told: set[str] = set()
-        for name in sorted(newly):
-            others = [each for each in names if each != name]
-            told |= set(news.choose_peers(others, count, random_source))
-        newly = told - known
-        known |= newly
-        count = news.fan_out(vms - 1)
+        recipients: set[str] = set()
+        for name in sorted(newly_informed):
+            others = [peer for peer in names if peer != name]
+            recipients |= set(
+                news.choose_peers(others, peers_per_vm, random_source)
+            )
+        newly_informed = recipients - informed
+        informed |= newly_informed
+        peers_per_vm = news.fan_out(vms - 1)
     message = exchange.Exchange(
         url="http://10.0.0.1:7000", revision=10**6, index="f" * 32
     )
-    return Spread(
+    return GossipSpread(
         vms=vms,
         rounds=rounds,
-        reached=len(known),
-        messages=count,
+        informed_vms=len(informed),
+        messages=peers_per_vm,
         message_bytes=len(codec.encode(message)),
     )
 
 
 def resident_bytes(users: int, endpoints: int) -> int:
-    """Returns this process's resident memory with settings of a size in it.
+    """Returns the resident memory, in bytes, of a process with these settings.
 
-    To be called in a process of its own, since memory that was used once stays
+    Must be called in a new process, since memory that was used once stays
     resident.
 
     Args:
-      users: Number of child users.
+      users: Number of child customers.
       endpoints: Number of engines.
     """
     publication = publish.publish(json.dumps(tree_of_size(users, endpoints)))
-    source = _MemorySource()
+    source = _InMemorySource()
 
-    async def put() -> controller_lib.SettingsController:
+    async def build_controller() -> controller_lib.SettingsController:
         settings = _controller(source)
-        running = asyncio.create_task(settings.run())
-        await _put(settings, source, publication)
-        running.cancel()
+        task = asyncio.create_task(settings.run())
+        await _apply(settings, source, publication)
+        task.cancel()
         return settings
 
-    settings = asyncio.run(put())
+    settings = asyncio.run(build_controller())
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     del settings
     return pages * 4096
--- a/src/cowsliprill/settings/packed.py
+++ b/src/cowsliprill/settings/packed.py
@@ -1,26 +1,26 @@
-"""Text kept compressed, and shared by all who need it now and then."""
+"""Text that is held compressed in memory and decompressed on access."""
 
 import zlib
 
-# The fastest: the index is packed anew with every change.
-_LEVEL = 1
+# The fastest level: the index is compressed again at every change.
+_COMPRESSION_LEVEL = 1
 
 
 class PackedText:
-    """One text.
+    """A zlib-compressed text; `str()` decompresses it.
 
     Args:
-      text: The text.
+      text: The text to compress.
     """
 
-    __slots__ = ("_packed",)
+    __slots__ = ("_compressed",)
 
     def __init__(self, text: str) -> None:
-        self._packed = zlib.compress(text.encode(), _LEVEL)
+        self._compressed = zlib.compress(text.encode(), _COMPRESSION_LEVEL)
 
     def __len__(self) -> int:
-        """Returns the bytes that it takes."""
-        return len(self._packed)
+        """Returns the compressed size in bytes."""
+        return len(self._compressed)
 
     def __str__(self) -> str:
-        return zlib.decompress(self._packed).decode()
+        return zlib.decompress(self._compressed).decode()
--- a/src/cowsliprill/settings/resolve.py
+++ b/src/cowsliprill/settings/resolve.py
@@ -1,8 +1,9 @@
-"""From the settings' text to the `model.Snapshot` that processes use.
+"""Resolves the settings tree into the `model.Snapshot` that processes use.
 
-A pure function of the text, so that all processes accept or all refuse a
-revision. `Resolver` remembers what it made of each part, so that a change
-costs what it touches and not the whole tree; the result is the same.
+The result depends only on the settings' text, so that all processes either
+accept or reject a revision. `Resolver` caches the result of each part: the cost
+of a revision depends on what it changes, not on the size of the tree. Caching
+doesn't change the result.
 """
 
 import json
@@ -22,21 +23,30 @@
 from cowsliprill.settings import schema
 from cowsliprill.settings import tree as tree_lib
 
-_ENDPOINT_REQUIRED = ("kind", "host", "port", "availability_zone", "slots")
-_SERVICE_REQUIRED = ("kind", "pool")
-
-# Without these the time of a prefill, a transfer or a token can't be worked
-# out, and no request could be placed within its targets.
-_ENGINE_REQUIRED = ("link_bytes_per_s", "kv_bytes_per_token")
-_SPEED_REQUIRED = {
-    model.EndpointKind.PREFILL: ("prefill_tokens_per_s", *_ENGINE_REQUIRED),
-    model.EndpointKind.DECODE: ("seconds_per_token", *_ENGINE_REQUIRED),
+_REQUIRED_ENDPOINT_FIELDS = (
+    "kind",
+    "host",
+    "port",
+    "availability_zone",
+    "slots",
+)
+_REQUIRED_SERVICE_FIELDS = ("kind", "pool")
+
+# Needed to estimate the time of a prefill, a KV cache transfer and a token;
+# without the estimates no request could be placed within its targets.
+_REQUIRED_ENGINE_FIELDS = ("link_bytes_per_s", "kv_bytes_per_token")
+_REQUIRED_FIELDS_BY_KIND = {
+    model.EndpointKind.PREFILL: (
+        "prefill_tokens_per_s",
+        *_REQUIRED_ENGINE_FIELDS,
+    ),
+    model.EndpointKind.DECODE: ("seconds_per_token", *_REQUIRED_ENGINE_FIELDS),
     model.EndpointKind.PLAIN: (),
 }
 
 
 def resolve(document: str) -> model.Snapshot:
-    """Resolves a whole document.
+    """Resolves a settings document.
 
     Args:
       document: JSON of `schema.Document`.
@@ -45,7 +55,7 @@
       The snapshot.
 
     Raises:
-      SettingsError: The document isn't valid.
+      SettingsError: The document is invalid.
     """
     texts_by_part = publish.split(document)
     revision = json.loads(document)["revision"]
@@ -53,141 +63,147 @@
 
 
 def read_tree(document: str) -> tree_lib.Tree:
-    """Reads a whole document as a tree, for tools that show it.
+    """Parses a settings document without resolving inheritance.
 
     Args:
       document: JSON of `schema.Document`.
 
     Returns:
-      The tree.
+      The tree, for tools that display it.
 
     Raises:
-      SettingsError: The document isn't valid.
+      SettingsError: The document is invalid.
     """
     texts_by_part = publish.split(document)
-    index, text_of = parts.index_of(texts_by_part)
-    return tree_lib.TreeReader().read(index, text_of)
+    index, get_text = parts.index_of(texts_by_part)
+    return tree_lib.TreeReader().read(index, get_text)
 
 
-class _Memory:
-    """Results by part, kept while what they were made from is the same."""
+class _PartCache:
+    """Caches one result per part until any of its inputs is another object."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, tuple[tuple, Any]] = {}
-
-    def get(self, part: str, made_from: tuple, make: Callable[[], Any]) -> Any:
-        kept = self._kept.get(part)
-        if kept is None or any(
-            old is not new for old, new in zip(kept[0], made_from, strict=True)
+        self._entries: dict[str, tuple[tuple, Any]] = {}
+
+    def get_or_compute(
+        self, part: str, inputs: tuple, compute: Callable[[], Any]
+    ) -> Any:
+        cached = self._entries.get(part)
+        if cached is None or any(
+            old is not new for old, new in zip(cached[0], inputs, strict=True)
         ):
-            kept = (made_from, make())
-            self._kept[part] = kept
-        return kept[1]
+            cached = (inputs, compute())
+            self._entries[part] = cached
+        return cached[1]
 
-    def keep_only(self, part_names: set[str]) -> None:
-        for part in self._kept.keys() - part_names:
-            del self._kept[part]
+    def retain(self, part_names: set[str]) -> None:
+        for part in self._entries.keys() - part_names:
+            del self._entries[part]
 
 
 class Resolver:
-    """Resolves revisions, one after the other."""
+    """Resolves successive revisions, with a cache of unchanged parts."""
 
     def __init__(self) -> None:
         self._reader = tree_lib.TreeReader()
-        self._services = _Memory()
-        self._endpoints = _Memory()
-        self._keys = key_table.KeyTable()
-        self._keys_made_from: dict[str, customers.ChildrenPart] = {}
+        self._service_cache = _PartCache()
+        self._endpoint_cache = _PartCache()
+        self._key_table = key_table.KeyTable()
+        self._key_parts: dict[str, customers.ChildrenPart] = {}
 
     def resolve_texts(
         self, revision: int, texts_by_part: Mapping[str, str]
     ) -> model.Snapshot:
-        """Resolves a revision whose texts are all at hand; as `resolve`."""
+        """Resolves a revision from the text of each part; see `resolve`."""
         return self.resolve(revision, *parts.index_of(texts_by_part))
 
     def resolve(
         self,
         revision: int,
         index: Mapping[str, str],
-        text_of: Callable[[str], packed.PackedText],
+        get_text: Callable[[str], packed.PackedText],
     ) -> model.Snapshot:
         """Resolves one revision.
 
         Args:
-          revision: Its number.
-          index: Hash by part name.
-          text_of: Returns the text of a hash.
+          revision: Number of the revision.
+          index: Hash of each part by part name.
+          get_text: Returns the text that has a given hash.
 
         Returns:
           The snapshot.
 
         Raises:
-          SettingsError: The settings aren't valid.
+          SettingsError: The settings are invalid.
         """
-        tree = self._reader.read(index, text_of)
+        tree = self._reader.read(index, get_text)
         users = customers.CustomersById(tree.users, tree.children)
         snapshot = model.Snapshot(
             revision=revision,
             customers_by_id=users,
             customers_by_key_hash=customers.CustomersByKeyHash(
-                tree.users, self._updated_keys(tree), users
+                tree.users, self._update_key_table(tree), users
             ),
-            services_by_id=self._all_services(tree),
-            endpoints_by_id=self._all_endpoints(tree),
+            services_by_id=self._resolve_services(tree),
+            endpoints_by_id=self._resolve_endpoints(tree),
         )
-        _check_pools(snapshot, tree)
+        _check_service_pools(snapshot, tree)
         return snapshot
 
-    def _updated_keys(self, tree: tree_lib.Tree) -> key_table.KeyTable:
-        old, new = self._keys_made_from, tree.children
+    def _update_key_table(self, tree: tree_lib.Tree) -> key_table.KeyTable:
+        old, new = self._key_parts, tree.children
         changed = [
             part
             for part in old.keys() | new.keys()
             if old.get(part) is not new.get(part)
         ]
         if changed:
-            self._keys = self._keys.replaced(
+            self._key_table = self._key_table.with_parts_replaced(
                 {part: old[part].prefixes for part in changed if part in old},
                 {part: new[part].prefixes for part in changed if part in new},
             )
-            self._keys_made_from = dict(new)
-        return self._keys
+            self._key_parts = dict(new)
+        return self._key_table
 
-    def _all_services(self, tree: tree_lib.Tree) -> dict[str, model.Service]:
-        found: dict[str, model.Service] = {}
+    def _resolve_services(
+        self, tree: tree_lib.Tree
+    ) -> dict[str, model.Service]:
+        services_by_id: dict[str, model.Service] = {}
         for name, customer in tree.users.items():
-            found |= self._services.get(
+            services_by_id |= self._service_cache.get_or_compute(
                 f"user/{name}",
                 (tree.root, customer),
-                lambda name=name: dict(_services(tree, name)),
+                lambda name=name: dict(_customer_services(tree, name)),
             )
         for part, children in tree.children.items():
             if not children.overriding:
                 continue
-            found |= self._services.get(
+            services_by_id |= self._service_cache.get_or_compute(
                 part,
                 (tree.root, tree.users[children.parent], children),
                 lambda part=part: dict(_child_services(tree, part)),
             )
         users = {f"user/{name}" for name in tree.users}
-        self._services.keep_only(users | tree.children.keys())
-        return found
+        self._service_cache.retain(users | tree.children.keys())
+        return services_by_id
 
-    def _all_endpoints(self, tree: tree_lib.Tree) -> dict[str, model.Endpoint]:
-        found: dict[str, model.Endpoint] = {}
+    def _resolve_endpoints(
+        self, tree: tree_lib.Tree
+    ) -> dict[str, model.Endpoint]:
+        endpoints_by_id: dict[str, model.Endpoint] = {}
         for part, endpoints in tree.endpoints.items():
-            made = self._endpoints.get(
+            part_endpoints = self._endpoint_cache.get_or_compute(
                 part,
                 (tree.root, tree.pools[endpoints.pool], endpoints),
                 lambda part=part: dict(_endpoints(tree, part)),
             )
-            _refuse_repeats(found, made)
-            found |= made
-        self._endpoints.keep_only(set(tree.endpoints))
-        return found
+            _check_duplicates(endpoints_by_id, part_endpoints)
+            endpoints_by_id |= part_endpoints
+        self._endpoint_cache.retain(set(tree.endpoints))
+        return endpoints_by_id
 
 
-def _services(
+def _customer_services(
     tree: tree_lib.Tree, name: str
 ) -> Iterator[tuple[str, model.Service]]:
     customer = tree.users[name]
@@ -204,8 +220,8 @@
     for child, node in children.overriding.items():
         names = set(node.services)
         if node.service_defaults.model_fields_set:
-            # What a child customer states for all services holds for those that
-            # it inherits too.
+            # A child customer's service defaults also apply to the services
+            # that it inherits from its parent.
             names |= set(parent.services)
         nodes = [(path, parent), (f"{path}.users.{child}", node)]
         for service in sorted(names):
@@ -219,8 +235,8 @@
     name: str,
 ) -> tuple[str, model.Service]:
     merged = layers.merge(layers.service_layers(tree.root, nodes, name))
-    where = f"{nodes[-1][0]}.services.{name}"
-    _require(where, merged.fields, _SERVICE_REQUIRED)
+    node_path = f"{nodes[-1][0]}.services.{name}"
+    _check_required_fields(node_path, merged.fields, _REQUIRED_SERVICE_FIELDS)
     fields = dict(merged.fields)
     if "retries" in fields:
         fields["retries"] = model.RetryRules(**fields["retries"])
@@ -247,9 +263,11 @@
         )
     )
     fields = dict(merged.fields)
-    where = f"pools.{pool_name}.endpoints.{name}"
-    _require(where, fields, _ENDPOINT_REQUIRED)
-    _require(where, fields, _SPEED_REQUIRED[fields["kind"]])
+    node_path = f"pools.{pool_name}.endpoints.{name}"
+    _check_required_fields(node_path, fields, _REQUIRED_ENDPOINT_FIELDS)
+    _check_required_fields(
+        node_path, fields, _REQUIRED_FIELDS_BY_KIND[fields["kind"]]
+    )
     target = fields.pop("target", None)
     if target is not None:
         target = {"role": fields["kind"], "model": "", **target}
@@ -257,52 +275,54 @@
     return model.Endpoint(id=name, pool=pool_name, **fields)
 
 
-def _refuse_repeats(
-    found: dict[str, model.Endpoint], made: dict[str, model.Endpoint]
+def _check_duplicates(
+    endpoints_by_id: dict[str, model.Endpoint],
+    part_endpoints: dict[str, model.Endpoint],
 ) -> None:
-    for name in found.keys() & made.keys():
+    for name in endpoints_by_id.keys() & part_endpoints.keys():
         raise errors.SettingsError(
-            f"pools.{made[name].pool}.endpoints.{name}: stands in pool "
-            f"{found[name].pool!r} as well"
+            f"pools.{part_endpoints[name].pool}.endpoints.{name}: also "
+            f"stands in pool {endpoints_by_id[name].pool!r}"
         )
 
 
-def _require(
-    where: str, fields: dict[str, Any], required: tuple[str, ...]
+def _check_required_fields(
+    node_path: str, fields: dict[str, Any], required: tuple[str, ...]
 ) -> None:
     for name in required:
         if name not in fields:
             raise errors.SettingsError(
-                f"{where}: {name!r} is stated neither here nor by a parent"
+                f"{node_path}: {name!r} is stated neither here nor by a parent"
             )
 
 
-def _check_pools(snapshot: model.Snapshot, tree: tree_lib.Tree) -> None:
+def _check_service_pools(snapshot: model.Snapshot, tree: tree_lib.Tree) -> None:
     kinds_by_pool: dict[str, set[model.EndpointKind]] = {
         name: set() for name in tree.pools
     }
     for endpoint in snapshot.endpoints_by_id.values():
         kinds_by_pool[endpoint.pool].add(endpoint.kind)
     for service in snapshot.services_by_id.values():
-        _check_pool(service, kinds_by_pool)
+        _check_service_pool(service, kinds_by_pool)
 
 
-def _check_pool(
+def _check_service_pool(
     service: model.Service, kinds_by_pool: dict[str, set[model.EndpointKind]]
 ) -> None:
     kinds = kinds_by_pool.get(service.pool)
     if kinds is None:
-        known = ", ".join(sorted(kinds_by_pool)) or "none"
+        known_pools = ", ".join(sorted(kinds_by_pool)) or "none"
         raise errors.SettingsError(
-            f"service {service.id}: no pool {service.pool!r}; known: {known}",
+            f"service {service.id}: no pool {service.pool!r}; "
+            f"defined pools: {known_pools}",
             code="unknown_name",
         )
-    needed = {model.EndpointKind.PLAIN}
+    required_kinds = {model.EndpointKind.PLAIN}
     if service.kind is model.ServiceKind.MODEL:
-        needed = {model.EndpointKind.PREFILL, model.EndpointKind.DECODE}
-    missing = sorted(needed - kinds)
-    if kinds and missing:
+        required_kinds = {model.EndpointKind.PREFILL, model.EndpointKind.DECODE}
+    missing_kinds = sorted(required_kinds - kinds)
+    if kinds and missing_kinds:
         raise errors.SettingsError(
             f"service {service.id}: pool {service.pool!r} has no "
-            f"{missing[0]} endpoint"
+            f"{missing_kinds[0]} endpoint"
         )
--- a/src/cowsliprill/settings/schema.py
+++ b/src/cowsliprill/settings/schema.py
@@ -1,8 +1,8 @@
-"""What the settings' JSON may contain, checked by pydantic.
+"""Pydantic models of the settings' JSON.
 
-A node of the tree states only what differs from its parent, so nearly every
-field may be left out. Which fields were stated is kept by pydantic
-(`model_fields_set`); `layers` merges them.
+A node of the settings tree sets only the fields that differ from its parent,
+so nearly every field is optional. Pydantic records which fields a node sets
+(`model_fields_set`), and `layers` merges them with the inherited ones.
 """
 
 import difflib
@@ -22,73 +22,75 @@
 MAX_REVISION = 2**53
 
 
-def _checked_ip_number(text: str) -> str:
+def _validate_ip_address(text: str) -> str:
     ipaddress.ip_address(text)
     return text
 
 
-_NEAREST_CUTOFF = 0.5
+_MIN_NAME_SIMILARITY = 0.5
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]*")
 
 Name = Annotated[str, pydantic.Field(pattern=r"^[a-z0-9][a-z0-9-]*$")]
 KeyHash = Annotated[str, pydantic.Field(pattern=r"^[0-9a-f]{64}$")]
 _Positive = Annotated[float, pydantic.Field(gt=0, allow_inf_nan=False)]
-_NotNegative = Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
+_NonNegative = Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
 _Count = Annotated[int, pydantic.Field(ge=1, le=2**31, strict=True)]
 _Priority = Annotated[int, pydantic.Field(ge=-100, le=100, strict=True)]
 _Method = Annotated[str, pydantic.Field(pattern=r"^[A-Z]{1,20}$")]
-_IpNumber = Annotated[str, pydantic.AfterValidator(_checked_ip_number)]
+_IpAddress = Annotated[str, pydantic.AfterValidator(_validate_ip_address)]
 _Port = Annotated[int, pydantic.Field(ge=1, le=65535, strict=True)]
 
-_Node = TypeVar("_Node", bound="Node")
+_NodeT = TypeVar("_NodeT", bound="Node")
 
 
 class Node(pydantic.BaseModel):
-    """A JSON object that refuses unknown names and hints at the right one."""
+    """Base of JSON objects; rejects unknown names and suggests similar ones."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
     @pydantic.model_validator(mode="before")
     @classmethod
-    def _refuse_unknown_names(cls, value: Any) -> Any:
+    def _reject_unknown_names(cls, value: Any) -> Any:
         if not isinstance(value, dict):
             return value
-        for name, stated in value.items():
+        for name, field_value in value.items():
             if name not in cls.model_fields:
                 raise pydantic_core.PydanticCustomError(
-                    "unknown_name", "{problem}", {"problem": cls._hint(name)}
+                    "unknown_name",
+                    "{problem}",
+                    {"problem": cls._unknown_name_message(name)},
                 )
-            if stated is None:
-                # Would pass for "not stated", and what the parent says would
-                # hold where the operator meant to switch something off.
+            if field_value is None:
+                # Null would count as "not set" and inherit the parent's value
+                # where the operator meant to disable something.
                 raise pydantic_core.PydanticCustomError(
                     "null_value",
-                    "{name} is null; leave it out to inherit it",
+                    "field {name} is null; leave it out to inherit it",
                     {"name": repr(name)},
                 )
         return value
 
     @classmethod
-    def _hint(cls, name: str) -> str:
+    def _unknown_name_message(cls, name: str) -> str:
         nearest = difflib.get_close_matches(
-            name, cls.model_fields, n=1, cutoff=_NEAREST_CUTOFF
+            name, cls.model_fields, n=1, cutoff=_MIN_NAME_SIMILARITY
         )
         if nearest:
             return f"unknown name {name!r}, did you mean {nearest[0]!r}?"
-        known = ", ".join(sorted(cls.model_fields))
-        return f"unknown name {name!r}, known here: {known}"
+        known_names = ", ".join(sorted(cls.model_fields))
+        return f"unknown name {name!r}, allowed here: {known_names}"
 
 
 class RetryNode(Node):
-    """Budget of retries; see `model.RetryRules`."""
+    """Retry budget of a service; see `model.RetryRules`."""
 
-    ratio: _NotNegative | None = None
+    ratio: _NonNegative | None = None
     burst: Annotated[int, pydantic.Field(ge=0, le=10_000)] | None = None
     attempts: Annotated[int, pydantic.Field(ge=1, le=10)] | None = None
 
 
 class ServiceNode(Node):
-    """What a node says about a service; see `model.Service`."""
+    """Fields of a service that a node sets; see `model.Service`."""
 
     kind: model_lib.ServiceKind | None = None
     pool: Name | None = None
@@ -98,14 +100,14 @@
     priority: _Priority | None = None
     idempotency: model_lib.Idempotency | None = None
     retries: RetryNode | None = None
-    may_wait_s: _NotNegative | None = None
+    may_wait_s: _NonNegative | None = None
     timeout_s: _Positive | None = None
     resume: bool | None = None
     max_prompt_tokens: _Count | None = None
     max_output_tokens: _Count | None = None
     max_body_bytes: _Count | None = None
-    goodput_weight: _NotNegative | None = None
-    wasted_prefill_weight: _NotNegative | None = None
+    goodput_weight: _NonNegative | None = None
+    wasted_prefill_weight: _NonNegative | None = None
     methods: Annotated[
         tuple[_Method, ...] | None, pydantic.Field(min_length=1)
     ] = None
@@ -113,7 +115,7 @@
 
 
 class TargetNode(Node):
-    """What an engine should be; see `model.EngineTarget`."""
+    """Target role and model of an engine; see `model.EngineTarget`."""
 
     role: model_lib.EndpointKind | None = None
     model: str | None = None
@@ -122,10 +124,10 @@
 
 
 class EndpointNode(Node):
-    """What a node says about an endpoint; see `model.Endpoint`."""
+    """Fields of an endpoint that a node sets; see `model.Endpoint`."""
 
     kind: model_lib.EndpointKind | None = None
-    host: _IpNumber | None = None
+    host: _IpAddress | None = None
     port: _Port | None = None
     availability_zone: str | None = None
     slots: _Count | None = None
@@ -150,36 +152,36 @@
 
 
 class CustomerNode(ChildCustomerNode):
-    """A customer at the top, with its child users."""
+    """A top-level customer with its child customers."""
 
     users: dict[Name, ChildCustomerNode] = {}
 
 
 class PoolNode(Node):
-    """Endpoints that services refer to by one name."""
+    """A named group of endpoints that services refer to."""
 
     endpoint_defaults: EndpointNode = EndpointNode()
     endpoints: dict[Name, EndpointNode] = {}
 
 
 class RootPart(Node):
-    """Part `root`: defaults of the whole tree."""
+    """Part `root`: defaults for all services and endpoints."""
 
     service_defaults: ServiceNode = ServiceNode()
     endpoint_defaults: EndpointNode = EndpointNode()
 
 
-_Buckets = Annotated[int, pydantic.Field(ge=0, le=65_536)]
+_BucketCount = Annotated[int, pydantic.Field(ge=0, le=65_536)]
 
 
 class CustomerPart(ChildCustomerNode):
-    """Part `customer/NAME`: a customer without its child users.
+    """Part `user/NAME`: a top-level customer without its child customers.
 
     Attributes:
       buckets: Number of `children/NAME/BUCKET` parts.
     """
 
-    buckets: _Buckets = 0
+    buckets: _BucketCount = 0
 
 
 class PoolPart(Node):
@@ -190,11 +192,11 @@
     """
 
     endpoint_defaults: EndpointNode = EndpointNode()
-    buckets: _Buckets = 0
+    buckets: _BucketCount = 0
 
 
 class Document(RootPart):
-    """The whole tree in one file, as operators write it."""
+    """The whole settings tree in one file, as operators write it."""
 
     revision: Annotated[int, pydantic.Field(ge=1, le=MAX_REVISION, strict=True)]
     published_by: Annotated[str, pydantic.Field(min_length=1, max_length=100)]
@@ -208,54 +210,58 @@
     return bool(_NAME.fullmatch(text))
 
 
-def parse(kind: type[_Node], text: str | bytes, where: str = "") -> _Node:
-    """Reads JSON as a node.
+def parse(
+    node_type: type[_NodeT], text: str | bytes, node_path: str = ""
+) -> _NodeT:
+    """Parses and validates JSON as a node.
 
     Args:
-      kind: The node's class.
-      text: The JSON text.
-      where: Path of the node in the tree, for the message.
+      node_type: Class of the node.
+      text: JSON text of the node.
+      node_path: Path of the node in the settings tree, for error messages.
 
     Returns:
-      The node.
+      The validated node.
 
     Raises:
-      SettingsError: The text isn't JSON or doesn't fit.
+      SettingsError: The text isn't JSON or doesn't match the node's schema.
     """
     try:
-        value = json.loads(text, object_pairs_hook=_object_without_repeats)
+        value = json.loads(text, object_pairs_hook=_object_without_duplicates)
     except (ValueError, RecursionError) as error:
-        place = where or "settings"
+        location = node_path or "settings"
         raise errors.SettingsError(
-            f"{place}: not JSON: {error}", code="settings_not_json"
+            f"{location}: not JSON: {error}", code="settings_not_json"
         ) from error
-    return check(kind, value, where)
+    return validate_node(node_type, value, node_path)
 
 
-def check(kind: type[_Node], value: Any, where: str = "") -> _Node:
-    """Checks a value already read from JSON; otherwise as `parse`."""
+def validate_node(
+    node_type: type[_NodeT], value: Any, node_path: str = ""
+) -> _NodeT:
+    """Validates a value decoded from JSON as a node; see `parse`."""
     try:
-        return kind.model_validate(value)
+        return node_type.model_validate(value)
     except pydantic.ValidationError as error:
-        raise _settings_error(error, where) from error
+        raise _settings_error(error, node_path) from error
 
 
-def _object_without_repeats(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # Of a name that stands twice, json silently keeps the last. An operator
-    # would see one value in the file and another in force.
-    found = dict(pairs)
-    if len(found) != len(pairs):
+def _object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    # For a duplicate name, the json module silently keeps the last value. An
+    # operator could see one value in the file while another is active.
+    members = dict(pairs)
+    if len(members) != len(pairs):
         names = [name for name, _ in pairs]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        raise ValueError(f"{twice[0]!r} stands twice in one object")
-    return found
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        raise ValueError(f"{duplicates[0]!r} stands twice in the same object")
+    return members
 
 
 def _settings_error(
-    error: pydantic.ValidationError, where: str
+    error: pydantic.ValidationError, node_path: str
 ) -> errors.SettingsError:
     first = error.errors()[0]
-    path = [where] if where else []
+    path = [node_path] if node_path else []
     path += [str(part) for part in first["loc"]]
     message = f"{'.'.join(path) or 'settings'}: {first['msg']}"
     unknown = first["type"] == "unknown_name"
--- a/src/cowsliprill/settings/tree.py
+++ b/src/cowsliprill/settings/tree.py
@@ -1,7 +1,7 @@
-"""The checked parts of one revision.
+"""Parses and validates the parts of one settings revision.
 
-A part that is as it was keeps its object, so that whoever works from a tree
-can tell by identity what changed.
+A part that is unchanged between revisions keeps its object, so that callers
+can find what changed by comparing identities.
 """
 
 import dataclasses
@@ -16,22 +16,22 @@
 from cowsliprill.settings import parts
 from cowsliprill.settings import schema
 
-# Customers and pools are read first: what is below them needs the bucket count.
-_READ_LAST = ("children", "endpoints")
+# Read after customers and pools, whose bucket counts these parts need.
+_PREFIXES_READ_LAST = ("children", "endpoints")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointsPart:
     """One `endpoints/NAME/BUCKET` part.
 
-    Its nodes are checked when they are asked for, and not kept: at 5,900
-    endpoints they would take more memory than all else here.
+    The endpoint nodes are parsed on each access and not cached: with 5,900
+    endpoints they would take more memory than the rest of the tree.
 
     Attributes:
       pool: Name of the pool.
-      bucket: Number of the bucket.
+      bucket: Number of this part's bucket.
       buckets: Number of buckets of the pool.
-      text: The text.
+      text: JSON text of the part, compressed.
     """
 
     pool: str
@@ -40,31 +40,36 @@
     text: packed.PackedText
 
     def nodes(self) -> dict[str, schema.EndpointNode]:
-        """Returns the endpoints' nodes by name.
+        """Parses and validates the endpoints of this part.
+
+        Returns:
+          The endpoint nodes by name.
 
         Raises:
-          SettingsError: The part isn't valid.
+          SettingsError: The part is invalid.
         """
-        where = f"pools.{self.pool}.endpoints"
+        node_path = f"pools.{self.pool}.endpoints"
         nodes = {}
-        for name, value in parts.read_members(str(self.text), where).items():
-            parts.check_bucket(name, self.buckets, self.bucket, where)
-            nodes[name] = schema.check(
-                schema.EndpointNode, value, f"{where}.{name}"
+        for name, value in parts.read_members(
+            str(self.text), node_path
+        ).items():
+            parts.check_bucket(name, self.buckets, self.bucket, node_path)
+            nodes[name] = schema.validate_node(
+                schema.EndpointNode, value, f"{node_path}.{name}"
             )
         return nodes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tree:
-    """The checked parts of one revision.
+    """The validated parts of one revision.
 
     Attributes:
-      root: Defaults of the whole tree.
-      users: Customers at the top by name.
-      children: Parts of child users by part name.
+      root: Defaults for all services and endpoints.
+      users: Top-level customers by name.
+      children: Parts with child customers by part name.
       pools: Pools by name.
-      endpoints: Parts of endpoints by part name.
+      endpoints: Parts with endpoints by part name.
     """
 
     root: schema.RootPart
@@ -75,40 +80,41 @@
 
 
 class TreeReader:
-    """Reads revisions, one after the other; only changed parts are read."""
+    """Reads successive revisions and parses only the parts that changed."""
 
     def __init__(self) -> None:
-        self._read_by_part: dict[str, tuple[Any, Any]] = {}
+        self._cache_by_part: dict[str, tuple[Any, Any]] = {}
 
     def read(
         self,
         index: Mapping[str, str],
-        text_of: Callable[[str], packed.PackedText],
+        get_text: Callable[[str], packed.PackedText],
     ) -> Tree:
-        """Reads and checks the parts of a revision.
+        """Reads and validates the parts of a revision.
 
         Args:
-          index: Hash by part name.
-          text_of: Returns the text of a hash.
+          index: Hash of each part by part name.
+          get_text: Returns the text that has a given hash.
 
         Returns:
           The tree.
 
         Raises:
-          SettingsError: A part isn't valid, or belongs to nothing.
+          SettingsError: A part is missing, invalid or unknown, or its parent
+            doesn't exist or has fewer buckets.
         """
         if "root" not in index:
-            raise errors.SettingsError("part 'root' is missing")
-        root = self._read(
+            raise errors.SettingsError("required part 'root' is missing")
+        root = self._get_or_parse(
             "root",
             index["root"],
-            lambda: schema.parse(schema.RootPart, str(text_of(index["root"]))),
+            lambda: schema.parse(schema.RootPart, str(get_text(index["root"]))),
         )
         tree = Tree(root, {}, {}, {}, {})
-        for name in sorted(index, key=_reading_order):
-            self._add(tree, name, index[name], text_of)
-        for name in self._read_by_part.keys() - index.keys():
-            del self._read_by_part[name]
+        for name in sorted(index, key=_read_order_key):
+            self._add(tree, name, index[name], get_text)
+        for name in self._cache_by_part.keys() - index.keys():
+            del self._cache_by_part[name]
         return tree
 
     def _add(
@@ -116,83 +122,88 @@
         tree: Tree,
         part: str,
         text_hash: str,
-        text_of: Callable[[str], packed.PackedText],
+        get_text: Callable[[str], packed.PackedText],
     ) -> None:
         match part.split("/"):
             case ["root"]:
                 pass
             case ["user", name] if schema.is_name(name):
-                tree.users[name] = self._read(
+                tree.users[name] = self._get_or_parse(
                     part,
                     text_hash,
                     lambda: schema.parse(
                         schema.CustomerPart,
-                        str(text_of(text_hash)),
+                        str(get_text(text_hash)),
                         f"users.{name}",
                     ),
                 )
             case ["pool", name] if schema.is_name(name):
-                tree.pools[name] = self._read(
+                tree.pools[name] = self._get_or_parse(
                     part,
                     text_hash,
                     lambda: schema.parse(
                         schema.PoolPart,
-                        str(text_of(text_hash)),
+                        str(get_text(text_hash)),
                         f"pools.{name}",
                     ),
                 )
             case ["children", name, bucket] if bucket.isdecimal():
-                buckets = _buckets(part, tree.users.get(name), int(bucket))
-                tree.children[part] = self._read(
+                buckets = _bucket_count(part, tree.users.get(name), int(bucket))
+                tree.children[part] = self._get_or_parse(
                     part,
                     (text_hash, buckets),
                     lambda: customers.read_children(
-                        part, text_of(text_hash), buckets
+                        part, get_text(text_hash), buckets
                     ),
                 )
             case ["endpoints", name, bucket] if bucket.isdecimal():
-                buckets = _buckets(part, tree.pools.get(name), int(bucket))
-                tree.endpoints[part] = self._read(
+                buckets = _bucket_count(part, tree.pools.get(name), int(bucket))
+                tree.endpoints[part] = self._get_or_parse(
                     part,
                     (text_hash, buckets),
                     lambda: EndpointsPart(
-                        name, int(bucket), buckets, text_of(text_hash)
+                        name, int(bucket), buckets, get_text(text_hash)
                     ),
                 )
             case _:
                 raise errors.SettingsError(f"unknown part {part!r}")
 
-    def _read(self, part: str, key: Any, read: Callable[[], Any]) -> Any:
-        remembered = self._read_by_part.get(part)
-        if remembered is None or remembered[0] != key:
-            remembered = (key, read())
-            self._read_by_part[part] = remembered
-        return remembered[1]
+    def _get_or_parse(
+        self, part: str, key: Any, parse: Callable[[], Any]
+    ) -> Any:
+        cached = self._cache_by_part.get(part)
+        if cached is None or cached[0] != key:
+            cached = (key, parse())
+            self._cache_by_part[part] = cached
+        return cached[1]
 
 
-def _reading_order(part: str) -> tuple[bool, str]:
-    return (part.startswith(_READ_LAST), part)
+def _read_order_key(part: str) -> tuple[bool, str]:
+    return (part.startswith(_PREFIXES_READ_LAST), part)
 
 
-def _buckets(
-    part: str, above: schema.CustomerPart | schema.PoolPart | None, bucket: int
+def _bucket_count(
+    part: str, parent: schema.CustomerPart | schema.PoolPart | None, bucket: int
 ) -> int:
-    if above is None or bucket >= above.buckets:
-        raise errors.SettingsError(f"part {part!r} belongs to nothing")
-    return above.buckets
+    if parent is None or bucket >= parent.buckets:
+        raise errors.SettingsError(
+            f"part {part!r} has no parent with such a bucket"
+        )
+    return parent.buckets
 
 
 def document_of(texts_by_part: Mapping[str, str]) -> str:
-    """Puts parts together to a document again, without its head's fields.
+    """Assembles the parts into one settings document.
 
     Args:
-      texts_by_part: Text by part name.
+      texts_by_part: Text of each part by part name.
 
     Returns:
-      JSON of the tree, without revision and publisher.
+      JSON of the document without the fields of the head: revision, publisher
+      and time of publication.
     """
     tree: dict[str, Any] = {**json.loads(texts_by_part["root"])}
-    for part in sorted(texts_by_part, key=_reading_order):
+    for part in sorted(texts_by_part, key=_read_order_key):
         value = json.loads(texts_by_part[part])
         match part.split("/"):
             case ["user", name]:
--- a/tests/test_settings_size.py
+++ b/tests/test_settings_size.py
@@ -97,8 +97,8 @@
         """
         small = measure.change_cost(500, 30, changes=3)
         large = measure.change_cost(4_000, 30, changes=3)
-        assert large.moved_bytes < 1.5 * small.moved_bytes
-        assert large.moved_bytes < 5_000
+        assert large.transferred_bytes < 1.5 * small.transferred_bytes
+        assert large.transferred_bytes < 5_000
 
     def test_a_customer_takes_little_memory(self) -> None:
         """A customer as a data class in two dicts takes some 600 bytes.
