--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests."""
+"""Pytest hooks for all tests."""
 
 import gc
 
@@ -7,13 +7,13 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_collection(session):
-    """Holds the garbage collector while test modules are read.
+    """Disables the garbage collector while pytest collects test modules.
 
-    CPython 3.11 counts the depth of a syntax tree in one place for all. When
-    the collector runs a finalizer that parses something amid another tree, it
-    ends with `SystemError: AST constructor recursion depth mismatch`, and with
-    it the run before its first test. Nothing is collected meanwhile, so no
-    finalizer runs there.
+    CPython 3.11 keeps a single recursion depth counter for all syntax trees
+    under construction. When the collector runs a finalizer that parses code
+    while another tree is built, parsing fails with `SystemError: AST
+    constructor recursion depth mismatch`, and the run ends before its first
+    test. With the collector disabled, no finalizer runs during collection.
     """
     del session
     gc.disable()
--- a/tests/test_collection.py
+++ b/tests/test_collection.py
@@ -1,19 +1,20 @@
-"""Test modules are read without the garbage collector at work."""
+"""Tests that garbage collection is disabled while pytest collects tests."""
 
 import gc
 
-_COLLECTS_GARBAGE = gc.isenabled()
+_GC_ENABLED_AT_IMPORT = gc.isenabled()
 
 
-class TestCollection:
-    """The run of all tests ends before its first one, once in sixty.
+class TestGarbageCollector:
+    """Guards against a test run that fails during test collection.
 
-    A finalizer that parses something ran amid the reading of a test module,
-    which ends the interpreter's parser with an error.
+    About one run in 60 of the whole suite failed before its first test: a
+    finalizer that parses Python code ran while a test module was being parsed,
+    which makes the interpreter's parser fail.
     """
 
-    def test_the_collector_stood_still(self):
-        assert not _COLLECTS_GARBAGE
+    def test_collector_is_disabled_during_test_collection(self):
+        assert not _GC_ENABLED_AT_IMPORT
 
-    def test_it_works_again(self):
+    def test_collector_is_enabled_after_test_collection(self):
         assert gc.isenabled()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Tests of `process`."""
+"""Tests of the process lifecycle in `cowsliprill.process`."""
 
 import subprocess
 import sys
@@ -19,7 +19,7 @@
 
 
 async def serve():
-    shell = process.Process(
+    server = process.Process(
         environment.Environment(
             vm="vm-0", availability_zone="gasabo", process="p"
         ),
@@ -29,9 +29,9 @@
         status=dict,
         drain=drain,
     )
-    shell.listen([])
-    shell.stop()
-    await shell.run_until_stopped()
+    server.listen([])
+    server.stop()
+    await server.run_until_stopped()
 
 
 asyncio.run(serve())
@@ -40,20 +40,21 @@
 
 
 class TestShutdown:
-    """The end of a process that was told to stop."""
+    """Tests of the shutdown of a process after a stop request."""
 
-    def test_a_signal_at_the_very_end_changes_nothing(self) -> None:
-        """An operator repeats SIGTERM just as the process ends by itself.
+    def test_sigterm_after_shutdown_does_not_change_the_exit_code(self) -> None:
+        """Guards against exit code -15 after a graceful shutdown.
 
-        It was ended by the signal then, and its exit code -15 looked as if
+        An operator repeats SIGTERM just as the process exits by itself. When
+        the signal terminated the process, its exit code of -15 looked as if
         requests had been cut.
         """
-        ended = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", _PROGRAM],
             capture_output=True,
             check=False,
             text=True,
             timeout=30,
         )
-        assert ended.returncode == 0, ended.stderr
-        assert "event=stopped" in ended.stderr
+        assert completed.returncode == 0, completed.stderr
+        assert "event=stopped" in completed.stderr
--- a/tests/test_settings_resolve.py
+++ b/tests/test_settings_resolve.py
@@ -1,4 +1,4 @@
-"""Tests of the settings' tree: checks, inheritance and parts."""
+"""Tests of the settings tree: validation, inheritance and parts."""
 
 import copy
 import hashlib
@@ -19,10 +19,11 @@
 
 _EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 _FIELDS = ("priority", "timeout_s", "ttft_target_s")
-_FIRMS = ("firm-1", "firm-2")
+_CHILD_CUSTOMERS = ("firm-1", "firm-2")
 
 
 def _both() -> dict[str, Any]:
+    """Returns the example settings `both.json`."""
     return json.loads((_EXAMPLES / "both.json").read_text(encoding="utf-8"))
 
 
@@ -30,25 +31,27 @@
     return resolve.resolve(json.dumps(tree))
 
 
-def _refusal(tree: dict[str, Any]) -> errors.SettingsError:
+def _rejection(tree: dict[str, Any]) -> errors.SettingsError:
     with pytest.raises(errors.SettingsError) as caught:
         _resolve(tree)
     return caught.value
 
 
 class TestExamples:
-    """The settings under `examples/`."""
+    """Tests that the settings in `examples/` are valid."""
 
     @pytest.mark.parametrize(
         ("name", "engines", "plain", "users"),
         [("umurongo", 5, 4, 5), ("zarqa-lane", 9, 4, 1), ("both", 14, 8, 6)],
     )
-    def test_sizes(
+    def test_example_has_expected_numbers_of_endpoints_and_customers(
         self, name: str, engines: int, plain: int, users: int
     ) -> None:
         text = (_EXAMPLES / f"{name}.json").read_text(encoding="utf-8")
         snapshot = resolve.resolve(text)
-        kinds = [each.kind for each in snapshot.endpoints_by_id.values()]
+        kinds = [
+            endpoint.kind for endpoint in snapshot.endpoints_by_id.values()
+        ]
         assert kinds.count(model.EndpointKind.PLAIN) == plain
         assert len(kinds) - plain == engines
         assert len(snapshot.customers_by_id) == users
@@ -56,11 +59,12 @@
             customer.id for customer in snapshot.customers_by_id.values()
         }
         zones = {
-            each.availability_zone for each in snapshot.endpoints_by_id.values()
+            endpoint.availability_zone
+            for endpoint in snapshot.endpoints_by_id.values()
         }
         assert len(zones) == (8 if name == "both" else 4)
 
-    def test_a_key_finds_its_firm(self) -> None:
+    def test_customer_is_found_by_api_key(self) -> None:
         snapshot = _resolve(_both())
         digest = hashlib.sha256(b"example-key-firm-2").hexdigest()
         assert snapshot.customers_by_key_hash[digest].id == "umurongo/firm-2"
@@ -68,18 +72,18 @@
         assert snapshot.customers_by_key_hash.get("no hash at all") is None
 
 
-def _put(tree: dict[str, Any], path: str, value: Any) -> None:
-    *way, last = path.split(".")
-    for name in way:
+def _set_value(tree: dict[str, Any], path: str, value: Any) -> None:
+    *parents, field = path.split(".")
+    for name in parents:
         tree = tree.setdefault(name, {})
-    tree[last] = value
+    tree[field] = value
 
 
-class TestRefusals:
-    """What is refused, and in which words."""
+class TestRejections:
+    """Tests of rejected settings and their error messages."""
 
     @pytest.mark.parametrize(
-        ("path", "value", "code", "words"),
+        ("path", "value", "code", "message"),
         [
             (
                 "users.umurongo.services.brief.ttft_targets",
@@ -153,41 +157,49 @@
             ("users.Umurongo", {}, "settings_invalid", "Umurongo"),
         ],
     )
-    def test_words(self, path: str, value: Any, code: str, words: str) -> None:
+    def test_invalid_value_is_rejected_with_path_and_reason(
+        self, path: str, value: Any, code: str, message: str
+    ) -> None:
         tree = _both()
-        _put(tree, path, value)
-        error = _refusal(tree)
+        _set_value(tree, path, value)
+        error = _rejection(tree)
         assert error.code == code
-        assert words in str(error)
+        assert message in str(error)
 
     @pytest.mark.parametrize(
         "text",
         ["", "{", "[]", "7", "[" * 100_000],
     )
-    def test_text_that_is_no_tree(self, text: str) -> None:
+    def test_invalid_document_is_rejected(self, text: str) -> None:
         with pytest.raises(errors.SettingsError):
             resolve.resolve(text)
 
-    def test_a_name_that_stands_twice(self) -> None:
-        """An operator pastes a line and forgets to delete the old one.
+    def test_duplicate_name_in_an_object_is_rejected(self) -> None:
+        """Guards against two values for one name in a settings document.
 
-        JSON readers keep the last one without a word, so one value would
-        stand at the top of the file and another be in force.
+        JSON parsers silently keep the last value. An operator who pastes a line
+        without deleting the old one would see one value at the top of the file
+        while another is active.
         """
         text = json.dumps(_both())
-        twice = text.replace('"revision": 1', '"revision": 1, "revision": 2')
+        duplicated = text.replace(
+            '"revision": 1', '"revision": 1, "revision": 2'
+        )
         with pytest.raises(errors.SettingsError, match="stands twice"):
-            resolve.resolve(twice)
+            resolve.resolve(duplicated)
 
-    def test_one_key_at_two_firms(self) -> None:
-        """A key is copied to a second, rival firm.
+    def test_duplicate_api_key_is_rejected(self) -> None:
+        """Guards against responses that reach the wrong customer.
 
-        Whichever was found first would get the other's answers.
+        An operator copies an API key to a second, rival customer. Whichever
+        customer is found first would get the other's responses.
         """
         tree = _both()
-        firms = tree["users"]["umurongo"]["users"]
-        firms["firm-2"]["key_hashes"] += firms["firm-1"]["key_hashes"]
-        assert "stands twice" in str(_refusal(tree))
+        child_customers = tree["users"]["umurongo"]["users"]
+        child_customers["firm-2"]["key_hashes"] += child_customers["firm-1"][
+            "key_hashes"
+        ]
+        assert "stands twice" in str(_rejection(tree))
 
 
 def _naive_service(
@@ -201,19 +213,21 @@
 
 
 def _naive(tree: dict[str, Any]) -> dict[str, dict[str, Any]]:
-    """Resolves services by walking the whole tree, as plainly as possible."""
-    found = {}
+    """Resolves all services without caching, as a reference implementation."""
+    services_by_id = {}
     for top, customer in tree["users"].items():
         for name in customer.get("services", {}):
-            found[f"{top}/{name}"] = _naive_service(tree, [customer], name)
+            services_by_id[f"{top}/{name}"] = _naive_service(
+                tree, [customer], name
+            )
         for child, node in customer.get("users", {}).items():
             names = set(node.get("services", {}))
             if node.get("service_defaults"):
                 names |= set(customer.get("services", {}))
             for name in names:
                 fields = _naive_service(tree, [customer, node], name)
-                found[f"{top}/{child}/{name}"] = fields
-    return found
+                services_by_id[f"{top}/{child}/{name}"] = fields
+    return services_by_id
 
 
 _overrides = strategies.dictionaries(
@@ -226,8 +240,14 @@
                 "service_defaults",
                 "users.umurongo.service_defaults",
                 "users.umurongo.services.booking",
-                *(f"users.umurongo.users.{x}.service_defaults" for x in _FIRMS),
-                *(f"users.umurongo.users.{x}.services.booking" for x in _FIRMS),
+                *(
+                    f"users.umurongo.users.{x}.service_defaults"
+                    for x in _CHILD_CUSTOMERS
+                ),
+                *(
+                    f"users.umurongo.users.{x}.services.booking"
+                    for x in _CHILD_CUSTOMERS
+                ),
             ]
         ),
         _overrides,
@@ -237,6 +257,7 @@
 
 
 def _edited(tree: dict[str, Any], path: str, fields: dict) -> dict[str, Any]:
+    """Returns the next revision, with fields set at a node."""
     tree = copy.deepcopy(tree)
     node = tree
     for name in path.split("."):
@@ -247,7 +268,7 @@
 
 
 class TestInheritance:
-    """The nearest node wins."""
+    """Tests that the value set closest to a node takes precedence."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=60
@@ -262,7 +283,7 @@
             snapshot = resolver.resolve_texts(
                 tree["revision"], publish.split(document)
             )
-            # What was remembered of earlier revisions makes no difference.
+            # Results cached from earlier revisions don't change the snapshot.
             fresh = resolve.resolve(document)
             assert snapshot.services_by_id == fresh.services_by_id
             expected = _naive(tree)
@@ -273,7 +294,7 @@
                     if field in values:
                         assert getattr(service, field) == values[field]
 
-    def test_an_endpoint_inherits_from_its_pool(self) -> None:
+    def test_endpoint_inherits_from_its_pool(self) -> None:
         snapshot = _resolve(_both())
         endpoint = snapshot.endpoints_by_id["brief-d1"]
         assert endpoint.checks_fencing
@@ -282,7 +303,7 @@
         )
 
 
-def _many(count: int) -> dict[str, Any]:
+def _settings_with_children(count: int) -> dict[str, Any]:
     tree = _both()
     tree["users"]["umurongo"]["users"] = {
         f"firm-{number}": {
@@ -294,10 +315,10 @@
 
 
 class TestParts:
-    """The tree in parts."""
+    """Tests of a settings tree that is split into parts."""
 
-    def test_all_of_many_customers_are_found(self) -> None:
-        snapshot = _resolve(_many(1_000))
+    def test_all_child_customers_are_found(self) -> None:
+        snapshot = _resolve(_settings_with_children(1_000))
         assert len(snapshot.customers_by_id) == 1_002
         for number in range(0, 1_000, 37):
             digest = hashlib.sha256(f"key-{number}".encode()).hexdigest()
@@ -306,8 +327,8 @@
             assert snapshot.customers_by_id[customer.id] == customer
         assert "umurongo/firm-1000" not in snapshot.customers_by_id
 
-    def test_a_change_moves_one_part(self) -> None:
-        tree = _many(1_000)
+    def test_change_of_one_customer_adds_one_part(self) -> None:
+        tree = _settings_with_children(1_000)
         old = publish.publish(json.dumps(tree))
         tree["users"]["umurongo"]["users"]["firm-7"]["share"] = 2
         tree["revision"] = 2
@@ -319,54 +340,59 @@
         derived = parts.derive_index(new.head, old.head.index, old_index)
         assert derived == json.loads(new.texts_by_hash[new.head.index])
 
-    def test_a_reader_far_behind_is_not_misled(self) -> None:
-        """A reader was cut off for longer than the head's list of changes.
+    def test_no_index_is_derived_from_an_index_older_than_the_changes(
+        self,
+    ) -> None:
+        """Guards against activating a mixture of two revisions.
 
-        If it applied the changes it sees to an index they don't belong to, it
-        would put a mixture of two revisions in force.
+        A reader was disconnected for longer than the list of changes in the
+        head reaches back. Applying these changes to an older index would mix
+        two revisions.
         """
         tree = _both()
-        first = last = publish.publish(json.dumps(tree))
+        first = latest = publish.publish(json.dumps(tree))
         for revision in range(2, 9):
             tree["revision"] = revision
-            _put(tree, f"users.umurongo.users.firm-{revision}", {})
-            last = publish.publish(json.dumps(tree), last)
+            _set_value(tree, f"users.umurongo.users.firm-{revision}", {})
+            latest = publish.publish(json.dumps(tree), latest)
         old_index = json.loads(first.texts_by_hash[first.head.index])
         assert (
-            parts.derive_index(last.head, first.head.index, old_index) is None
+            parts.derive_index(latest.head, first.head.index, old_index) is None
         )
 
-    def test_parts_make_the_document_again(self) -> None:
-        tree = _many(100)
+    def test_document_is_reassembled_from_its_parts(self) -> None:
+        tree = _settings_with_children(100)
         texts = publish.split(json.dumps(tree))
-        rest = json.loads(tree_lib.document_of(texts))
+        document = json.loads(tree_lib.document_of(texts))
         for name in ("revision", "published_by", "published_at"):
             del tree[name]
-        assert rest == tree
+        assert document == tree
 
-    def test_content_of_another_hash_is_refused(self) -> None:
-        """The platform gives half a value, or a stale replica another's.
+    def test_part_with_a_wrong_hash_is_rejected(self) -> None:
+        """Guards against truncated values and values of stale replicas.
 
-        The half could be valid JSON by chance, with users missing.
+        The platform returns half a value, or a stale replica returns another
+        one. Half a value could happen to be valid JSON with customers missing.
         """
         text = '{"a": {}}'
         with pytest.raises(errors.SettingsError) as caught:
             parts.checked_text(text[:5].encode(), parts.hash_of(text))
         assert caught.value.code == "part_mismatch"
 
-    def test_a_customer_in_the_wrong_bucket_is_refused(self) -> None:
-        """A publisher's tool of another version puts users elsewhere.
+    def test_customer_in_a_wrong_bucket_is_rejected(self) -> None:
+        """Guards against customers whose API keys can't be found.
 
-        They would be in the settings, but none of their keys would be found.
+        A publishing tool of another version assigns customers to other buckets.
+        They would be in the settings, but lookups of their keys would fail.
         """
-        texts = publish.split(json.dumps(_many(100)))
+        texts = publish.split(json.dumps(_settings_with_children(100)))
         names = sorted(name for name in texts if name.startswith("children/"))
         first, second = names[:2]
         texts[first], texts[second] = texts[second], texts[first]
         with pytest.raises(errors.SettingsError, match="wrong part"):
             resolve.Resolver().resolve_texts(1, texts)
 
-    def test_a_value_above_a_megabyte_is_refused(self) -> None:
+    def test_value_above_one_megabyte_is_rejected(self) -> None:
         tree = _both()
         tree["users"]["umurongo"]["key_hashes"] = [
             hashlib.sha256(str(number).encode()).hexdigest()
--- a/tests/test_settings_size.py
+++ b/tests/test_settings_size.py
@@ -1,4 +1,4 @@
-"""Tests of what settings cost as they grow, and of the shortcuts for it."""
+"""Tests of caching in the resolver and of costs as settings grow."""
 
 import hashlib
 import json
@@ -17,7 +17,7 @@
     hashlib.sha256(str(number).encode()).hexdigest() for number in range(6)
 ]
 
-# Moves of keys between users, of which some lead to a key that stands twice.
+# Moves of API keys between customers; some of them lead to a duplicate key.
 _moves = strategies.lists(
     strategies.tuples(
         strategies.integers(0, 79),
@@ -37,8 +37,8 @@
         return error.code
 
 
-class TestShortcuts:
-    """A resolver that remembers earlier revisions."""
+class TestResolverCache:
+    """Tests of a resolver that caches results of earlier revisions."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=30
@@ -72,14 +72,18 @@
                 assert found.customers_by_key_hash.get(key) == customer
                 assert customer is None or key in customer.key_hashes
 
-    def test_an_older_snapshot_keeps_its_keys(self) -> None:
-        """A request was let in under revision 1 while 2 comes into force."""
+    def test_older_snapshot_keeps_its_api_keys(self) -> None:
+        """Guards against an update that changes an older snapshot.
+
+        A request admitted under revision 1 still uses that revision's snapshot
+        while revision 2 is activated.
+        """
         tree = measure.tree_of_size(80, 6)
         resolver = resolve.Resolver()
         old = _resolved(resolver, tree)
-        firm = tree["users"]["site"]["users"]["firm-7"]
-        key = firm["key_hashes"][0]
-        firm["key_hashes"] = []
+        child_customer = tree["users"]["site"]["users"]["firm-7"]
+        key = child_customer["key_hashes"][0]
+        child_customer["key_hashes"] = []
         tree["revision"] = 2
         new = _resolved(resolver, tree)
         assert old.customers_by_key_hash[key].id == "site/firm-7"
@@ -87,23 +91,28 @@
 
 
 class TestCosts:
-    """Costs that must not grow with the number of users."""
+    """Tests of costs that must not grow with the number of customers."""
 
-    def test_a_change_moves_little(self) -> None:
-        """Tens of thousands of users change their settings each day.
+    def test_change_size_is_independent_of_the_number_of_customers(
+        self,
+    ) -> None:
+        """Guards against changes that transfer the settings of all customers.
 
-        If each change moved all of them, control would need more bandwidth
-        than answers do.
+        Tens of thousands of customers change their settings each day. If each
+        change transferred all settings, control traffic would need more
+        bandwidth than responses do.
         """
         small = measure.change_cost(500, 30, changes=3)
         large = measure.change_cost(4_000, 30, changes=3)
         assert large.transferred_bytes < 1.5 * small.transferred_bytes
         assert large.transferred_bytes < 5_000
 
-    def test_a_customer_takes_little_memory(self) -> None:
-        """A customer as a data class in two dicts takes some 600 bytes.
+    def test_memory_per_customer_is_bounded(self) -> None:
+        """Guards against entry processes that exceed their memory limit.
 
-        With 42,000 of them an entry would outgrow its 64 MB and be killed.
+        A customer held as a data class in two dicts takes about 600 bytes. With
+        42,000 customers an entry process would exceed its limit of 64 MB and be
+        killed.
         """
         small = measure.change_cost(500, 30, changes=1)
         large = measure.change_cost(4_000, 30, changes=1)
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -1,4 +1,4 @@
-"""Tests of `observability.writer`."""
+"""Tests of the non-blocking log writer in `observability.writer`."""
 
 import io
 import os
@@ -9,51 +9,52 @@
 
 
 class TestWriter:
-    """Whoever reads a process's log may stop reading."""
+    """Tests of a log reader that stalls or disconnects."""
 
-    def test_a_full_pipe_holds_nobody_up(self):
-        """The reader of the log stands still and its pipe fills up.
+    def test_full_pipe_does_not_block_logging(self):
+        """Guards against log writes that block the event loop.
 
-        A blocking write would stop every request of the process. Lines are
-        dropped instead, and once the reader goes on it learns how many.
+        The log reader stalls and its pipe fills up. A blocking write would stop
+        every request of the process, so lines are dropped instead. Once the
+        reader resumes, the log reports the number of dropped lines.
         """
-        reading, writing = os.pipe()
-        with os.fdopen(writing, "w") as target:
+        read_fd, write_fd = os.pipe()
+        with os.fdopen(write_fd, "w") as target:
             log, output = log_lib.open_output("router.test", target)
             for number in range(20_000):
                 log.event("line", number=number, text="x" * 100)
             assert output.dropped > 0
-            parts: list[bytes] = []
+            chunks: list[bytes] = []
             reader = threading.Thread(
-                target=lambda: parts.extend(iter(lambda: _read(reading), b""))
+                target=lambda: chunks.extend(iter(lambda: _read(read_fd), b""))
             )
             reader.start()
             output.drain(10)
             log.event("after", number=1)
             output.drain(10)
         reader.join(10)
-        os.close(reading)
-        text = b"".join(parts).decode()
-        said = sum(
+        os.close(read_fd)
+        text = b"".join(chunks).decode()
+        reported = sum(
             int(line.rpartition("lines=")[2])
             for line in text.splitlines()
             if "event=log_lines_dropped" in line
         )
-        assert said == output.dropped
+        assert reported == output.dropped
         assert text.count("event=line ") == 20_000 - output.dropped
         assert "event=after" in text
 
-    def test_a_reader_that_is_gone_ends_nothing(self):
-        output = writer.Writer(_Gone(), lambda count: f"{count}\n")
+    def test_broken_pipe_is_ignored(self):
+        output = writer.Writer(_BrokenPipe(), lambda count: f"{count}\n")
         output.write("a line\n")
         output.drain(5)
         output.write("another\n")
 
 
-class _Gone(io.TextIOBase):
+class _BrokenPipe(io.TextIOBase):
     def write(self, text: str) -> int:
         raise BrokenPipeError
 
 
-def _read(source: int) -> bytes:
-    return os.read(source, 65_536)
+def _read(file_descriptor: int) -> bytes:
+    return os.read(file_descriptor, 65_536)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs coroutines in virtual time: waits take none, and the clock agrees."""
+"""Runs coroutines in virtual time, so that waits take no real time."""
 
 import asyncio
 import selectors
@@ -8,8 +8,8 @@
 from cowsliprill import clock
 
 
-class _SkippingSelector(selectors.DefaultSelector):
-    """A selector that moves the clock on instead of waiting."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """A selector that advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -17,33 +17,35 @@
 
     def select(self, timeout: float | None = None):
         if timeout is None:
-            raise RuntimeError("nothing is left that could happen")
+            raise RuntimeError(
+                "no timer is pending, so virtual time cannot advance"
+            )
         self.now += max(timeout, 0.0)
         return super().select(0)
 
 
-class _Loop(asyncio.SelectorEventLoop):
-    """An event loop whose time is the selector's."""
+class _VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop that uses the virtual time of its selector."""
 
     def __init__(self) -> None:
-        self._virtual = _SkippingSelector()
-        super().__init__(self._virtual)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._virtual.now
+        return self._virtual_selector.now
 
 
 def run(scenario: Coroutine[Any, Any, Any], monkeypatch) -> Any:
-    """Runs a coroutine that uses no network.
+    """Runs a coroutine in virtual time; the coroutine must not use the network.
 
     Args:
-      scenario: The coroutine.
-      monkeypatch: Pytest's fixture; replaces `clock.now` for the test.
+      scenario: The coroutine to run.
+      monkeypatch: Pytest fixture that replaces `clock.now` for the test.
 
     Returns:
-      Its result.
+      The result of the coroutine.
     """
-    loop = _Loop()
+    loop = _VirtualTimeLoop()
     monkeypatch.setattr(clock, "now", loop.time)
     try:
         return loop.run_until_complete(scenario)
