--- a/src/cowsliprill/settings/resolve.py
+++ b/src/cowsliprill/settings/resolve.py
@@ -281,8 +281,8 @@
 ) -> None:
     for name in endpoints_by_id.keys() & part_endpoints.keys():
         raise errors.SettingsError(
-            f"pools.{part_endpoints[name].pool}.endpoints.{name}: also "
-            f"stands in pool {endpoints_by_id[name].pool!r}"
+            f"pools.{part_endpoints[name].pool}.endpoints.{name}: stands in "
+            f"pool {endpoints_by_id[name].pool!r} as well"
         )
 
 
@@ -314,7 +314,7 @@
         known_pools = ", ".join(sorted(kinds_by_pool)) or "none"
         raise errors.SettingsError(
             f"service {service.id}: no pool {service.pool!r}; "
-            f"defined pools: {known_pools}",
+            f"known: {known_pools}",
             code="unknown_name",
         )
     required_kinds = {model.EndpointKind.PLAIN}
--- a/src/cowsliprill/settings/schema.py
+++ b/src/cowsliprill/settings/schema.py
@@ -65,7 +65,7 @@
                 # where the operator meant to disable something.
                 raise pydantic_core.PydanticCustomError(
                     "null_value",
-                    "field {name} is null; leave it out to inherit it",
+                    "{name} is null; leave it out to inherit it",
                     {"name": repr(name)},
                 )
         return value
@@ -78,7 +78,7 @@
         if nearest:
             return f"unknown name {name!r}, did you mean {nearest[0]!r}?"
         known_names = ", ".join(sorted(cls.model_fields))
-        return f"unknown name {name!r}, allowed here: {known_names}"
+        return f"unknown name {name!r}, known here: {known_names}"
 
 
 class RetryNode(Node):
@@ -253,7 +253,7 @@
     if len(members) != len(pairs):
         names = [name for name, _ in pairs]
         duplicates = sorted({name for name in names if names.count(name) > 1})
-        raise ValueError(f"{duplicates[0]!r} stands twice in the same object")
+        raise ValueError(f"{duplicates[0]!r} stands twice in one object")
     return members
 
 
--- a/src/cowsliprill/settings/tree.py
+++ b/src/cowsliprill/settings/tree.py
@@ -104,7 +104,7 @@
             doesn't exist or has fewer buckets.
         """
         if "root" not in index:
-            raise errors.SettingsError("required part 'root' is missing")
+            raise errors.SettingsError("part 'root' is missing")
         root = self._get_or_parse(
             "root",
             index["root"],
@@ -186,9 +186,7 @@
     part: str, parent: schema.CustomerPart | schema.PoolPart | None, bucket: int
 ) -> int:
     if parent is None or bucket >= parent.buckets:
-        raise errors.SettingsError(
-            f"part {part!r} has no parent with such a bucket"
-        )
+        raise errors.SettingsError(f"part {part!r} belongs to nothing")
     return parent.buckets
 
 
