--- a/src/cowsliprill/settings/fleet.py
+++ b/src/cowsliprill/settings/fleet.py
@@ -1,6 +1,7 @@
 """Tracks the platform's VM list and notices of leaving endpoints.
 
-A leaving notice says that an endpoint drains before the VM list shows this.
+A leaving notice reports that an endpoint is draining while the VM list doesn't
+show this yet.
 """
 
 import dataclasses
@@ -22,8 +23,8 @@
 
     Args:
       vm: Id of this VM.
-      first_version: Initial version of `fleet`; must be above all versions of
-        earlier incarnations of this VM.
+      first_version: Initial version of `fleet` and number of the first notice;
+        must be above those of all earlier incarnations of this VM.
       endpoints: Returns the endpoints of the active settings.
       audit: This VM's audit trail.
 
@@ -31,7 +32,7 @@
       fleet: Current VM list and leaving endpoints.
       listed: Whether a VM list was ever received.
       changes: Notified after each change of `fleet`.
-      heard: Notified when there are new leaving notices to send to peers.
+      heard: Notified when there are new notices to send to peers.
     """
 
     def __init__(
