--- a/src/cowsliprill/cli/core.py
+++ b/src/cowsliprill/cli/core.py
@@ -20,10 +20,10 @@
 from cowsliprill.cli import explain
 from cowsliprill.cli import show
 from cowsliprill.observability import log
-from cowsliprill.settings import difference
 from cowsliprill.settings import parts
 from cowsliprill.settings import publish
 from cowsliprill.settings import resolve
+from cowsliprill.settings import snapshot_diff
 
 _CALL_TIMEOUT_S = 5.0
 _STATUS_OK = 200
@@ -167,8 +167,8 @@
 
 def _diff(old: str, new: str, terminal: Terminal) -> None:
     before, after = resolve.resolve(old), resolve.resolve(new)
-    found = [str(change) for change in difference.changes(before, after)]
-    found += difference.customer_changes(before, after)
+    found = [str(change) for change in snapshot_diff.changes(before, after)]
+    found += snapshot_diff.diff_customers(before, after)
     terminal.write(f"Revision {before.revision} -> {after.revision}")
     for line in found or ["Nothing changes."]:
         terminal.write(line)
--- a/src/cowsliprill/cli/show.py
+++ b/src/cowsliprill/cli/show.py
@@ -97,7 +97,7 @@
 
 
 def _lines(
-    resolved: Any, merged: layers.Merged, derived: set[str]
+    resolved: Any, merged: layers.MergedFields, derived: set[str]
 ) -> list[str]:
     rows = []
     for name, value in _values(resolved):
--- a/src/cowsliprill/settings/packed.py
+++ b/src/cowsliprill/settings/compressed_text.py
@@ -6,7 +6,7 @@
 _COMPRESSION_LEVEL = 1
 
 
-class PackedText:
+class CompressedText:
     """A zlib-compressed text; `str()` decompresses it.
 
     Args:
--- a/src/cowsliprill/settings/controller.py
+++ b/src/cowsliprill/settings/controller.py
@@ -16,11 +16,11 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.settings import change_notifier as change_notifier_lib
-from cowsliprill.settings import difference
 from cowsliprill.settings import errors
 from cowsliprill.settings import fetch
 from cowsliprill.settings import parts
 from cowsliprill.settings import resolve
+from cowsliprill.settings import snapshot_diff
 from cowsliprill.settings import store as store_lib
 
 # Peers announce versions again at the next exchange, so candidates beyond
@@ -264,7 +264,7 @@
             for part in previous_index.keys() | index.keys()
             if previous_index.get(part) != index.get(part)
         )
-        differences = difference.changes(previous_snapshot, self.snapshot)
+        differences = snapshot_diff.changes(previous_snapshot, self.snapshot)
         self._audit.record(
             "settings_in_force",
             revision=head.revision,
--- a/src/cowsliprill/settings/customers.py
+++ b/src/cowsliprill/settings/customers.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 from cowsliprill.decisions import model
+from cowsliprill.settings import compressed_text
 from cowsliprill.settings import errors
 from cowsliprill.settings import key_table
-from cowsliprill.settings import packed
 from cowsliprill.settings import parts
 from cowsliprill.settings import schema
 
@@ -40,7 +40,7 @@
     """
 
     parent: str
-    text: packed.PackedText
+    text: compressed_text.CompressedText
     count: int
     prefixes: array.array
     overriding: dict[str, schema.ChildCustomerNode]
@@ -51,7 +51,7 @@
 
 
 def read_children(
-    part: str, text: packed.PackedText, buckets: int
+    part: str, text: compressed_text.CompressedText, buckets: int
 ) -> ChildrenPart:
     """Validates a part with child customers.
 
--- a/src/cowsliprill/settings/fleet.py
+++ b/src/cowsliprill/settings/fleet.py
@@ -105,7 +105,7 @@
         """Returns the notices to send to peers, with their remaining TTL."""
         return self._notices.items(clock.now())
 
-    def other_entry_urls(self) -> list[str]:
+    def other_settings_urls(self) -> list[str]:
         """Returns the URLs of the other VMs' settings processes."""
         return sorted(
             f"http://{vm.host}:{vm.settings_port}"
--- a/src/cowsliprill/settings/gossip.py
+++ b/src/cowsliprill/settings/gossip.py
@@ -109,7 +109,7 @@
 
     def peer_urls(self) -> list[str]:
         """Returns URLs of the listed peers, or the boot peers if none."""
-        listed_urls = self._fleet.other_entry_urls()
+        listed_urls = self._fleet.other_settings_urls()
         return listed_urls or [
             url for url in self._boot_peers if url != self._own_url()
         ]
--- a/src/cowsliprill/settings/handlers.py
+++ b/src/cowsliprill/settings/handlers.py
@@ -112,7 +112,7 @@
             part: store.text(text_hash) or ""
             for part, text_hash in store.hashes_by_part.items()
         }
-        tree = json.loads(tree_lib.document_of(texts))
+        tree = json.loads(tree_lib.assemble_document(texts))
         fields = {
             "revision": head.revision,
             "published_by": head.published_by,
--- a/src/cowsliprill/settings/layers.py
+++ b/src/cowsliprill/settings/layers.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Merged:
+class MergedFields:
     """The effective fields of a node.
 
     Attributes:
@@ -50,7 +50,7 @@
     return Layer(path, node.model_dump(exclude_unset=True, exclude_none=True))
 
 
-def merge(layers: Iterable[Layer]) -> Merged:
+def merge(layers: Iterable[Layer]) -> MergedFields:
     """Merges layers; later layers override earlier ones.
 
     Args:
@@ -71,7 +71,7 @@
             else:
                 fields[name] = value
                 origins[name] = layer.path
-    return Merged(fields, origins)
+    return MergedFields(fields, origins)
 
 
 def service_layers(
--- a/src/cowsliprill/settings/parts.py
+++ b/src/cowsliprill/settings/parts.py
@@ -19,8 +19,8 @@
 import xxhash
 
 from cowsliprill import codec
+from cowsliprill.settings import compressed_text
 from cowsliprill.settings import errors
-from cowsliprill.settings import packed
 from cowsliprill.settings import schema
 
 HEAD_NAME = "settings.head"
@@ -148,7 +148,7 @@
     Raises:
       SettingsError: The bucket is wrong, or the name is invalid.
     """
-    if not schema.is_name(name):
+    if not schema.is_valid_name(name):
         raise errors.SettingsError(f"{tree_path}: {name!r} is not a name")
     if bucket_of(name, buckets) != bucket:
         raise errors.SettingsError(
@@ -158,11 +158,11 @@
 
 def build_index(
     texts_by_part: Mapping[str, str],
-) -> tuple[dict[str, str], Callable[[str], packed.PackedText]]:
+) -> tuple[dict[str, str], Callable[[str], compressed_text.CompressedText]]:
     """Returns the index of the texts, and a lookup of texts by hash."""
     index = {part: content_hash(text) for part, text in texts_by_part.items()}
     texts = {
-        index[part]: packed.PackedText(text)
+        index[part]: compressed_text.CompressedText(text)
         for part, text in texts_by_part.items()
     }
     return index, texts.__getitem__
--- a/src/cowsliprill/settings/platform_watch.py
+++ b/src/cowsliprill/settings/platform_watch.py
@@ -190,5 +190,7 @@
             return self._backoff.next_delay_s()
         self._source_status.record_success()
         self._backoff.reset()
-        self._client.set_reader_count(1 + len(self._fleet.other_entry_urls()))
+        self._client.set_reader_count(
+            1 + len(self._fleet.other_settings_urls())
+        )
         return _VM_LIST_INTERVAL_S * self._random.uniform(0.7, 1.3)
--- a/src/cowsliprill/settings/resolve.py
+++ b/src/cowsliprill/settings/resolve.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from cowsliprill.decisions import model
+from cowsliprill.settings import compressed_text
 from cowsliprill.settings import customers
 from cowsliprill.settings import errors
 from cowsliprill.settings import key_table
 from cowsliprill.settings import layers
-from cowsliprill.settings import packed
 from cowsliprill.settings import parts
 from cowsliprill.settings import publish
 from cowsliprill.settings import schema
@@ -121,7 +121,7 @@
         self,
         revision: int,
         index: Mapping[str, str],
-        get_text: Callable[[str], packed.PackedText],
+        get_text: Callable[[str], compressed_text.CompressedText],
     ) -> model.Snapshot:
         """Resolves one revision.
 
--- a/src/cowsliprill/settings/schema.py
+++ b/src/cowsliprill/settings/schema.py
@@ -205,7 +205,7 @@
     pools: dict[Name, PoolNode] = {}
 
 
-def is_name(text: str) -> bool:
+def is_valid_name(text: str) -> bool:
     """Returns whether a text may name a customer, service, pool or endpoint."""
     return bool(_NAME.fullmatch(text))
 
--- a/src/cowsliprill/settings/difference.py
+++ b/src/cowsliprill/settings/snapshot_diff.py
@@ -49,7 +49,7 @@
     ]
 
 
-def customer_changes(old: model.Snapshot, new: model.Snapshot) -> list[str]:
+def diff_customers(old: model.Snapshot, new: model.Snapshot) -> list[str]:
     """Describes the customers that were added, removed or changed.
 
     The cost grows with the number of all customers.
--- a/src/cowsliprill/settings/store.py
+++ b/src/cowsliprill/settings/store.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from cowsliprill.settings import packed
+from cowsliprill.settings import compressed_text
 from cowsliprill.settings import parts
 
 # Limit for parts of versions that aren't active yet. Keeping them lets a fetch
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.index_hash = ""
         self.hashes_by_part: dict[str, str] = {}
-        self._packed_by_hash: dict[str, packed.PackedText] = {}
+        self._packed_by_hash: dict[str, compressed_text.CompressedText] = {}
         self._pending_bytes = 0
 
     def add(self, text: str) -> None:
@@ -29,7 +29,7 @@
         text_hash = parts.content_hash(text)
         if text_hash in self._packed_by_hash:
             return
-        compressed = packed.PackedText(text)
+        compressed = compressed_text.CompressedText(text)
         if self._pending_bytes + len(compressed) > _MAX_PENDING_BYTES:
             self.drop_unreferenced()
         self._packed_by_hash[text_hash] = compressed
@@ -40,7 +40,7 @@
         compressed = self._packed_by_hash.get(text_hash)
         return None if compressed is None else str(compressed)
 
-    def packed_text(self, text_hash: str) -> packed.PackedText:
+    def packed_text(self, text_hash: str) -> compressed_text.CompressedText:
         """Returns the compressed text with a hash; KeyError if missing."""
         return self._packed_by_hash[text_hash]
 
--- a/src/cowsliprill/settings/tree.py
+++ b/src/cowsliprill/settings/tree.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from typing import Any
 
+from cowsliprill.settings import compressed_text
 from cowsliprill.settings import customers
 from cowsliprill.settings import errors
-from cowsliprill.settings import packed
 from cowsliprill.settings import parts
 from cowsliprill.settings import schema
 
@@ -37,7 +37,7 @@
     pool: str
     bucket: int
     buckets: int
-    text: packed.PackedText
+    text: compressed_text.CompressedText
 
     def nodes(self) -> dict[str, schema.EndpointNode]:
         """Parses and validates the endpoints of this part.
@@ -88,7 +88,7 @@
     def read(
         self,
         index: Mapping[str, str],
-        get_text: Callable[[str], packed.PackedText],
+        get_text: Callable[[str], compressed_text.CompressedText],
     ) -> Tree:
         """Reads and validates the parts of a revision.
 
@@ -122,12 +122,12 @@
         tree: Tree,
         part: str,
         text_hash: str,
-        get_text: Callable[[str], packed.PackedText],
+        get_text: Callable[[str], compressed_text.CompressedText],
     ) -> None:
         match part.split("/"):
             case ["root"]:
                 pass
-            case ["user", name] if schema.is_name(name):
+            case ["user", name] if schema.is_valid_name(name):
                 tree.users[name] = self._get_or_parse(
                     part,
                     text_hash,
@@ -137,7 +137,7 @@
                         f"users.{name}",
                     ),
                 )
-            case ["pool", name] if schema.is_name(name):
+            case ["pool", name] if schema.is_valid_name(name):
                 tree.pools[name] = self._get_or_parse(
                     part,
                     text_hash,
@@ -190,7 +190,7 @@
     return parent.buckets
 
 
-def document_of(texts_by_part: Mapping[str, str]) -> str:
+def assemble_document(texts_by_part: Mapping[str, str]) -> str:
     """Assembles the parts into one settings document.
 
     Args:
--- a/tests/test_settings_resolve.py
+++ b/tests/test_settings_resolve.py
@@ -363,7 +363,7 @@
     def test_document_is_reassembled_from_its_parts(self) -> None:
         tree = _settings_with_children(100)
         texts = publish.split(json.dumps(tree))
-        document = json.loads(tree_lib.document_of(texts))
+        document = json.loads(tree_lib.assemble_document(texts))
         for name in ("revision", "published_by", "published_at"):
             del tree[name]
         assert document == tree
