--- a/src/cowsliprill/cli/__init__.py
+++ b/src/cowsliprill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line."""
+"""Command line for operators: settings checks and diagnosis of running VMs."""
--- a/src/cowsliprill/cli/__main__.py
+++ b/src/cowsliprill/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `cowsliprill`."""
+"""Entry point of the `cowsliprill` command."""
 
 import dataclasses
 import importlib.util
@@ -31,16 +31,16 @@
 
 
 def _parse(arguments: list[str] | None) -> Any:
-    kinds = _all_commands()
-    union = kinds[0]
-    for kind in kinds[1:]:
-        union = union | kind
-    root = dataclasses.make_dataclass(
+    command_types = _all_commands()
+    union = command_types[0]
+    for command_type in command_types[1:]:
+        union = union | command_type
+    root_type = dataclasses.make_dataclass(
         "Cowsliprill", [("command", cappa.Subcommands[union])]
     )
-    root.__doc__ = "Check settings and look at running VMs."
+    root_type.__doc__ = "Check settings and inspect running VMs."
     return cappa.parse(
-        cappa.command(name="cowsliprill")(root), argv=arguments
+        cappa.command(name="cowsliprill")(root_type), argv=arguments
     ).command
 
 
@@ -48,12 +48,13 @@
     """Runs the command line.
 
     Args:
-      arguments: Arguments; the process's own if None.
+      arguments: Arguments without the program name; those of the process if
+        None.
 
     Returns:
       The exit code.
     """
-    return core.run(_parse(arguments), core.terminal())
+    return core.run(_parse(arguments), core.standard_terminal())
 
 
 if __name__ == "__main__":
--- a/src/cowsliprill/cli/account_tables.py
+++ b/src/cowsliprill/cli/account_tables.py
@@ -1,4 +1,4 @@
-"""Tables of an account of requests, for a person."""
+"""Renders the summaries of `account` as text tables."""
 
 import statistics
 from typing import TextIO
@@ -10,35 +10,40 @@
 from cowsliprill.cli import account
 from cowsliprill.cli import explain
 
-# Wide enough for all columns also where the output is a file.
-_WIDTH = 120
+# Fits all columns when the output is a file, which has no terminal width.
+_WIDTH_CHARACTERS = 120
 _MS_PER_S = 1_000
 
 
-def write(day: account.Day, step_s: float, target: TextIO) -> None:
+def write(records: account.LogRecords, step_s: float, target: TextIO) -> None:
     """Writes all tables.
 
     Args:
-      day: What the logs tell.
-      step_s: Seconds that a line of time covers.
-      target: Where to write.
+      records: Records of the logs.
+      step_s: Length in seconds of an interval in the table by arrival time.
+      target: Stream to write to.
     """
-    console = rich.console.Console(file=target, width=_WIDTH, no_color=True)
-    full = account.fullness(day, step_s)
-    for title, sums in (
-        ("By time of arrival", account.by_time(day, step_s)),
-        ("By service", account.by_service(day)),
-        ("By customer", account.by_customer(day)),
-        ("By availability zone", account.by_zone(day)),
-        ("Model requests by prompt tokens", account.by_size(day)),
+    console = rich.console.Console(
+        file=target, width=_WIDTH_CHARACTERS, no_color=True
+    )
+    peak_by_interval = account.peak_load_by_interval(records, step_s)
+    for title, summaries in (
+        ("By time of arrival", account.summarize_by_time(records, step_s)),
+        ("By service", account.summarize_by_service(records)),
+        ("By customer", account.summarize_by_customer(records)),
+        ("By availability zone", account.summarize_by_zone(records)),
+        (
+            "Model requests by prompt tokens",
+            account.summarize_by_prompt_size(records),
+        ),
     ):
-        if sums:
-            console.print(_sums(title, sums, full))
-    console.print(_refusals(day))
-    console.print(_losses(day))
+        if summaries:
+            console.print(_summary_table(title, summaries, peak_by_interval))
+    console.print(_refusal_table(records))
+    console.print(_failure_table(records))
 
 
-def _table(title: str, *columns: str) -> rich.table.Table:
+def _new_table(title: str, *columns: str) -> rich.table.Table:
     table = rich.table.Table(
         title=title, title_justify="left", box=rich.box.SIMPLE
     )
@@ -48,12 +53,12 @@
     return table
 
 
-def _sums(
+def _summary_table(
     title: str,
-    sums: list[account.Sum],
-    full: dict[str, tuple[float, int]],
+    summaries: list[account.GroupSummary],
+    peak_by_interval: dict[str, tuple[float, int]],
 ) -> rich.table.Table:
-    table = _table(
+    table = _new_table(
         title,
         "",
         "asked",
@@ -69,28 +74,30 @@
         "memory",
         "waiting",
     )
-    for item in sums:
-        promised, waiting = full.get(item.name, (0.0, 0))
+    for summary in summaries:
+        reserved_fraction, queued = peak_by_interval.get(summary.name, (0.0, 0))
         table.add_row(
-            item.name,
-            str(item.asked),
-            str(item.in_time),
-            str(item.late),
-            str(item.refused),
-            str(item.denied),
-            str(item.failed),
-            str(item.left),
-            f"{item.half_s * _MS_PER_S:.0f}",
-            f"{item.most_s * _MS_PER_S:.0f}",
-            f"{item.wasted_tokens:.1%}",
-            f"{promised:.0%}" if item.name in full else "",
-            str(waiting) if item.name in full else "",
+            summary.name,
+            str(summary.request_count),
+            str(summary.in_time),
+            str(summary.late),
+            str(summary.refused),
+            str(summary.denied),
+            str(summary.failed),
+            str(summary.disconnected),
+            f"{summary.ttft_median_s * _MS_PER_S:.0f}",
+            f"{summary.ttft_p99_s * _MS_PER_S:.0f}",
+            f"{summary.wasted_fraction:.1%}",
+            f"{reserved_fraction:.0%}"
+            if summary.name in peak_by_interval
+            else "",
+            str(queued) if summary.name in peak_by_interval else "",
         )
     return table
 
 
-def _refusals(day: account.Day) -> rich.table.Table:
-    table = _table(
+def _refusal_table(records: account.LogRecords) -> rich.table.Table:
+    table = _new_table(
         "Refusals of model requests (medians)",
         "reason",
         "count",
@@ -98,25 +105,27 @@
         "come back in ms",
         "time left ms",
     )
-    for reason, lines in sorted(day.refusals.items()):
+    for reason, lines in sorted(records.refusals_by_reason.items()):
         table.add_row(
             reason,
             str(len(lines)),
-            _median(lines, "wait_ms"),
-            _median(lines, "retry_after_ms"),
-            _median(lines, "time_left_ms"),
+            _format_median(lines, "wait_ms"),
+            _format_median(lines, "retry_after_ms"),
+            _format_median(lines, "time_left_ms"),
         )
     return table
 
 
-def _median(lines: list[explain.Line], name: str) -> str:
+def _format_median(lines: list[explain.LogLine], name: str) -> str:
     values = [float(line.fields[name]) for line in lines if name in line.fields]
     return f"{statistics.median(values):.0f}" if values else ""
 
 
-def _losses(day: account.Day) -> rich.table.Table:
-    table = _table("Attempts that came to nothing", "what", "where", "count")
+def _failure_table(records: account.LogRecords) -> rich.table.Table:
+    table = _new_table(
+        "Attempts that came to nothing", "what", "where", "count"
+    )
     table.add_column("why")
-    for event, stage, reason, count in account.reasons(day):
+    for event, stage, reason, count in account.count_failed_attempts(records):
         table.add_row(event, stage, str(count), reason)
     return table
--- a/src/cowsliprill/cli/commands.py
+++ b/src/cowsliprill/cli/commands.py
@@ -1,4 +1,4 @@
-"""Sub-commands of `cowsliprill` and their arguments."""
+"""Subcommands of `cowsliprill` and their arguments."""
 
 import dataclasses
 import pathlib
@@ -6,14 +6,16 @@
 
 import cappa
 
-_File = Annotated[pathlib.Path, cappa.Arg(help="Settings, a JSON file.")]
-_Url = Annotated[str, cappa.Arg(help="URL of a process of ours.")]
+_File = Annotated[
+    pathlib.Path, cappa.Arg(help="Settings document, a JSON file.")
+]
+_Url = Annotated[str, cappa.Arg(help="Base URL of a cowsliprill process.")]
 
 
 @cappa.command(name="check")
 @dataclasses.dataclass
 class CheckCommand:
-    """Check settings and say what they hold."""
+    """Check that settings are valid and summarize their contents."""
 
     file: _File
 
@@ -21,19 +23,21 @@
 @cappa.command(name="show")
 @dataclasses.dataclass
 class ShowCommand:
-    """Show a service's or an endpoint's values and where each comes from."""
+    """Show the settings of a service or an endpoint and their origins."""
 
     file: _File
     name: Annotated[
         str,
-        cappa.Arg(help="`USER/SERVICE`, `USER/CHILD/SERVICE` or an endpoint."),
+        cappa.Arg(
+            help="`USER/SERVICE`, `USER/CHILD/SERVICE` or an endpoint ID."
+        ),
     ]
 
 
 @cappa.command(name="diff")
 @dataclasses.dataclass
 class DiffCommand:
-    """Show which services, endpoints and customers a change reaches."""
+    """Show the services, endpoints and customers that a change affects."""
 
     old: _File
     new: _File
@@ -42,15 +46,15 @@
 @cappa.command(name="pack")
 @dataclasses.dataclass
 class PackCommand:
-    """Write the values to publish on the platform, the head last."""
+    """Write the values to publish on the platform; the head goes last."""
 
     file: _File
     folder: Annotated[
-        pathlib.Path, cappa.Arg(help="Where to write; made if missing.")
+        pathlib.Path, cappa.Arg(help="Output directory; created if missing.")
     ]
     previous: Annotated[
         pathlib.Path | None,
-        cappa.Arg(long=True, help="The settings published before."),
+        cappa.Arg(long=True, help="Settings of the last publication."),
     ] = None
 
 
@@ -63,33 +67,38 @@
 @cappa.command(name="explain")
 @dataclasses.dataclass
 class ExplainCommand:
-    """Tell the story of a request from the logs of one or more VMs.
+    """Trace a request through the logs of one or more VMs.
 
     For example: `cowsliprill explain 9c41d07be2a35f68 vm-*.log`.
     """
 
     request: Annotated[
         str,
-        cappa.Arg(help="Our id of the request, or the caller's own id of it."),
+        cappa.Arg(
+            help="Request ID assigned by the router or sent by the caller."
+        ),
     ]
     files: Annotated[
-        list[pathlib.Path], cappa.Arg(help="Logs; `-` is standard input.")
+        list[pathlib.Path], cappa.Arg(help="Log files; `-` is standard input.")
     ]
 
 
 @cappa.command(name="account")
 @dataclasses.dataclass
 class AccountCommand:
-    """Add up what became of all requests in the logs of one or more VMs.
+    """Summarize the outcomes of all requests in the logs of one or more VMs.
 
     For example: `cowsliprill account --step 2 vm-*.log`.
     """
 
     files: Annotated[
-        list[pathlib.Path], cappa.Arg(help="Logs; `-` is standard input.")
+        list[pathlib.Path], cappa.Arg(help="Log files; `-` is standard input.")
     ]
     step: Annotated[
-        float, cappa.Arg(long=True, help="Seconds that a line of time covers.")
+        float,
+        cappa.Arg(
+            long=True, help="Seconds per row of the table by arrival time."
+        ),
     ] = 2.0
 
 
@@ -104,6 +113,6 @@
 @cappa.command(name="audit")
 @dataclasses.dataclass
 class AuditCommand:
-    """Show the recent audit trail of a VM, from its settings process."""
+    """Show the recent audit trail of a VM; takes its settings process's URL."""
 
     url: _Url
--- a/src/cowsliprill/cli/core.py
+++ b/src/cowsliprill/cli/core.py
@@ -1,4 +1,4 @@
-"""The operator's command line: one command in, text and an exit code out."""
+"""Runs a parsed command: prints its result and returns an exit code."""
 
 import asyncio
 import dataclasses
@@ -25,18 +25,18 @@
 from cowsliprill.settings import publish
 from cowsliprill.settings import resolve
 
-_CALL_TIMEOUT_S = 5.0
+_REQUEST_TIMEOUT_S = 5.0
 _STATUS_OK = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Terminal:
-    """Where commands read and write.
+    """Streams that commands read from and write to.
 
     Attributes:
       stdin: Standard input.
-      stdout: Results.
-      stderr: Errors.
+      stdout: Stream for results.
+      stderr: Stream for errors.
     """
 
     stdin: TextIO
@@ -44,22 +44,22 @@
     stderr: TextIO
 
     def write(self, text: str) -> None:
-        """Writes one line of the result."""
+        """Writes one line to `stdout`."""
         print(text, file=self.stdout)
 
 
 def run(command: Any, terminal: Terminal) -> int:
-    """Carries out a command.
+    """Runs a command and reports its error, if any, on `terminal.stderr`.
 
     Args:
-      command: One of `commands`, or another package's command.
-      terminal: Where to read and write.
+      command: A command of `commands`, or the `replay` command.
+      terminal: Streams to read from and write to.
 
     Returns:
-      The exit code.
+      The exit code: 0 on success, else that of the error or of an interrupt.
     """
     try:
-        return _carry_out(command, terminal)
+        return _execute(command, terminal)
     except errors_lib.CowsliprillError as error:
         print(f"{error.code}: {error}", file=terminal.stderr)
         return error.exit_code
@@ -67,42 +67,42 @@
         return errors_lib.ExitCode.INTERRUPTED
 
 
-def _carry_out(command: Any, terminal: Terminal) -> int:
+def _execute(command: Any, terminal: Terminal) -> int:
     match command:
         case commands.CheckCommand(file):
-            _check(_read(file), terminal)
+            _print_check(_read_file(file), terminal)
         case commands.ShowCommand(file, name):
-            for line in show.lines(_read(file), name):
+            for line in show.format_values(_read_file(file), name):
                 terminal.write(line)
         case commands.DiffCommand(old, new):
-            _diff(_read(old), _read(new), terminal)
+            _print_diff(_read_file(old), _read_file(new), terminal)
         case commands.PackCommand(file, folder, previous):
-            _pack(_read(file), folder, previous, terminal)
+            _write_values(_read_file(file), folder, previous, terminal)
         case commands.HashCommand():
             key = terminal.stdin.readline().rstrip("\n")
             terminal.write(api_keys.digest(key))
         case commands.ExplainCommand(request, files):
-            _explain(request, files, terminal)
+            _print_trace(request, files, terminal)
         case commands.AccountCommand(files, step):
-            _account(files, step, terminal)
+            _print_account(files, step, terminal)
         case commands.StatusCommand(url):
-            _status(_get(url + peers.STATUS_PATH), terminal)
+            _print_status(_fetch_json(url + peers.STATUS_PATH), terminal)
         case commands.AuditCommand(url):
-            for entry in _get(url + peers.AUDIT_PATH):
+            for entry in _fetch_json(url + peers.AUDIT_PATH):
                 terminal.write(log.serialize(entry))
         case _:
-            return _replay(command)
+            return _run_replay(command)
     return errors_lib.ExitCode.OK
 
 
-def _replay(command: Any) -> int:
-    # Imported only here, so that settings can be checked where the replay's
-    # own needs are not installed.
+def _run_replay(command: Any) -> int:
+    # Imported lazily: the other commands must work where the dependencies of
+    # the replay are not installed.
     main = importlib.import_module("cowsliprill.replay.main")
     return main.run(command)
 
 
-def _read(file: pathlib.Path) -> str:
+def _read_file(file: pathlib.Path) -> str:
     try:
         return file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -111,48 +111,48 @@
         ) from error
 
 
-def _log_lines(
+def _read_log_lines(
     files: list[pathlib.Path], terminal: Terminal
-) -> list[explain.Line]:
-    lines: list[explain.Line] = []
+) -> list[explain.LogLine]:
+    lines: list[explain.LogLine] = []
     for file in files:
-        text = terminal.stdin.read() if str(file) == "-" else _read(file)
+        text = terminal.stdin.read() if str(file) == "-" else _read_file(file)
         lines.extend(explain.read(text.splitlines()))
     return lines
 
 
-def _account(
+def _print_account(
     files: list[pathlib.Path], step_s: float, terminal: Terminal
 ) -> None:
     if step_s <= 0:
         raise errors.CliError(
             f"--step must be above 0, not {step_s:g}.", code="bad_step"
         )
-    day = account.read(_log_lines(files, terminal))
-    if not day.ended:
+    records = account.collect(_read_log_lines(files, terminal))
+    if not records.requests:
         raise errors.CliError(
             "No line of these logs tells of a request's end.",
             code="no_requests",
         )
-    account_tables.write(day, step_s, terminal.stdout)
+    account_tables.write(records, step_s, terminal.stdout)
 
 
-def _explain(
-    request: str, files: list[pathlib.Path], terminal: Terminal
+def _print_trace(
+    request_id: str, files: list[pathlib.Path], terminal: Terminal
 ) -> None:
-    lines = _log_lines(files, terminal)
-    story = explain.story(lines, request)
-    if not story:
+    lines = _read_log_lines(files, terminal)
+    trace = explain.trace(lines, request_id)
+    if not trace:
         raise errors.CliError(
-            f"No line of these logs is about {request}.",
+            f"No line of these logs is about {request_id}.",
             code="unknown_request",
         )
-    for line in story:
-        terminal.write(explain.tell(line))
-    terminal.write(explain.cause(story))
+    for line in trace:
+        terminal.write(explain.format_line(line))
+    terminal.write(explain.describe_outcome(trace))
 
 
-def _check(document: str, terminal: Terminal) -> None:
+def _print_check(document: str, terminal: Terminal) -> None:
     snapshot = resolve.resolve(document)
     publication = publish.publish(document)
     largest = max(map(len, publication.texts_by_hash.values()))
@@ -165,53 +165,55 @@
     )
 
 
-def _diff(old: str, new: str, terminal: Terminal) -> None:
+def _print_diff(old: str, new: str, terminal: Terminal) -> None:
     before, after = resolve.resolve(old), resolve.resolve(new)
-    found = [str(change) for change in difference.changes(before, after)]
-    found += difference.customer_changes(before, after)
+    descriptions = [str(change) for change in difference.changes(before, after)]
+    descriptions += difference.customer_changes(before, after)
     terminal.write(f"Revision {before.revision} -> {after.revision}")
-    for line in found or ["Nothing changes."]:
+    for line in descriptions or ["Nothing changes."]:
         terminal.write(line)
-    if found and after.revision <= before.revision:
+    if descriptions and after.revision <= before.revision:
         terminal.write(
             "Warning: the revision doesn't rise, so no VM would take this."
         )
 
 
-def _pack(
+def _write_values(
     document: str,
     folder: pathlib.Path,
     previous: pathlib.Path | None,
     terminal: Terminal,
 ) -> None:
     resolve.resolve(document)
-    before = publish.publish(_read(previous)) if previous else None
+    before = publish.publish(_read_file(previous)) if previous else None
     publication = publish.publish(document, before)
-    held = before.texts_by_hash if before else {}
+    published_texts_by_hash = before.texts_by_hash if before else {}
     folder.mkdir(parents=True, exist_ok=True)
     for text_hash, text in publication.texts_by_hash.items():
-        if text_hash not in held:
-            _write(folder / (parts.PART_PREFIX + text_hash), text, terminal)
+        if text_hash not in published_texts_by_hash:
+            _write_file(
+                folder / (parts.PART_PREFIX + text_hash), text, terminal
+            )
     head = parts.head_text(publication.head)
-    _write(folder / parts.HEAD_NAME, head, terminal)
+    _write_file(folder / parts.HEAD_NAME, head, terminal)
 
 
-def _write(path: pathlib.Path, text: str, terminal: Terminal) -> None:
+def _write_file(path: pathlib.Path, text: str, terminal: Terminal) -> None:
     path.write_text(text, encoding="utf-8")
     terminal.write(str(path))
 
 
-def _status(state: dict[str, Any], terminal: Terminal) -> None:
+def _print_status(state: dict[str, Any], terminal: Terminal) -> None:
     width = max(map(len, state), default=0)
     for name, value in state.items():
         text = value if isinstance(value, str) else json.dumps(value)
         terminal.write(f"{name:<{width}}  {text or '-'}")
 
 
-def _get(url: str) -> Any:
+def _fetch_json(url: str) -> Any:
     async def fetch() -> peer_client.Reply:
         client = peer_client.PeerClient()
-        return await client.call("GET", url, timeout_s=_CALL_TIMEOUT_S)
+        return await client.call("GET", url, timeout_s=_REQUEST_TIMEOUT_S)
 
     try:
         reply = asyncio.run(fetch())
@@ -222,6 +224,6 @@
         raise errors.CliError(f"{url} gives no answer: {error}") from error
 
 
-def terminal() -> Terminal:
-    """Returns the process's own terminal."""
+def standard_terminal() -> Terminal:
+    """Returns the standard streams of the current process."""
     return Terminal(sys.stdin, sys.stdout, sys.stderr)
--- a/src/cowsliprill/cli/errors.py
+++ b/src/cowsliprill/cli/errors.py
@@ -1,12 +1,14 @@
-"""Errors of the operator's command line."""
+"""Errors of the command line."""
 
 from cowsliprill import errors
 
 
 class CliError(errors.CowsliprillError):
-    """Raised for a command that can't be carried out.
+    """Raised when a command fails.
 
-    Codes: `file_unreadable`, `unknown_service`, `unknown_request`, `no_answer`.
+    Codes: `file_unreadable`, `bad_step`, `no_requests`, `unknown_service`,
+    `unknown_request`, and by default `no_answer` for a process that doesn't
+    respond.
     """
 
     code = "no_answer"
--- a/src/cowsliprill/cli/explain.py
+++ b/src/cowsliprill/cli/explain.py
@@ -1,14 +1,15 @@
-"""The story of one request, out of the logs of several VMs."""
+"""Traces one request through the logs of several VMs and explains its end."""
 
 import dataclasses
 import json
 import re
 from collections.abc import Iterable
 
-_PAIR = re.compile(r'([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
+_FIELD_PATTERN = re.compile(r'([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 
-# What a request's line is read together with: news of the same VM that change
-# what it believes, shortly before.
+# Events that change what a process knows of the cluster, the registry or its
+# settings. They affect how a request is handled, so a trace includes those of
+# the processes that handled the request.
 _CONTEXT_EVENTS = frozenset(
     {
         "cell_joined",
@@ -31,22 +32,23 @@
     }
 )
 
-# Lines that say what an engine or server did.
-_LOSSES = ("attempt_lost", "call_lost", "stream_broken")
+# Events of failed attempts; their lines name the engine or server.
+_FAILURE_EVENTS = ("attempt_lost", "call_lost", "stream_broken")
 
-# News so much older than the request's first line don't belong to its story.
-_CONTEXT_LINES = 6
+# Context events further back from the request's first line are unlikely to
+# affect the request.
+_MAX_EARLIER_CONTEXT_LINES = 6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
-    """One line of a log.
+class LogLine:
+    """A parsed log line.
 
     Attributes:
-      time: Its time, as written.
-      process: The process that wrote it.
-      event: What happened.
-      fields: Further pairs.
+      time: Timestamp as written, which sorts in order of time.
+      process: Name of the process that wrote the line.
+      event: Name of the event.
+      fields: Other key=value pairs, without the level.
     """
 
     time: str
@@ -54,90 +56,113 @@
     event: str
     fields: dict[str, str]
 
-    def request(self) -> str:
-        """Returns our id of the request that it is about, empty for none."""
+    def request_id(self) -> str:
+        """Returns the router's ID of the request, empty if there is none."""
         return self.fields.get("request", "")
 
 
-def read(text: Iterable[str]) -> list[Line]:
-    """Reads lines of a log; what is no line of ours is passed over."""
-    return [line for line in map(_read_line, text) if line is not None]
+def read(texts: Iterable[str]) -> list[LogLine]:
+    """Parses log lines.
+
+    Lines that lack a time, a process or an event, such as those of a traceback,
+    are skipped.
+    """
+    return [line for line in map(_parse_line, texts) if line is not None]
 
 
-def story(lines: list[Line], wanted: str) -> list[Line]:
-    """Picks what tells of a request, in order of time.
+def trace(lines: list[LogLine], wanted_id: str) -> list[LogLine]:
+    """Selects the lines that concern a request, sorted by time.
 
     Args:
       lines: Lines of all logs.
-      wanted: Our id of the request or its caller's own.
+      wanted_id: The router's ID of the request or the ID that its caller sent.
 
     Returns:
-      Lines about the request, and before them the newest news of its VM.
+      Lines of the request and context events of the processes that handled it:
+      the latest few before its first line, and all up to its last line. Empty
+      if no line has this ID.
     """
-    requests = {
-        line.request()
+    request_ids = {
+        line.request_id()
         for line in lines
-        if wanted in (line.request(), line.fields.get("caller"))
+        if wanted_id in (line.request_id(), line.fields.get("caller"))
     } - {""}
-    own = [line for line in lines if line.request() in requests]
-    if not own:
+    request_lines = [line for line in lines if line.request_id() in request_ids]
+    if not request_lines:
         return []
-    own.sort(key=lambda line: line.time)
-    processes = {line.process for line in own}
-    news = [
+    request_lines.sort(key=lambda line: line.time)
+    request_processes = {line.process for line in request_lines}
+    context_lines = [
         line
         for line in lines
-        if line.process in processes
+        if line.process in request_processes
         and line.event in _CONTEXT_EVENTS
-        and line.time <= own[-1].time
+        and line.time <= request_lines[-1].time
+    ]
+    context_lines.sort(key=lambda line: line.time)
+    earlier_context = [
+        line for line in context_lines if line.time < request_lines[0].time
+    ]
+    concurrent_context = [
+        line for line in context_lines if line.time >= request_lines[0].time
+    ]
+    selected = [
+        *earlier_context[-_MAX_EARLIER_CONTEXT_LINES:],
+        *concurrent_context,
+        *request_lines,
     ]
-    news.sort(key=lambda line: line.time)
-    before = [line for line in news if line.time < own[0].time]
-    amid = [line for line in news if line.time >= own[0].time]
-    picked = [*before[-_CONTEXT_LINES:], *amid, *own]
-    return sorted(picked, key=lambda line: line.time)
+    return sorted(selected, key=lambda line: line.time)
 
 
-def tell(line: Line) -> str:
-    """Writes a line of the story for a person."""
-    words = _WORDS_BY_EVENT.get(line.event, line.event)
-    hidden = {"request", "caller", "customer"}
+def format_line(line: LogLine) -> str:
+    """Formats a line of a trace; `*` marks the lines of the request itself."""
+    summary = _DESCRIPTIONS_BY_EVENT.get(line.event, line.event)
+    hidden_fields = {"request", "caller", "customer"}
     pairs = [
         f"{name}={value}"
         for name, value in line.fields.items()
-        if name not in hidden and value
+        if name not in hidden_fields and value
     ]
-    mark = "*" if line.request() else " "
-    return f"{mark} {line.time}  {line.process}  {words}  {' '.join(pairs)}"
+    marker = "*" if line.request_id() else " "
+    return f"{marker} {line.time}  {line.process}  {summary}  {' '.join(pairs)}"
 
 
-def cause(lines: list[Line]) -> str:
-    """Says in one sentence how a request ended, and why."""
-    ended = [line for line in lines if line.event == "request_ended"]
-    if not ended:
+def describe_outcome(lines: list[LogLine]) -> str:
+    """Describes how a request ended, whether it ran, and why attempts failed.
+
+    Args:
+      lines: Trace of the request.
+
+    Returns:
+      The description, on one line.
+    """
+    end_lines = [line for line in lines if line.event == "request_ended"]
+    if not end_lines:
         return (
             "No line tells of its end: the process was killed, or still runs."
         )
-    last = ended[-1]
-    outcome = last.fields.get("outcome", "")
+    end_line = end_lines[-1]
+    outcome = end_line.fields.get("outcome", "")
     reasons = [
         f"{line.fields.get('endpoint', '')}: {line.fields['reason']}"
         for line in lines
-        if line.event in _LOSSES
+        if line.event in _FAILURE_EVENTS
     ]
-    words = _WORDS_BY_OUTCOME.get(outcome, f"It ended as {outcome}.")
-    unknown = last.fields.get("run") == "unknown"
-    ran = "It may have run." if unknown else "It was not run."
+    description = _DESCRIPTIONS_BY_OUTCOME.get(
+        outcome, f"It ended as {outcome}."
+    )
+    may_have_executed = end_line.fields.get("run") == "unknown"
+    execution = "It may have run." if may_have_executed else "It was not run."
     if outcome == "completed":
-        ran = ""
-    told = f" Lost attempts: {'; '.join(reasons)}." if reasons else ""
-    return f"{words} {ran}{told}".replace("  ", " ").strip()
+        execution = ""
+    failures = f" Lost attempts: {'; '.join(reasons)}." if reasons else ""
+    return f"{description} {execution}{failures}".replace("  ", " ").strip()
 
 
-def _read_line(text: str) -> Line | None:
+def _parse_line(text: str) -> LogLine | None:
     pairs = {
         name: json.loads(value) if value.startswith('"') else value
-        for name, value in _PAIR.findall(text)
+        for name, value in _FIELD_PATTERN.findall(text)
     }
     if not {"time", "process", "event"} <= pairs.keys():
         return None
@@ -145,10 +170,10 @@
     process = pairs.pop("process")
     event = pairs.pop("event")
     pairs.pop("level", None)
-    return Line(time, process, event, pairs)
+    return LogLine(time, process, event, pairs)
 
 
-_WORDS_BY_EVENT = {
+_DESCRIPTIONS_BY_EVENT = {
     "placed": "placed on engines",
     "refused": "refused",
     "attempt_lost": "an attempt came to nothing",
@@ -168,7 +193,7 @@
     "requests_cut": "cut what was left at its end",
 }
 
-_WORDS_BY_OUTCOME = {
+_DESCRIPTIONS_BY_OUTCOME = {
     "completed": "It got its whole answer.",
     "caller_gone": "Its caller left, or this process ended.",
     "overloaded": "It was refused: there was no room in time.",
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of `cli.explain`: from a request's id to its cause."""
+"""Tests of `cli.explain`, which traces a request through logs."""
 
 import io
 import pathlib
@@ -17,15 +17,15 @@
     return stream.getvalue()
 
 
-_ENDED = {"request": "vm-1.router.a.7", "caller": "c7", "run": "no"}
+_END_FIELDS = {"request": "vm-1.router.a.7", "caller": "c7", "run": "no"}
 
 
-def _story(text: str, wanted: str) -> list[explain.Line]:
-    return explain.story(explain.read(text.splitlines()), wanted)
+def _trace(text: str, wanted_id: str) -> list[explain.LogLine]:
+    return explain.trace(explain.read(text.splitlines()), wanted_id)
 
 
 class TestRead:
-    """Lines as they are written, with whatever a collector puts before."""
+    """Lines are parsed also with a prefix that a log collector adds."""
 
     def test_quoted_values(self):
         text = _log("router.a", ("x", {"reason": 'said "no", twice', "n": 3}))
@@ -34,8 +34,8 @@
         assert line.fields["n"] == "3"
 
 
-class TestStory:
-    """The request's own lines and the news that its VM had before them."""
+class TestTrace:
+    """A trace holds the request's lines and the context events before them."""
 
     def test_by_either_id(self):
         text = _log(
@@ -43,49 +43,53 @@
             ("home_chosen", {"pool": "p", "vm": "vm-2"}),
             ("placed", {"request": "vm-1.router.a.7", "caller": "c7"}),
             ("placed", {"request": "vm-1.router.a.8", "caller": "c8"}),
-            ("request_ended", {**_ENDED, "outcome": "overloaded"}),
+            ("request_ended", {**_END_FIELDS, "outcome": "overloaded"}),
         )
-        events = [line.event for line in _story(text, "c7")]
+        events = [line.event for line in _trace(text, "c7")]
         assert events == ["home_chosen", "placed", "request_ended"]
-        assert _story(text, "vm-1.router.a.7") == _story(text, "c7")
-        assert _story(text, "c9") == []
+        assert _trace(text, "vm-1.router.a.7") == _trace(text, "c7")
+        assert _trace(text, "c9") == []
 
-    def test_news_of_other_vms_are_left_out(self):
+    def test_context_events_of_other_vms_are_excluded(self):
         text = _log("router.vm-2", ("home_chosen", {"pool": "p"}))
-        text += _log("router.vm-1", ("request_ended", _ENDED))
-        assert [line.process for line in _story(text, "c7")] == ["router.vm-1"]
+        text += _log("router.vm-1", ("request_ended", _END_FIELDS))
+        assert [line.process for line in _trace(text, "c7")] == ["router.vm-1"]
 
 
-class TestCause:
-    """One sentence at the end."""
+class TestDescribeOutcome:
+    """The outcome is described on one line."""
 
-    def test_a_refusal(self):
-        ended = {**_ENDED, "outcome": "overloaded"}
-        story = _story(_log("r", ("request_ended", ended)), "c7")
-        assert explain.cause(story) == (
+    def test_refused_request(self):
+        ended = {**_END_FIELDS, "outcome": "overloaded"}
+        trace = _trace(_log("r", ("request_ended", ended)), "c7")
+        assert explain.describe_outcome(trace) == (
             "It was refused: there was no room in time. It was not run."
         )
 
-    def test_a_lost_answer(self):
+    def test_lost_response(self):
         text = _log(
             "r",
             (
                 "call_lost",
-                {**_ENDED, "endpoint": "desk-1", "reason": "connection lost"},
+                {
+                    **_END_FIELDS,
+                    "endpoint": "desk-1",
+                    "reason": "connection lost",
+                },
             ),
             (
                 "request_ended",
-                {**_ENDED, "outcome": "endpoint_failed", "run": "unknown"},
+                {**_END_FIELDS, "outcome": "endpoint_failed", "run": "unknown"},
             ),
         )
-        assert explain.cause(_story(text, "c7")) == (
+        assert explain.describe_outcome(_trace(text, "c7")) == (
             "Its engines or servers failed. It may have run."
             " Lost attempts: desk-1: connection lost."
         )
 
-    def test_a_process_that_was_killed(self):
+    def test_trace_of_a_killed_process(self):
         text = _log("r", ("placed", {"request": "r.7", "caller": "c7"}))
-        assert "killed" in explain.cause(_story(text, "c7"))
+        assert "killed" in explain.describe_outcome(_trace(text, "c7"))
 
 
 class TestCommand:
@@ -93,7 +97,7 @@
 
     def test_reads_files(self, tmp_path: pathlib.Path):
         file = tmp_path / "vm-1.log"
-        ended = {**_ENDED, "outcome": "leaving"}
+        ended = {**_END_FIELDS, "outcome": "leaving"}
         file.write_text(_log("router.vm-1", ("request_ended", ended)))
         terminal = core.Terminal(io.StringIO(), io.StringIO(), io.StringIO())
         command = commands.ExplainCommand("c7", [file])
