--- a/src/cowsliprill/cli/commands.py
+++ b/src/cowsliprill/cli/commands.py
@@ -113,6 +113,6 @@
 @cappa.command(name="audit")
 @dataclasses.dataclass
 class AuditCommand:
-    """Show the recent audit trail of a VM; takes its settings process's URL."""
+    """Show the recent audit trail of a VM, read from its settings process."""
 
     url: _Url
