--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -14,7 +14,7 @@
 from cowsliprill import peer_auth
 from cowsliprill import peers
 from cowsliprill.cli import commands
-from cowsliprill.cli import core
+from cowsliprill.cli import runner
 from cowsliprill.settings import parts
 from cowsliprill.settings import publish
 
@@ -268,9 +268,9 @@
 @behave.then("the audit command shows who published revision {revision:d}")
 def step_audit_command(context, revision) -> None:
     stdout = io.StringIO()
-    terminal = core.Terminal(io.StringIO(), stdout, sys.stderr)
+    terminal = runner.Terminal(io.StringIO(), stdout, sys.stderr)
     command = commands.AuditCommand(context.cluster.vms[0].url)
-    assert core.run(command, terminal) == errors.ExitCode.OK
+    assert runner.run(command, terminal) == errors.ExitCode.OK
     lines = stdout.getvalue().splitlines()
     wanted = f"audit=settings_in_force vm=vm0 revision={revision} "
     shown = [line for line in lines if wanted in line]
--- a/src/cowsliprill/cli/__main__.py
+++ b/src/cowsliprill/cli/__main__.py
@@ -8,7 +8,7 @@
 import cappa
 
 from cowsliprill.cli import commands
-from cowsliprill.cli import core
+from cowsliprill.cli import runner
 
 _COMMANDS = (
     commands.CheckCommand,
@@ -54,7 +54,7 @@
     Returns:
       The exit code.
     """
-    return core.run(_parse(arguments), core.standard_terminal())
+    return runner.run(_parse(arguments), runner.standard_terminal())
 
 
 if __name__ == "__main__":
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -6,8 +6,8 @@
 
 from cowsliprill.cli import account
 from cowsliprill.cli import commands
-from cowsliprill.cli import core
 from cowsliprill.cli import explain
+from cowsliprill.cli import runner
 from cowsliprill.observability import log as log_lib
 
 _REQUEST_ENDED_FIELDS = {
@@ -48,8 +48,8 @@
 
 
 def _run(command):
-    terminal = core.Terminal(io.StringIO(), io.StringIO(), io.StringIO())
-    code = core.run(command, terminal)
+    terminal = runner.Terminal(io.StringIO(), io.StringIO(), io.StringIO())
+    code = runner.run(command, terminal)
     return code, terminal.stdout.getvalue(), terminal.stderr.getvalue()
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,15 +9,15 @@
 
 from cowsliprill import errors
 from cowsliprill.cli import commands
-from cowsliprill.cli import core
+from cowsliprill.cli import runner
 from cowsliprill.settings import parts
 
 _EXAMPLE = pathlib.Path(__file__).parent.parent / "examples" / "both.json"
 
 
 def _run(command: Any, stdin: str = "") -> tuple[int, str, str]:
-    terminal = core.Terminal(io.StringIO(stdin), io.StringIO(), io.StringIO())
-    code = core.run(command, terminal)
+    terminal = runner.Terminal(io.StringIO(stdin), io.StringIO(), io.StringIO())
+    code = runner.run(command, terminal)
     return code, terminal.stdout.getvalue(), terminal.stderr.getvalue()
 
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -4,8 +4,8 @@
 import pathlib
 
 from cowsliprill.cli import commands
-from cowsliprill.cli import core
 from cowsliprill.cli import explain
+from cowsliprill.cli import runner
 from cowsliprill.observability import log as log_lib
 
 
@@ -99,15 +99,15 @@
         file = tmp_path / "vm-1.log"
         ended = {**_END_FIELDS, "outcome": "leaving"}
         file.write_text(_log("router.vm-1", ("request_ended", ended)))
-        terminal = core.Terminal(io.StringIO(), io.StringIO(), io.StringIO())
+        terminal = runner.Terminal(io.StringIO(), io.StringIO(), io.StringIO())
         command = commands.ExplainCommand("c7", [file])
-        assert core.run(command, terminal) == 0
+        assert runner.run(command, terminal) == 0
         assert "about to end" in terminal.stdout.getvalue()
 
     def test_unknown_request(self, tmp_path: pathlib.Path):
         file = tmp_path / "vm-1.log"
         file.write_text("")
-        terminal = core.Terminal(io.StringIO(), io.StringIO(), io.StringIO())
+        terminal = runner.Terminal(io.StringIO(), io.StringIO(), io.StringIO())
         command = commands.ExplainCommand("c7", [file])
-        assert core.run(command, terminal) == 1
+        assert runner.run(command, terminal) == 1
         assert "unknown_request" in terminal.stderr.getvalue()
