--- a/src/cowsliprill/engines/__init__.py
+++ b/src/cowsliprill/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters for engines and plain services."""
+"""HTTP clients for inference engines and plain services."""
--- a/src/cowsliprill/engines/engine_caller.py
+++ b/src/cowsliprill/engines/engine_caller.py
@@ -1,4 +1,4 @@
-"""Calls to engines, with the checks that all of them share."""
+"""HTTP calls to engines, with the response checks common to all of them."""
 
 import json
 from typing import Any
@@ -12,42 +12,42 @@
 from cowsliprill.engines import protocol
 from cowsliprill.engines import token_stream
 
-ORDER_TIMEOUT_S = 2.0
+CONTROL_TIMEOUT_S = 2.0
 
-_MAX_ANSWER_BYTES = 4_194_304
+_MAX_RESPONSE_BYTES = 4_194_304
 _OK = 200
 _JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class EngineCaller:
-    """Sends JSON to engines, and checks whose answer comes back.
+    """Sends JSON requests to engines and checks the id in the responses.
 
     Args:
-      http: The HTTP client.
-      stall_s: Time without a byte after which a token stream is broken.
+      http: HTTP client for all calls.
+      stall_s: Maximum time in seconds between bytes of a token stream.
     """
 
     def __init__(self, http: http_client.HttpClient, stall_s: float) -> None:
         self._http = http
         self._stall_s = stall_s
 
-    async def stream(
+    async def open_stream(
         self,
         endpoint: model.Endpoint,
         request: tuple[str, dict[str, Any]],
         stream: token_stream.TokenStream,
         timeout_s: float,
     ) -> None:
-        """Opens a connection by which a stream's next events come.
+        """Starts a streaming request and attaches the response to a stream.
 
         Args:
           endpoint: The engine.
-          request: Path and JSON fields.
-          stream: Where to attach the connection.
-          timeout_s: Time for the whole call.
+          request: Path and JSON fields of the request.
+          stream: Token stream that reads the response.
+          timeout_s: Timeout of the whole call in seconds.
 
         Raises:
-          errors.CallError: The engine refused, or gave no usable answer.
+          errors.CallError: The engine refused or returned no usable response.
         """
         path, fields = request
         response = await self._http.call(
@@ -61,52 +61,57 @@
             stall_s=self._stall_s,
         )
         if response.status != _OK:
-            await _raise_refusal(response, stream.request_id)
-        _check_id(response, stream.request_id)
+            await _raise_error_response(response, stream.request_id)
+        _check_request_id(response, stream.request_id)
         stream.attach(response)
 
-    async def json(
+    async def fetch_json(
         self,
         endpoint: model.Endpoint,
         request: tuple[str, str, dict[str, Any] | None],
         *,
         request_id: str = "",
-        timeout_s: float = ORDER_TIMEOUT_S,
+        timeout_s: float = CONTROL_TIMEOUT_S,
     ) -> dict[str, Any]:
-        """Calls an engine that answers with a JSON object.
+        """Calls an engine and returns the JSON object of the response.
 
         Args:
           endpoint: The engine.
           request: Method, path and JSON fields, None for no body.
-          request_id: Id that the answer must echo, empty for none.
-          timeout_s: Time for the whole call.
+          request_id: Id that the response must echo, empty for no check.
+          timeout_s: Timeout of the whole call in seconds.
 
         Returns:
-          The JSON object.
+          The parsed JSON object.
 
         Raises:
-          errors.CallError: The engine refused, or gave no usable answer.
+          errors.CallError: The engine refused or returned no usable response.
         """
-        text = await self.whole(
+        body = await self.fetch_body(
             endpoint, request, request_id=request_id, timeout_s=timeout_s
         )
-        answer = _parse_json(text)
-        if not isinstance(answer, dict):
-            raise errors.EngineFailed("answer isn't a JSON object")
-        return answer
+        payload = _parse_json(body)
+        if not isinstance(payload, dict):
+            raise errors.EngineFailed("response body is not a JSON object")
+        return payload
 
-    async def whole(
+    async def fetch_body(
         self,
         endpoint: model.Endpoint,
         request: tuple[str, str, dict[str, Any] | None],
         *,
         request_id: str = "",
-        timeout_s: float = ORDER_TIMEOUT_S,
+        timeout_s: float = CONTROL_TIMEOUT_S,
     ) -> bytes:
-        """Calls an engine; arguments and errors as for `json`.
+        """Calls an engine and returns the body of the response.
+
+        Takes the same arguments as `fetch_json`.
 
         Returns:
-          The answer's whole body.
+          The complete body.
+
+        Raises:
+          errors.CallError: The engine refused or returned no usable response.
         """
         method, path, fields = request
         headers = dict(_JSON_HEADERS)
@@ -122,54 +127,58 @@
             timeout_s=timeout_s,
         )
         if response.status != _OK:
-            await _raise_refusal(response, request_id)
+            await _raise_error_response(response, request_id)
         if request_id:
-            _check_id(response, request_id)
-        return await response.read(_MAX_ANSWER_BYTES)
+            _check_request_id(response, request_id)
+        return await response.read(_MAX_RESPONSE_BYTES)
 
 
-def _parse_json(text: bytes) -> Any:
+def _parse_json(body: bytes) -> Any:
     try:
-        return json.loads(text)
+        return json.loads(body)
     except ValueError as error:
-        raise errors.EngineFailed(f"answer isn't JSON: {error}") from error
+        raise errors.EngineFailed(
+            f"response body is not JSON: {error}"
+        ) from error
 
 
-def _check_id(response: exchange_lib.Response, request_id: str) -> None:
-    answer_id = response.headers.get(protocol.REQUEST_ID_HEADER)
-    if answer_id != request_id:
+def _check_request_id(response: exchange_lib.Response, request_id: str) -> None:
+    response_id = response.headers.get(protocol.REQUEST_ID_HEADER)
+    if response_id != request_id:
         response.close()
-        raise errors.ForeignAnswer(f"answer carries the id {answer_id!r}")
+        raise errors.ForeignAnswer(
+            f"response carries the request id {response_id!r}"
+        )
 
 
-async def _raise_refusal(
+async def _raise_error_response(
     response: exchange_lib.Response, request_id: str
 ) -> None:
-    text = await response.read(_MAX_ANSWER_BYTES)
-    error = protocol.error_of(text)
-    # A call about no request (a load report, an order) has no id to echo.
-    answer_id = response.headers.get(protocol.REQUEST_ID_HEADER, "")
+    body = await response.read(_MAX_RESPONSE_BYTES)
+    error = protocol.parse_error(body)
+    # Load reports and orders have no request id, so there is none to echo.
+    response_id = response.headers.get(protocol.REQUEST_ID_HEADER, "")
     if error.code == protocol.CODE_STALE_FENCING:
         raise errors.StaleFencing(
             error.message, code=error.code, highest=error.highest
         )
-    if call_lib.is_refusal(response.status, error.run, answer_id, request_id):
+    if call_lib.is_refusal(response.status, error.run, response_id, request_id):
         raise errors.EngineRefused(error.message, code=error.code)
     raise errors.EngineFailed(f"status {response.status}: {error.message}")
 
 
-def checked(kind: Any, value: Any) -> Any:
-    """Checks a part of an engine's answer.
+def parse_as(kind: Any, value: Any) -> Any:
+    """Converts a JSON value from an engine response to a type.
 
     Args:
-      kind: The type it should have.
-      value: Parsed JSON.
+      kind: Type to convert to.
+      value: Parsed JSON value.
 
     Returns:
-      The value as that type.
+      The value as an instance of `kind`.
 
     Raises:
-      errors.EngineFailed: It has another form.
+      errors.EngineFailed: The value doesn't fit the type.
     """
     try:
         return codec.decode(kind, json.dumps(value))
--- a/src/cowsliprill/engines/engine_client.py
+++ b/src/cowsliprill/engines/engine_client.py
@@ -1,4 +1,4 @@
-"""Adapter for engines: the calls of `protocol` as typed methods."""
+"""Client for inference engines, with a typed method per protocol call."""
 
 from typing import Any
 
@@ -13,11 +13,11 @@
 
 
 class EngineClient:
-    """Calls engines.
+    """Sends requests and orders to engines.
 
     Args:
-      http: The HTTP client.
-      stall_s: Time without a byte after which a token stream is broken.
+      http: HTTP client for all calls.
+      stall_s: Maximum time in seconds between bytes of a token stream.
     """
 
     def __init__(
@@ -34,35 +34,37 @@
         path: str = protocol.COMPLETIONS_PATH,
         timeout_s: float = 60.0,
     ) -> engine_model.PrefillResult:
-        """Runs a prefill and leaves its KV cache to be fetched.
+        """Runs a prefill; the engine keeps its KV cache for a decode engine.
 
         Args:
           endpoint: The prefill engine.
-          request_id: Text of the attempt id.
-          body: The caller's body.
-          path: Whether it is a completion or a chat completion.
-          timeout_s: Time for the whole call.
+          request_id: Attempt id as text.
+          body: JSON fields of the caller's request.
+          path: Path for a completion or a chat completion.
+          timeout_s: Timeout of the whole call in seconds.
 
         Returns:
-          Where the KV cache waits.
+          Address of the KV cache and the number of prompt tokens.
 
         Raises:
-          errors.EngineRefused: The engine says that it didn't run it.
-          errors.CallError: The engine gave no usable answer.
+          errors.EngineRefused: The engine did not execute the request.
+          errors.CallError: The engine returned no usable response.
         """
-        answer = await self._caller.json(
+        payload = await self._caller.fetch_json(
             endpoint,
             ("POST", path, protocol.prefill_body(body)),
             request_id=request_id,
             timeout_s=timeout_s,
         )
-        if answer.get("id") != request_id:
-            raise errors.ForeignAnswer("prefill answers another request")
-        return engine_caller.checked(
+        if payload.get("id") != request_id:
+            raise errors.ForeignAnswer(
+                "prefill response carries the id of another request"
+            )
+        return engine_caller.parse_as(
             engine_model.PrefillResult,
             {
-                "params": answer.get("kv_transfer_params"),
-                "prompt_tokens": answer.get("usage", {}).get("prompt_tokens"),
+                "params": payload.get("kv_transfer_params"),
+                "prompt_tokens": payload.get("usage", {}).get("prompt_tokens"),
             },
         )
 
@@ -76,25 +78,25 @@
         path: str = protocol.COMPLETIONS_PATH,
         timeout_s: float = 120.0,
     ) -> token_stream.TokenStream:
-        """Has a decode engine fetch the KV cache and stream the tokens.
+        """Starts a decode: the engine fetches the KV cache and streams tokens.
 
         Args:
           endpoint: The decode engine.
-          request_id: Text of the attempt id.
-          body: The caller's body.
-          prefill: What `prefill` returned.
-          path: Whether it is a completion or a chat completion.
-          timeout_s: Time for the whole stream.
+          request_id: Attempt id as text.
+          body: JSON fields of the caller's request.
+          prefill: Result of `prefill`.
+          path: Path for a completion or a chat completion.
+          timeout_s: Timeout of the whole stream in seconds.
 
         Returns:
-          The stream; the engine has the KV cache by now.
+          The token stream. The engine has already fetched the KV cache.
 
         Raises:
-          errors.EngineRefused: The engine says that it didn't run it.
-          errors.CallError: The engine gave no usable answer.
+          errors.EngineRefused: The engine did not execute the request.
+          errors.CallError: The engine returned no usable response.
         """
         stream = token_stream.TokenStream(request_id)
-        await self._caller.stream(
+        await self._caller.open_stream(
             endpoint,
             (path, protocol.decode_body(body, prefill.params)),
             stream,
@@ -109,28 +111,28 @@
         *,
         timeout_s: float = 120.0,
     ) -> token_stream.TokenStream:
-        """Goes on with a broken stream after its last delivered token.
+        """Continues an interrupted stream after its last delivered token.
 
         Args:
-          endpoint: The decode engine that holds the request.
-          stream: The broken stream.
-          timeout_s: Time for the rest of the stream.
+          endpoint: The decode engine that runs the request.
+          stream: The interrupted stream.
+          timeout_s: Timeout of the rest of the stream in seconds.
 
         Returns:
-          The same stream; iterate it again for the rest.
+          The same stream; iterate again for the remaining events.
 
         Raises:
-          errors.EngineRefused: The engine no longer holds the request.
-          errors.CallError: The engine gave no usable answer.
+          errors.EngineRefused: The engine no longer has the request.
+          errors.CallError: The engine returned no usable response.
         """
         fields = {
             "request_id": stream.request_id,
-            "after_token": stream.checker.last_token,
+            "after_token": stream.validator.last_token,
         }
-        await self._caller.stream(
+        await self._caller.open_stream(
             endpoint, (protocol.RESUME_PATH, fields), stream, timeout_s
         )
-        stream.checker.resume()
+        stream.validator.resume()
         return stream
 
     async def cancel(
@@ -138,77 +140,77 @@
         endpoint: model.Endpoint,
         request_id: str,
         *,
-        timeout_s: float = engine_caller.ORDER_TIMEOUT_S,
+        timeout_s: float = engine_caller.CONTROL_TIMEOUT_S,
     ) -> bool:
-        """Has an engine drop whatever it holds for an attempt.
+        """Cancels an attempt, so that the engine frees the memory held for it.
 
         Args:
           endpoint: The engine.
-          request_id: Text of the attempt id.
-          timeout_s: Time for the whole call.
+          request_id: Attempt id as text.
+          timeout_s: Timeout of the whole call in seconds.
 
         Returns:
-          Whether the engine said that it holds nothing now. Otherwise the
-          cancel must be sent again.
+          Whether the engine confirmed that it holds no memory for the
+          attempt. Otherwise the cancellation must be sent again.
         """
         try:
-            answer = await self._caller.json(
+            payload = await self._caller.fetch_json(
                 endpoint,
                 ("POST", protocol.CANCEL_PATH, {"request_id": request_id}),
                 timeout_s=timeout_s,
             )
         except errors.CallError:
             return False
-        own = answer.get("request_id") == request_id
-        return own and answer.get("held") is False
+        id_matches = payload.get("request_id") == request_id
+        return id_matches and payload.get("held") is False
 
     async def running(
         self, endpoint: model.Endpoint
     ) -> list[engine_model.RunningRequest]:
-        """Lists the requests that an engine holds memory for.
+        """Lists the requests for which an engine holds memory.
 
         Raises:
-          errors.CallError: The engine gave no usable answer.
+          errors.CallError: The engine returned no usable response.
         """
-        answer = await self._caller.json(
+        payload = await self._caller.fetch_json(
             endpoint, ("GET", protocol.RUNNING_PATH, None)
         )
-        return engine_caller.checked(
-            list[engine_model.RunningRequest], answer.get("requests")
+        return engine_caller.parse_as(
+            list[engine_model.RunningRequest], payload.get("requests")
         )
 
     async def load(self, endpoint: model.Endpoint) -> engine_model.LoadReport:
-        """Reads an engine's load report.
+        """Fetches the load report of an engine.
 
         Raises:
-          errors.CallError: The engine gave no usable answer.
+          errors.CallError: The engine returned no usable response.
         """
-        text = await self._caller.whole(
+        body = await self._caller.fetch_body(
             endpoint, ("GET", protocol.METRICS_PATH, None)
         )
-        return load_report.parse(text)
+        return load_report.parse(body)
 
     async def cache_events(
         self, endpoint: model.Endpoint, after: int
     ) -> engine_model.CacheEvents:
-        """Reads the changes of an engine's prefix cache.
+        """Fetches the changes to the prefix cache of an engine.
 
         Args:
           endpoint: The engine.
-          after: `last_seq` of the events before, 0 at first.
+          after: `last_seq` of the previous result, 0 on the first call.
 
         Returns:
-          The events that the engine still has, with any gap flagged.
+          The events that the engine still keeps, with a flag for gaps.
 
         Raises:
-          errors.CallError: The engine gave no usable answer.
+          errors.CallError: The engine returned no usable response.
         """
         path = f"{protocol.CACHE_EVENTS_PATH}?after={after}"
-        answer = await self._caller.json(endpoint, ("GET", path, None))
-        events = engine_caller.checked(
-            tuple[engine_model.CacheEvent, ...], answer.get("events")
+        payload = await self._caller.fetch_json(endpoint, ("GET", path, None))
+        events = engine_caller.parse_as(
+            tuple[engine_model.CacheEvent, ...], payload.get("events")
         )
-        return _ordered(events, after)
+        return _build_cache_events(events, after)
 
     async def order(
         self,
@@ -216,46 +218,46 @@
         fencing: int,
         target: model.EngineTarget,
     ) -> None:
-        """Orders what an engine should be.
+        """Orders an engine to take a role and a model.
 
         Args:
           endpoint: The engine.
-          fencing: The order's fencing number.
-          target: What it should be.
+          fencing: Fencing token of the order.
+          target: Role and model that the engine should have.
 
         Raises:
-          errors.StaleFencing: The engine has seen a higher number.
-          errors.CallError: The engine gave no usable answer.
+          errors.StaleFencing: The engine has seen a higher fencing token.
+          errors.CallError: The engine returned no usable response.
         """
         fields = protocol.order_body(fencing, target)
-        await self._caller.json(
+        await self._caller.fetch_json(
             endpoint, ("POST", protocol.ORDERS_PATH, fields)
         )
 
     async def read_order(
         self, endpoint: model.Endpoint
     ) -> engine_model.EngineOrder:
-        """Reads back what is in force at an engine.
+        """Fetches the order that is in force at an engine.
 
         Raises:
-          errors.CallError: The engine gave no usable answer.
+          errors.CallError: The engine returned no usable response.
         """
-        answer = await self._caller.json(
+        payload = await self._caller.fetch_json(
             endpoint, ("GET", protocol.ORDERS_PATH, None)
         )
-        fencing = answer.pop(protocol.FENCING_FIELD, None)
-        return engine_caller.checked(
-            engine_model.EngineOrder, {"fencing": fencing, "target": answer}
+        fencing = payload.pop(protocol.FENCING_FIELD, None)
+        return engine_caller.parse_as(
+            engine_model.EngineOrder, {"fencing": fencing, "target": payload}
         )
 
 
-def _ordered(
+def _build_cache_events(
     events: tuple[engine_model.CacheEvent, ...], after: int
 ) -> engine_model.CacheEvents:
-    known = {event.seq: event for event in events if event.seq > after}
-    last_seq = max(known, default=after)
+    events_by_seq = {event.seq: event for event in events if event.seq > after}
+    last_seq = max(events_by_seq, default=after)
     return engine_model.CacheEvents(
-        events=tuple(known[seq] for seq in sorted(known)),
+        events=tuple(events_by_seq[seq] for seq in sorted(events_by_seq)),
         last_seq=last_seq,
-        gap=len(known) != last_seq - after,
+        gap=len(events_by_seq) != last_seq - after,
     )
--- a/src/cowsliprill/engines/errors.py
+++ b/src/cowsliprill/engines/errors.py
@@ -1,6 +1,6 @@
 """Errors of calls to engines and plain services.
 
-Each says what is known of whether the call was run.
+Each error records whether the endpoint executed the request, as far as known.
 """
 
 from cowsliprill import errors
@@ -9,10 +9,10 @@
 
 
 class CallError(errors.CowsliprillError):
-    """Base: a call to an endpoint gave no usable answer.
+    """Base class: a call to an endpoint returned no usable response.
 
     Attributes:
-      run: What is known of whether it was run.
+      run: Whether the request was executed, as far as known.
     """
 
     code = "endpoint_failed"
@@ -29,7 +29,7 @@
 
 
 class ConnectFailed(CallError):  # noqa: N818
-    """No connection came about, so nothing was written."""
+    """The connection could not be established, so nothing was sent."""
 
     code = "connect_failed"
 
@@ -38,40 +38,40 @@
 
 
 class ConnectionsSpent(ConnectFailed):
-    """This VM has as many connections there as it may."""
+    """This VM has reached its connection limit for the endpoint."""
 
     code = "connections_spent"
 
 
 class CallTimeout(CallError):  # noqa: N818
-    """The answer was not whole in time, or stood still for too long."""
+    """The response exceeded the call timeout or the stall timeout."""
 
     code = "endpoint_timeout"
 
 
 class AnswerTooLarge(CallError):  # noqa: N818
-    """The answer is larger than what may be held in memory."""
+    """The response body exceeds the size limit for buffering in memory."""
 
     code = "answer_too_large"
 
 
 class ForeignAnswer(CallError):  # noqa: N818
-    """The answer carries another request's id."""
+    """The response does not carry the id of the request."""
 
     code = "foreign_answer"
 
 
 class EngineFailed(CallError):  # noqa: N818
-    """An engine gave no usable answer."""
+    """An engine returned no usable response."""
 
     code = "engine_failed"
 
 
 class EngineRefused(CallError):  # noqa: N818
-    """An engine says that it did not run the request.
+    """An engine reported that it did not execute the request.
 
     Attributes:
-      code: The engine's own code, for example `protocol.CODE_FULL`.
+      code: Error code sent by the engine, such as `protocol.CODE_FULL`.
     """
 
     def __init__(self, message: str, *, code: str) -> None:
@@ -79,10 +79,10 @@
 
 
 class StaleFencing(EngineRefused):
-    """An engine has seen a higher fencing number.
+    """The engine rejected an order because it has seen a higher fencing token.
 
     Attributes:
-      highest: The highest number that it has seen.
+      highest: Highest fencing token that the engine has seen.
     """
 
     def __init__(self, message: str, *, code: str, highest: int) -> None:
@@ -91,24 +91,24 @@
 
 
 class ServiceFailed(CallError):  # noqa: N818
-    """A plain service gave no usable answer."""
+    """A plain service returned no usable response."""
 
     code = "service_failed"
 
 
 class ServiceRefused(CallError):  # noqa: N818
-    """A plain service says that it did not run the request."""
+    """A plain service reported that it did not execute the request."""
 
     def __init__(self, message: str, *, code: str) -> None:
         super().__init__(message, run=messages.Run.NO, code=code)
 
 
 class StreamBroken(CallError):  # noqa: N818
-    """A token stream ended before it was whole.
+    """A token stream ended before it was complete, or was invalid.
 
     Attributes:
-      reason: What was wrong.
-      last_token: Number of the last token that was delivered.
+      reason: Why the stream is not complete.
+      last_token: Number of the last token delivered.
     """
 
     code = "stream_broken"
@@ -122,5 +122,5 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether the rest may be asked for with `EngineClient.resume`."""
+        """Whether `EngineClient.resume` can continue the stream."""
         return self.reason.resumable
--- a/src/cowsliprill/engines/event_stream.py
+++ b/src/cowsliprill/engines/event_stream.py
@@ -1,7 +1,7 @@
-"""The events of an answer that is passed on unread.
+"""Relay of server-sent events without parsing their data.
 
-Only whole events are handed on, each once and in the order of their ids: an
-engine may stop in the middle of one, or send one again.
+Only complete events are passed on, each once and in the order of their ids,
+because an engine may stop in the middle of an event or send one twice.
 """
 
 import re
@@ -18,19 +18,19 @@
 
 
 class EventStream:
-    """One engine's stream of server-sent events.
+    """A stream of server-sent events from one engine.
 
     Args:
-      response: The engine's answer.
-      after_id: Id of the event after which the stream goes on, empty for a
+      response: Response of the engine.
+      after_id: Id of the event after which the stream continues, empty for a
         stream from its start.
-      tokens_per_event: Tokens in one event.
+      tokens_per_event: Number of tokens per event.
 
     Attributes:
-      tokens: Tokens that were delivered so far.
+      tokens: Number of tokens delivered so far.
       last_id: Id of the last event delivered.
-      status: HTTP status of the answer.
-      headers: Headers of the answer.
+      status: HTTP status of the response.
+      headers: HTTP headers of the response.
     """
 
     def __init__(
@@ -43,63 +43,65 @@
         self.last_id = after_id
         self._response = response
         self._tokens_per_event = tokens_per_event
-        self._rest = b""
+        self._pending = b""
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status of the response."""
         return self._response.status
 
     @property
     def headers(self) -> httputil.HTTPHeaders:
-        """Headers of the answer."""
+        """HTTP headers of the response."""
         return self._response.headers
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yields whole events.
+        """Yields complete events, several in one item if received together.
 
         Raises:
-          errors.StreamBroken: The answer isn't whole.
+          errors.StreamBroken: The stream ended early or is out of order.
         """
         try:
             async for chunk in self._response.chunks():
-                events = self._take(chunk)
+                events = self._extract_complete_events(chunk)
                 if events:
                     yield events
         except errors.CallTimeout as error:
-            raise self._broken(stream_lib.Reason.STALLED, error) from error
+            raise self._stream_error(
+                stream_lib.Reason.STALLED, error
+            ) from error
         except errors.StreamBroken:
             raise
         except errors.CallError as error:
-            raise self._broken(stream_lib.Reason.CUT, error) from error
+            raise self._stream_error(stream_lib.Reason.CUT, error) from error
         finally:
             self.close()
-        if self._rest:
-            raise self._broken(stream_lib.Reason.CUT)
+        if self._pending:
+            raise self._stream_error(stream_lib.Reason.CUT)
 
     def close(self) -> None:
-        """Ends the reading; an engine drops what isn't read to its end."""
+        """Stops reading; an engine drops a stream that isn't read fully."""
         self._response.close()
 
-    def _take(self, chunk: bytes) -> bytes:
-        data = self._rest + chunk
+    def _extract_complete_events(self, chunk: bytes) -> bytes:
+        data = self._pending + chunk
         end = data.rfind(_EVENT_END) + len(_EVENT_END)
         if end < len(_EVENT_END):
-            self._rest = data
+            self._pending = data
             return b""
-        events, self._rest = data[:end], data[end:]
-        self._check(events)
+        events, self._pending = data[:end], data[end:]
+        self._check_order(events)
         return events
 
-    def _check(self, events: bytes) -> None:
+    def _check_order(self, events: bytes) -> None:
         for event_id in _ID.findall(events):
             text = event_id.decode("latin1").strip()
             if not _follows(text, self.last_id):
-                raise self._broken(stream_lib.Reason.OUT_OF_ORDER)
+                raise self._stream_error(stream_lib.Reason.OUT_OF_ORDER)
             self.last_id = text
             self.tokens += self._tokens_per_event
 
-    def _broken(
+    def _stream_error(
         self, reason: stream_lib.Reason, error: Exception | None = None
     ) -> errors.StreamBroken:
         return errors.StreamBroken(
--- a/src/cowsliprill/engines/exchange.py
+++ b/src/cowsliprill/engines/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP request and its response on one connection."""
+"""A single HTTP request and response on one connection, with timeouts."""
 
 import asyncio
 import collections
@@ -9,17 +9,17 @@
 
 from cowsliprill.engines import errors
 
-# Beyond this much unread data a response is no longer read from the socket,
-# so that TCP slows the sender down to the pace of a slow reader.
-_BUFFER_BYTES = 65_536
-# How long a released answer may take to end.
-_RELEASE_S = 1.0
+# Reading from the socket pauses while this much data is unread, so that TCP
+# flow control slows the sender down to the pace of the reader.
+_MAX_BUFFERED_BYTES = 65_536
+# Time for the body to end after `release`.
+_RELEASE_TIMEOUT_S = 1.0
 _FIRST_FINAL_STATUS = 200
 _STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
 
 class Response:
-    """An answer whose body is still coming in.
+    """A response whose body is still being received.
 
     Attributes:
       status: HTTP status.
@@ -32,18 +32,19 @@
         self.headers = exchange.headers
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the body as it comes in.
+        """Yields the body as it is received.
 
-        The end of the iteration means that the body is whole by its own
-        framing; an answer without length or chunked coding ends with an error,
-        since its end can't be told from a cut.
+        The iteration ends normally only if the body is complete according to
+        its framing. Unless close-delimited bodies are allowed, a response
+        with neither `Content-Length` nor chunked encoding ends with an error,
+        because its end looks the same as a lost connection.
 
         Yields:
-          Parts of the body, never empty.
+          Non-empty chunks of the body.
 
         Raises:
-          errors.CallError: The connection was lost, the time was up, or
-            `close` was called, before the body was whole.
+          errors.CallError: The connection was lost, a timeout expired, or
+            `close` was called before the body was complete.
         """
         while True:
             chunk = await self._exchange.next_chunk()
@@ -52,195 +53,211 @@
             yield chunk
 
     async def read(self, limit: int) -> bytes:
-        """Reads the whole body.
+        """Reads the complete body.
 
         Args:
-          limit: Bytes at most.
+          limit: Maximum size of the body in bytes.
 
         Returns:
           The body.
 
         Raises:
-          errors.AnswerTooLarge: The body is larger.
+          errors.AnswerTooLarge: The body is larger than `limit`.
           errors.CallError: As for `chunks`.
         """
-        parts = []
+        chunks = []
         size = 0
         try:
             async for chunk in self.chunks():
                 size += len(chunk)
                 if size > limit:
-                    raise errors.AnswerTooLarge(f"over {limit} bytes came")
-                parts.append(chunk)
+                    raise errors.AnswerTooLarge(
+                        f"response body exceeds {limit} bytes"
+                    )
+                chunks.append(chunk)
         finally:
-            # A reader that is cancelled leaves nobody to read the rest; the
-            # connection would stay open until the whole call's time is up.
+            # If the reading task is cancelled, nothing reads the rest. Without
+            # this the connection would stay open until the call times out.
             self.close()
-        return b"".join(parts)
+        return b"".join(chunks)
 
     def buffered(self) -> int:
-        """Counts the bytes that came in and weren't taken yet."""
+        """Returns the number of bytes received but not yet read."""
         return self._exchange.buffered
 
     def release(self) -> None:
-        """Keeps the connection for another call if the body ends soon.
+        """Keeps the connection for reuse if the body ends within a second.
 
-        For a reader that knows by the content that nothing more is to come,
-        while the framing's end is still on its way. Otherwise the connection
-        is dropped.
+        For a reader that knows from the content that the message is complete
+        before the end of the HTTP framing has been received. If the framing
+        doesn't end in time, the connection is closed.
         """
         self._exchange.release()
 
     def close(self) -> None:
-        """Drops the connection at once, unless the body is already whole."""
-        self._exchange.fail(errors.CallError("closed by this side"))
+        """Closes the connection at once, unless the body is complete."""
+        self._exchange.fail(errors.CallError("response closed by the client"))
 
 
 class Exchange(httputil.HTTPMessageDelegate):
     """One request and its response on one connection.
 
-    A task reads the connection and hands over through `_chunks`; the consumer
-    waits on `_arrival`, the reading task on `_room`.
+    A reader task puts body chunks into `_chunks`. The consumer waits on
+    `_data_available`, the reader task on `_space_available`.
 
     Attributes:
-      status: HTTP status, 0 before it has come.
-      headers: HTTP headers.
-      whole: Whether the answer's body has come to its end.
-      buffered: Bytes that came in and weren't taken yet.
-      allow_unframed: Whether the orderly end of the connection may end the
-        body.
+      status: HTTP status, 0 before the headers are received.
+      headers: HTTP headers of the response.
+      complete: Whether the end of the response body was received.
+      buffered: Number of bytes received but not yet read.
+      allow_unframed: Whether a clean close of the connection may end the
+        body (close-delimited body).
     """
 
     def __init__(self, stream: iostream.IOStream, method: str) -> None:
         self.status = 0
         self.headers = httputil.HTTPHeaders()
-        self.whole = False
+        self.complete = False
         self.allow_unframed = False
         self._has_body = method != "HEAD"
         self._loop = asyncio.get_running_loop()
         self._stream = stream
         self._chunks: collections.deque[bytes] = collections.deque()
         self.buffered = 0
-        self._arrival: asyncio.Future[None] | None = None
-        self._room: asyncio.Future[None] | None = None
-        self._head: asyncio.Future[None] = self._loop.create_future()
+        self._data_available: asyncio.Future[None] | None = None
+        self._space_available: asyncio.Future[None] | None = None
+        self._headers_future: asyncio.Future[None] = self._loop.create_future()
         self._error: errors.CallError | None = None
-        self._deadline: asyncio.TimerHandle | None = None
-        self._stall_check: asyncio.TimerHandle | None = None
-        self._activity = 0.0
+        self._timeout_timer: asyncio.TimerHandle | None = None
+        self._stall_timer: asyncio.TimerHandle | None = None
+        self._last_received_at = 0.0
 
-    # Called by tornado's connection.
+    # Callbacks of tornado's `HTTP1Connection`.
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Takes the status and headers; interim answers are passed over."""
-        if start_line.code < _FIRST_FINAL_STATUS or self._head.done():
+        """Stores the status and headers; ignores interim (1xx) responses."""
+        if start_line.code < _FIRST_FINAL_STATUS or self._headers_future.done():
             return
         self.status = start_line.code
         self.headers = headers
-        self._head.set_result(None)
+        self._headers_future.set_result(None)
 
     def data_received(self, chunk: bytes) -> asyncio.Future[None] | None:
-        """Takes a part of the body; returns what to wait for, if full."""
+        """Buffers a chunk. Returns a future to await if the buffer is full."""
         if self._error is not None:
             return None
         self._chunks.append(chunk)
         self.buffered += len(chunk)
-        self._activity = self._loop.time()
-        if self._arrival is not None:
-            _wake(self._arrival)
-            self._arrival = None
-        if self.buffered < _BUFFER_BYTES:
+        self._last_received_at = self._loop.time()
+        if self._data_available is not None:
+            _set_done(self._data_available)
+            self._data_available = None
+        if self.buffered < _MAX_BUFFERED_BYTES:
             return None
-        self._room = self._loop.create_future()
-        return self._room
+        self._space_available = self._loop.create_future()
+        return self._space_available
 
     def finish(self) -> None:
-        """Takes the end of the body, which is whole by its framing."""
-        if not self._is_framed() and not self._ended_well():
-            self.fail(errors.CallError("answer has no framing"))
+        """Marks the body as complete, unless its end is ambiguous."""
+        if not self._is_framed() and not self._closed_cleanly():
+            self.fail(
+                errors.CallError(
+                    "response has neither a length nor chunked encoding"
+                )
+            )
             return
-        self.whole = True
+        self.complete = True
         if self._stream.writing():
-            # An endpoint may refuse before it has read the whole request.
-            # tornado would wait for the rest to be written, which may be never.
+            # An endpoint may refuse a request before reading all of it. tornado
+            # would wait for the rest to be written, possibly forever.
             self._stream.close()
-        self._end()
+        self._stop_waiting()
 
     def on_connection_close(self) -> None:
-        """Takes the loss of the connection amid the answer."""
-        self.fail(errors.CallError("connection lost amid the answer"))
+        """Fails the exchange: the connection closed during the response."""
+        self.fail(errors.CallError("connection lost during the response"))
 
-    # Called by the client.
+    # Methods for the client.
 
-    async def wait_for_head(self) -> None:
-        """Waits for status and headers."""
-        await self._head
+    async def wait_for_headers(self) -> None:
+        """Waits for the status and headers of the response."""
+        await self._headers_future
 
     async def next_chunk(self) -> bytes | None:
-        """Returns the next part of the body, None at its end."""
+        """Returns the next chunk of the body, None at the end.
+
+        Raises:
+          errors.CallError: The exchange failed.
+        """
         while not self._chunks:
             if self._error is not None:
                 raise self._error
-            if self.whole:
+            if self.complete:
                 return None
-            self._arrival = self._loop.create_future()
-            await self._arrival
+            self._data_available = self._loop.create_future()
+            await self._data_available
         chunk = self._chunks.popleft()
         self.buffered -= len(chunk)
-        if self._room is not None and self.buffered < _BUFFER_BYTES:
-            _wake(self._room)
-            self._room = None
+        if (
+            self._space_available is not None
+            and self.buffered < _MAX_BUFFERED_BYTES
+        ):
+            _set_done(self._space_available)
+            self._space_available = None
         return chunk
 
     def fail(self, error: errors.CallError) -> None:
-        """Ends the exchange and closes its connection, unless it is whole."""
-        if self.whole or self._error is not None:
+        """Fails the exchange and closes its connection, unless it has ended."""
+        if self.complete or self._error is not None:
             return
         self._error = error
         self._stream.close()
-        if not self._head.done():
-            self._head.set_exception(error)
-            # The waiter may be gone already; without this the loop would log
-            # an exception that nobody was there to see.
-            self._head.exception()
-        self._end()
+        if not self._headers_future.done():
+            self._headers_future.set_exception(error)
+            # The waiting task may have been cancelled. Retrieving the exception
+            # stops the event loop from logging it as never retrieved.
+            self._headers_future.exception()
+        self._stop_waiting()
 
     def release(self) -> None:
-        """Lets the answer end unread, within a short time."""
-        if not self.whole and self._error is None:
-            self.start_timers(_RELEASE_S, None)
+        """Discards the response if it does not end within a second."""
+        if not self.complete and self._error is None:
+            self.start_timers(_RELEASE_TIMEOUT_S, None)
 
     def start_timers(self, timeout_s: float, stall_s: float | None) -> None:
-        """Bounds the whole exchange, and each wait for more of it.
+        """Starts the timers for the whole exchange and for stalls.
 
         Args:
-          timeout_s: Time for the whole exchange.
-          stall_s: Time without a byte after which it fails, None for any.
+          timeout_s: Timeout of the whole exchange in seconds.
+          stall_s: Maximum time in seconds between received bytes, None for no
+            limit.
         """
         self._cancel_timers()
-        self._activity = self._loop.time()
-        self._deadline = self._loop.call_later(
-            timeout_s, self.fail, errors.CallTimeout("time is up")
+        self._last_received_at = self._loop.time()
+        self._timeout_timer = self._loop.call_later(
+            timeout_s, self.fail, errors.CallTimeout("call timed out")
         )
         if stall_s is not None:
-            self._watch(stall_s)
+            self._check_stall(stall_s)
 
-    def _watch(self, stall_s: float) -> None:
-        # One timer for a whole stream, looking at the time of the last byte:
-        # a timer for each chunk would cost more than relaying it.
-        idle_s = self._loop.time() - self._activity
-        reading = self._room is None
+    def _check_stall(self, stall_s: float) -> None:
+        # One timer per stream that checks the time of the last byte. A timer
+        # per chunk would cost more than relaying the chunk.
+        idle_s = self._loop.time() - self._last_received_at
+        reading = self._space_available is None
         if reading and idle_s >= stall_s:
-            self.fail(errors.CallTimeout(f"nothing came for {stall_s} s"))
+            self.fail(errors.CallTimeout(f"no data received for {stall_s} s"))
             return
-        if self.whole or self._error is not None:
+        if self.complete or self._error is not None:
             return
         wait_s = stall_s - idle_s if reading else stall_s
-        self._stall_check = self._loop.call_later(wait_s, self._watch, stall_s)
+        self._stall_timer = self._loop.call_later(
+            wait_s, self._check_stall, stall_s
+        )
 
     def _is_framed(self) -> bool:
         return (
@@ -250,26 +267,27 @@
             or self.status in _STATUSES_WITHOUT_BODY
         )
 
-    def _ended_well(self) -> bool:
-        """Returns whether an answer without framing may count as whole.
+    def _closed_cleanly(self) -> bool:
+        """Returns whether a close-delimited body counts as complete.
 
-        Its end is the end of the connection. Only an orderly end tells it from
-        a cut, and only where the far end is known to mean that.
+        The end of the connection ends such a body. Only a clean close tells
+        the end from a lost connection, and only if the server is known to
+        close cleanly exactly when the body is complete.
         """
         return self.allow_unframed and self._stream.error is None
 
-    def _end(self) -> None:
+    def _stop_waiting(self) -> None:
         self._cancel_timers()
-        for future in (self._arrival, self._room):
+        for future in (self._data_available, self._space_available):
             if future is not None:
-                _wake(future)
+                _set_done(future)
 
     def _cancel_timers(self) -> None:
-        for timer in (self._deadline, self._stall_check):
+        for timer in (self._timeout_timer, self._stall_timer):
             if timer is not None:
                 timer.cancel()
 
 
-def _wake(future: asyncio.Future[None]) -> None:
+def _set_done(future: asyncio.Future[None]) -> None:
     if not future.done():
         future.set_result(None)
--- a/src/cowsliprill/engines/hop_headers.py
+++ b/src/cowsliprill/engines/hop_headers.py
@@ -1,10 +1,10 @@
-"""Headers that concern one connection and are not passed on."""
+"""Removal of hop-by-hop headers, which are not forwarded."""
 
 from collections.abc import Mapping
 
 from tornado import httputil
 
-# These belong to one connection, not to the message (RFC 9110, 7.6.1).
+# Headers of a single connection, not of the message (RFC 9110, 7.6.1).
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -27,22 +27,23 @@
     headers: httputil.HTTPHeaders | Mapping[str, str],
     without: frozenset[str] = frozenset(),
 ) -> httputil.HTTPHeaders:
-    """Copies the headers that are meant for the far end.
+    """Copies the headers to forward, without hop-by-hop headers.
 
     Args:
-      headers: Headers as received.
-      without: Further names to leave out, in lower case.
+      headers: The received headers.
+      without: Additional header names to remove, in lower case.
 
     Returns:
-      The copy.
+      A copy with the end-to-end headers.
     """
-    whole = httputil.HTTPHeaders(headers)
-    named = {
-        name.strip().lower() for name in whole.get("Connection", "").split(",")
+    all_headers = httputil.HTTPHeaders(headers)
+    connection_options = {
+        name.strip().lower()
+        for name in all_headers.get("Connection", "").split(",")
     }
-    dropped = _HOP_BY_HOP | named | without
-    kept = httputil.HTTPHeaders()
-    for name, value in whole.get_all():
+    dropped = _HOP_BY_HOP | connection_options | without
+    forwarded = httputil.HTTPHeaders()
+    for name, value in all_headers.get_all():
         if name.lower() not in dropped:
-            kept.add(name, value)
-    return kept
+            forwarded.add(name, value)
+    return forwarded
--- a/src/cowsliprill/engines/http_client.py
+++ b/src/cowsliprill/engines/http_client.py
@@ -1,9 +1,10 @@
-"""An HTTP/1.1 client whose calls can be cancelled at any time.
+"""HTTP/1.1 client with connection pooling and cancellable calls.
 
-tornado's `AsyncHTTPClient.fetch` can't be cancelled before its first chunk and
-queues silently beyond `max_clients`. A caller that leaves would go on holding
-an engine's memory. So the connection is owned here: tornado's `TCPClient` and
-`HTTP1Connection` do the protocol, and closing the socket ends a call at once.
+tornado's `AsyncHTTPClient.fetch` can't be cancelled before the first chunk and
+silently queues calls beyond `max_clients`, so a disconnected caller would keep
+holding memory of an engine. This client therefore manages its connections on
+top of tornado's `TCPClient` and `HTTP1Connection`; closing the socket ends a
+call at once.
 """
 
 import asyncio
@@ -26,34 +27,36 @@
 from cowsliprill.engines import errors
 from cowsliprill.engines import exchange as exchange_lib
 
-_READ_BYTES = 16_384
+_READ_CHUNK_BYTES = 16_384
 _MAX_HEADER_BYTES = 16_384
-# tornado allocates half of this for each read, however little comes. Tokens
-# are small, and one chunk may be read beyond what was asked for.
-_MAX_STREAM_BYTES = 2 * _READ_BYTES
+# tornado allocates half of this for each read, even for a small token. Twice
+# the read size leaves room for one chunk beyond the requested bytes.
+_MAX_STREAM_BUFFER_BYTES = 2 * _READ_CHUNK_BYTES
 _MAX_BODY_BYTES = 2**40
 _MAX_IDLE_PER_ENDPOINT = 64
-_IDLE_S = 30.0
-
-# Part of the time for which an endpoint says it keeps an idle connection. A
-# request that goes out as the endpoint closes it is cut, and may have run.
-_STATED_IDLE_PART = 0.8
-_STATED_IDLE = re.compile(r"\btimeout=(\d{1,6})\b")
-# Probes of a connection that rests: the first after a second, then each second;
-# two without an answer end it. A healthy peer's kernel answers at once.
+_IDLE_TIMEOUT_S = 30.0
+
+# Fraction of the `Keep-Alive` timeout for which an idle connection is kept. A
+# request sent while the endpoint closes the connection is lost, but may have
+# been executed.
+_KEEP_ALIVE_TIMEOUT_FRACTION = 0.8
+_KEEP_ALIVE_TIMEOUT = re.compile(r"\btimeout=(\d{1,6})\b")
+# TCP keep-alive: the first probe after one idle second, then one per second;
+# two unanswered probes close the connection. The kernel of a healthy peer
+# answers at once.
 _KEEP_ALIVE_OPTIONS = (
     (socket.TCP_KEEPIDLE, 1),
     (socket.TCP_KEEPINTVL, 1),
     (socket.TCP_KEEPCNT, 2),
     (socket.TCP_USER_TIMEOUT, 3_000),
 )
-_TARGET = re.compile(r"[!-~]+")
-_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
+_REQUEST_TARGET = re.compile(r"[!-~]+")
+_HEADER_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 
 _PARAMETERS = http1connection.HTTP1ConnectionParameters(
     no_keep_alive=False,
-    chunk_size=_READ_BYTES,
+    chunk_size=_READ_CHUNK_BYTES,
     max_header_size=_MAX_HEADER_BYTES,
     max_body_size=_MAX_BODY_BYTES,
 )
@@ -63,31 +66,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Idle:
+class _IdleConnection:
     stream: iostream.IOStream
     expiry: asyncio.TimerHandle
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Connection:
-    """A connection that no call has used yet.
+    """An open connection that no call has used yet.
 
     Attributes:
-      stream: tornado's stream.
+      stream: tornado's stream for the socket.
     """
 
     stream: iostream.IOStream
 
     def close(self) -> None:
-        """Closes it, unless a call has ended it before."""
+        """Closes the connection, if still open."""
         self.stream.close()
 
 
 class _NumericResolver(netutil.Resolver):
-    """Takes IP numbers as they are.
+    """Resolver that accepts only IP addresses.
 
-    tornado's own resolver asks a thread for each connection, and a name that
-    a slow name server must resolve would hold up calls.
+    tornado's default resolver uses a thread per connection, and a slow name
+    server would delay calls.
     """
 
     async def resolve(
@@ -96,24 +99,24 @@
         port: int,
         family: socket.AddressFamily = socket.AF_UNSPEC,
     ) -> list[tuple[int, Any]]:
-        found = socket.getaddrinfo(
+        address_infos = socket.getaddrinfo(
             host,
             port,
             family,
             socket.SOCK_STREAM,
             flags=socket.AI_NUMERICHOST,
         )
-        return [(entry[0], entry[4]) for entry in found]
+        return [(entry[0], entry[4]) for entry in address_infos]
 
 
 class HttpClient:
-    """Calls endpoints over pooled connections.
+    """Sends HTTP requests to endpoints over pooled connections.
 
-    There is no queue: a call starts at once or fails. How many may run is for
-    the slot leases to say.
+    There is no queue: a call starts at once or fails. Slot leases limit the
+    number of concurrent calls.
 
     Attributes:
-      allowances_by_address: Connections at most, where an endpoint bounds them.
+      allowances_by_address: Connection limits of the endpoints that have one.
     """
 
     def __init__(self) -> None:
@@ -121,7 +124,7 @@
         self.allowances_by_address: Mapping[
             _Address, connections.Allowance
         ] = {}
-        self._idle_by_address: dict[_Address, list[_Idle]] = {}
+        self._idle_by_address: dict[_Address, list[_IdleConnection]] = {}
         self._connecting_by_address: collections.Counter[_Address] = (
             collections.Counter()
         )
@@ -147,37 +150,42 @@
         connection: Connection | None = None,
         progress: call_lib.Progress | None = None,
     ) -> exchange_lib.Response:
-        """Sends a request and waits for the answer's status and headers.
+        """Sends a request and waits for the status and headers of the response.
 
         Cancelling the calling task closes the connection.
 
         Args:
-          host: IP number.
+          host: IP address.
           port: TCP port.
           method: HTTP method.
-          path: Path and query.
-          headers: Headers besides `Host` and `Content-Length`.
-          body: The body.
-          connect_timeout_s: Time for the connection.
-          timeout_s: Time for the whole call, the answer's body included.
-          stall_s: Time without a byte after which the call fails.
+          path: Path and query string.
+          headers: Request headers; `Host` is added if absent, and
+            `Content-Length` is always set.
+          body: Request body.
+          connect_timeout_s: Connect timeout in seconds.
+          timeout_s: Timeout of the call in seconds, from sending the request to
+            the end of the response body.
+          stall_s: Maximum time in seconds between received bytes, None for no
+            limit.
           fresh: Whether to open a new connection. An endpoint may close an
-            idle one just as a request goes out on it, which leaves unknown
-            whether that was run.
-          allow_unframed: Whether an answer without a length ends with the
-            connection; otherwise such an answer counts as cut.
-          connection: A connection that `connect` opened, to be used for this
-            call alone.
-          progress: Told how far the call got, for use after a cancel.
+            idle one just as a request is sent on it, which leaves unknown
+            whether the request was executed.
+          allow_unframed: Whether a clean close of the connection ends a
+            response that has neither a length nor chunked encoding; otherwise
+            such a response counts as truncated.
+          connection: Unused connection from `connect` to send the request on.
+          progress: Records how far the call got, to be read after a
+            cancellation.
 
         Returns:
           The response.
 
         Raises:
-          errors.CallError: There was no answer; `run` says what is known.
+          errors.CallError: No response was received; `run` tells whether the
+            request was executed, as far as known.
         """
         progress = progress or call_lib.Progress()
-        all_headers = _headers(headers, (host, port), len(body))
+        all_headers = _build_headers(headers, (host, port), len(body))
         if not _is_well_formed(method, path, all_headers):
             raise errors.CallError(
                 f"malformed request: {method} {path!r}", run=progress.run
@@ -185,20 +193,20 @@
         if connection is not None:
             stream = connection.stream
         else:
-            stream = None if fresh else self._take_idle((host, port))
+            stream = None if fresh else self._pop_idle((host, port))
         if stream is None:
             stream = await self._connect(host, port, connect_timeout_s)
         exchange = exchange_lib.Exchange(stream, method)
         exchange.allow_unframed = allow_unframed
         try:
-            writing = _write(
+            http_connection = _send_request(
                 stream, (method, path, all_headers, body), progress
             )
             exchange.start_timers(timeout_s, stall_s)
-            self._read(writing, exchange, (host, port))
-            await exchange.wait_for_head()
+            self._start_reader(http_connection, exchange, (host, port))
+            await exchange.wait_for_headers()
         except BaseException:
-            exchange.fail(errors.CallError("call given up"))
+            exchange.fail(errors.CallError("call abandoned"))
             stream.close()
             raise
         return exchange_lib.Response(exchange)
@@ -209,24 +217,24 @@
         """Opens a connection for a later call.
 
         Args:
-          host: IP number.
+          host: IP address.
           port: TCP port.
-          timeout_s: Time for it.
+          timeout_s: Connect timeout in seconds.
 
         Returns:
-          The connection; whoever doesn't use it closes it.
+          The connection, which the caller must close if unused.
 
         Raises:
-          errors.ConnectFailed: No connection came about.
+          errors.ConnectFailed: The connection could not be established.
         """
         return Connection(await self._connect(host, port, timeout_s))
 
     def idle_count(self) -> int:
-        """Counts the idle connections that are kept."""
+        """Returns the number of idle connections in the pool."""
         return sum(len(idle) for idle in self._idle_by_address.values())
 
     def close(self) -> None:
-        """Closes the idle connections; calls in progress go on."""
+        """Closes the idle connections; calls in progress continue."""
         for idle in list(self._idle_by_address.values()):
             for entry in list(idle):
                 entry.stream.close()
@@ -236,10 +244,10 @@
         self, host: str, port: int, timeout_s: float
     ) -> iostream.IOStream:
         address = (host, port)
-        self._make_room(address)
+        self._ensure_capacity(address)
         self._connecting_by_address[address] += 1
         try:
-            stream = await self._connected(host, port, timeout_s)
+            stream = await self._open_connection(host, port, timeout_s)
         finally:
             self._connecting_by_address[address] -= 1
             if not self._connecting_by_address[address]:
@@ -250,17 +258,17 @@
             )
         return stream
 
-    def _make_room(self, address: _Address) -> None:
-        """Sees to it that one more connection isn't one too many.
+    def _ensure_capacity(self, address: _Address) -> None:
+        """Closes the oldest idle connection if the limit requires it.
 
         Raises:
-          errors.ConnectionsSpent: All that may be open are in use.
+          errors.ConnectionsSpent: All permitted connections are in use.
         """
         allowance = self.allowances_by_address.get(address)
         if allowance is None:
             return
         idle = self._idle_by_address.get(address, [])
-        match allowance.opening(self._connections(address), len(idle)):
+        match allowance.opening(self._connection_count(address), len(idle)):
             case connections.Opening.CLOSE_IDLE_FIRST:
                 oldest = idle.pop(0)
                 oldest.expiry.cancel()
@@ -272,68 +280,77 @@
                     " are in use"
                 )
 
-    def _connections(self, address: _Address) -> int:
-        """Counts the connections, those being opened included."""
+    def _connection_count(self, address: _Address) -> int:
+        """Counts the open connections and those being opened."""
         streams = self._open_by_address.get(address, ())
         opened = sum(not stream.closed() for stream in streams)
         return opened + self._connecting_by_address[address]
 
-    async def _connected(
+    async def _open_connection(
         self, host: str, port: int, timeout_s: float
     ) -> iostream.IOStream:
-        connecting = asyncio.ensure_future(
+        connect_task = asyncio.ensure_future(
             self._tcp.connect(
                 host,
                 port,
                 timeout=timeout_s,
-                max_buffer_size=_MAX_STREAM_BYTES,
+                max_buffer_size=_MAX_STREAM_BUFFER_BYTES,
             )
         )
         try:
-            # A cancel that meets a connection which has just come about would
-            # lose the stream and leave it open. So connecting goes on by
-            # itself, for `timeout_s` at most, and is then closed.
-            stream = await asyncio.shield(connecting)
+            # A cancellation just as the connection is established would lose
+            # the stream and leave the socket open. So the connect attempt
+            # continues for at most `timeout_s`, and its result is closed.
+            stream = await asyncio.shield(connect_task)
         except asyncio.CancelledError:
-            connecting.add_done_callback(_close_unclaimed)
+            connect_task.add_done_callback(_close_abandoned)
             raise
         except (OSError, iostream.StreamClosedError) as error:
             raise errors.ConnectFailed(f"{host}:{port}: {error}") from error
         stream.set_nodelay(True)
-        _keep_alive(stream.socket)
+        _enable_keep_alive(stream.socket)
         return stream
 
-    def _take_idle(self, address: _Address) -> iostream.IOStream | None:
+    def _pop_idle(self, address: _Address) -> iostream.IOStream | None:
         idle = self._idle_by_address.get(address, [])
         while idle:
             newest = idle.pop()
             newest.expiry.cancel()
             newest.stream.set_close_callback(None)
-            if _is_quiet(newest.stream):
+            if _is_open_without_data(newest.stream):
                 return newest.stream
             newest.stream.close()
         return None
 
-    def _keep_idle(
-        self, stream: iostream.IOStream, address: _Address, idle_s: float
+    def _add_idle(
+        self,
+        stream: iostream.IOStream,
+        address: _Address,
+        idle_timeout_s: float,
     ) -> None:
         idle = self._idle_by_address.setdefault(address, [])
-        if not self._may_idle(address, len(idle)):
+        if not self._can_add_idle(address, len(idle)):
             stream.close()
             return
         loop = asyncio.get_running_loop()
-        idle.append(_Idle(stream, loop.call_later(idle_s, stream.close)))
-        # Listening for the close tells at once when the endpoint hangs up, so
-        # that a dead connection is hardly ever taken for the next call.
-        stream.set_close_callback(lambda: self._drop_idle(stream, address))
+        idle.append(
+            _IdleConnection(
+                stream, loop.call_later(idle_timeout_s, stream.close)
+            )
+        )
+        # The callback removes a connection as soon as the endpoint closes it,
+        # so that the next call hardly ever gets a closed connection.
+        stream.set_close_callback(lambda: self._remove_idle(stream, address))
 
-    def _may_idle(self, address: _Address, idle: int) -> bool:
+    def _can_add_idle(self, address: _Address, idle: int) -> bool:
         allowance = self.allowances_by_address.get(address)
         if allowance is None:
             return idle < _MAX_IDLE_PER_ENDPOINT
-        return allowance.keeps(self._connections(address), idle)
+        return allowance.keeps(self._connection_count(address), idle)
 
-    def _drop_idle(self, stream: iostream.IOStream, address: _Address) -> None:
+    def _remove_idle(
+        self, stream: iostream.IOStream, address: _Address
+    ) -> None:
         idle = self._idle_by_address.get(address, [])
         for entry in idle:
             if entry.stream is stream:
@@ -343,19 +360,19 @@
         if not idle:
             self._idle_by_address.pop(address, None)
 
-    def _read(
+    def _start_reader(
         self,
         connection: http1connection.HTTP1Connection,
         exchange: exchange_lib.Exchange,
         address: _Address,
     ) -> None:
         task = asyncio.create_task(
-            self._read_answer(connection, exchange, address)
+            self._read_response(connection, exchange, address)
         )
         self._readers.add(task)
         task.add_done_callback(self._readers.discard)
 
-    async def _read_answer(
+    async def _read_response(
         self,
         connection: http1connection.HTTP1Connection,
         exchange: exchange_lib.Exchange,
@@ -367,60 +384,60 @@
         except (OSError, iostream.StreamClosedError) as error:
             exchange.fail(errors.CallError(f"connection lost: {error}"))
         except iostream.UnsatisfiableReadError as error:
-            exchange.fail(errors.CallError(f"answer is malformed: {error}"))
-        exchange.fail(errors.CallError("answer is malformed"))
-        if exchange.whole and _may_keep(exchange, stream):
-            self._keep_idle(stream, address, _idle_s(exchange.headers))
+            exchange.fail(errors.CallError(f"malformed response: {error}"))
+        exchange.fail(errors.CallError("malformed response"))
+        if exchange.complete and _is_reusable(exchange, stream):
+            self._add_idle(stream, address, _idle_timeout_s(exchange.headers))
         else:
             stream.close()
 
 
-def _keep_alive(connection: socket.socket) -> None:
-    # A connection may fall silent for good: its peer has lost power, or the
-    # network has forgotten it. Nothing would tell; a call on it would wait for
-    # all of its time. The kernel's own probes end it within some seconds.
+def _enable_keep_alive(connection: socket.socket) -> None:
+    # A peer that loses power, or a network device that drops its connection
+    # state, sends no notice; a call on the connection would wait for its full
+    # timeout. TCP keep-alive probes close it within a few seconds.
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in _KEEP_ALIVE_OPTIONS:
         connection.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
-def _close_unclaimed(connecting: asyncio.Future[iostream.IOStream]) -> None:
-    if not connecting.cancelled() and connecting.exception() is None:
-        connecting.result().close()
+def _close_abandoned(connect_task: asyncio.Future[iostream.IOStream]) -> None:
+    if not connect_task.cancelled() and connect_task.exception() is None:
+        connect_task.result().close()
 
 
-def _headers(
+def _build_headers(
     headers: Mapping[str, str] | httputil.HTTPHeaders,
     address: _Address,
     length: int,
 ) -> httputil.HTTPHeaders:
-    whole = httputil.HTTPHeaders(headers)
-    if "Host" not in whole:
-        whole["Host"] = f"{address[0]}:{address[1]}"
-    whole["Content-Length"] = str(length)
-    # An endpoint that went by the one header of length while we went by the
-    # other would read a part of the body as a second request.
-    whole.pop("Transfer-Encoding", None)
-    return whole
+    all_headers = httputil.HTTPHeaders(headers)
+    if "Host" not in all_headers:
+        all_headers["Host"] = f"{address[0]}:{address[1]}"
+    all_headers["Content-Length"] = str(length)
+    # Prevents request smuggling: an endpoint that uses the other of the two
+    # headers would read a part of the body as a second request.
+    all_headers.pop("Transfer-Encoding", None)
+    return all_headers
 
 
 def _is_well_formed(
     method: str, path: str, headers: httputil.HTTPHeaders
 ) -> bool:
-    # A line end within a part of the head would make a second request of the
-    # rest, for which nobody waits. Checked before anything is written, so that
-    # "not run" can be said.
+    # Prevents request splitting: a line break in the request head would turn
+    # the rest into a second request. The check runs before anything is sent, so
+    # the request is known not to have been executed.
     return (
         _TOKEN.fullmatch(method) is not None
-        and _TARGET.fullmatch(path) is not None
+        and _REQUEST_TARGET.fullmatch(path) is not None
         and all(
-            _TOKEN.fullmatch(name) and _VALUE.fullmatch(value)
+            _TOKEN.fullmatch(name) and _HEADER_VALUE.fullmatch(value)
             for name, value in headers.get_all()
         )
     )
 
 
-def _write(
+def _send_request(
     stream: iostream.IOStream,
     request: tuple[str, str, httputil.HTTPHeaders, bytes],
     progress: call_lib.Progress,
@@ -436,23 +453,28 @@
     return connection
 
 
-def _may_keep(
+def _is_reusable(
     exchange: exchange_lib.Exchange, stream: iostream.IOStream
 ) -> bool:
-    asked_to_close = exchange.headers.get("Connection", "").lower() == "close"
-    return not asked_to_close and _is_quiet(stream)
+    close_requested = exchange.headers.get("Connection", "").lower() == "close"
+    return not close_requested and _is_open_without_data(stream)
 
 
-def _idle_s(headers: httputil.HTTPHeaders) -> float:
-    """Returns how long a connection is worth keeping after an answer."""
-    stated = _STATED_IDLE.search(headers.get("Keep-Alive", ""))
-    if stated is None:
-        return _IDLE_S
-    return min(int(stated[1]) * _STATED_IDLE_PART, _IDLE_S)
+def _idle_timeout_s(headers: httputil.HTTPHeaders) -> float:
+    """Returns how many seconds to keep a connection idle after a response."""
+    keep_alive_timeout = _KEEP_ALIVE_TIMEOUT.search(
+        headers.get("Keep-Alive", "")
+    )
+    if keep_alive_timeout is None:
+        return _IDLE_TIMEOUT_S
+    return min(
+        int(keep_alive_timeout[1]) * _KEEP_ALIVE_TIMEOUT_FRACTION,
+        _IDLE_TIMEOUT_S,
+    )
 
 
-def _is_quiet(stream: iostream.IOStream) -> bool:
-    # Bytes that nobody asked for, such as the late half of a doubled answer,
-    # would be read as the answer of the next call on this connection. tornado
-    # has no public way to see them.
+def _is_open_without_data(stream: iostream.IOStream) -> bool:
+    # Unsolicited bytes, such as those of a duplicate response, would be read as
+    # the response to the next call on this connection. tornado has no public
+    # way to detect them.
     return not stream.closed() and not stream._read_buffer_size
--- a/src/cowsliprill/engines/load_report.py
+++ b/src/cowsliprill/engines/load_report.py
@@ -1,4 +1,4 @@
-"""Reads an engine's load from its Prometheus text."""
+"""Conversion of engine load reports from and to Prometheus text format."""
 
 import re
 
@@ -12,10 +12,10 @@
 
 
 def parse(text: bytes) -> model.LoadReport:
-    """Reads the four gauges that the router uses.
+    """Parses the four gauges that the router uses.
 
     Args:
-      text: Prometheus text format.
+      text: Metrics in Prometheus text format.
 
     Returns:
       The load report.
@@ -35,17 +35,19 @@
             slots=int(float(values_by_name[protocol.METRIC_SLOTS])),
         )
     except (KeyError, ValueError) as error:
-        raise errors.EngineFailed(f"load report lacks {error}") from error
+        raise errors.EngineFailed(
+            f"missing or invalid gauge in load report: {error}"
+        ) from error
 
 
 def render(report: model.LoadReport) -> bytes:
-    """Writes a load report, as an engine does.
+    """Formats a load report as engines do.
 
     Args:
-      report: The load.
+      report: The load report.
 
     Returns:
-      Prometheus text format.
+      Metrics in Prometheus text format.
     """
     values_by_name = {
         protocol.METRIC_RUNNING: report.running,
--- a/src/cowsliprill/engines/model.py
+++ b/src/cowsliprill/engines/model.py
@@ -1,4 +1,4 @@
-"""What engines say, as data classes."""
+"""Data classes for engine responses: prefill results, load, cache events."""
 
 import dataclasses
 import enum
@@ -8,13 +8,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class KvTransferParams:
-    """Where a decode engine finds a prefill's KV cache.
+    """Address from which a decode engine fetches the KV cache of a prefill.
 
     Attributes:
       remote_engine_id: Id of the prefill engine.
-      remote_host: Its IP number.
-      remote_port: Its TCP port.
-      remote_handle: The export's handle there.
+      remote_host: IP address of the prefill engine.
+      remote_port: TCP port of the prefill engine.
+      remote_handle: Handle of the exported KV cache on that engine.
     """
 
     remote_engine_id: str
@@ -25,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PrefillResult:
-    """A finished prefill; its KV cache waits to be fetched.
+    """Result of a finished prefill whose exported KV cache can be fetched.
 
     Attributes:
-      params: Where the KV cache is.
-      prompt_tokens: Tokens of the prompt, as counted by the engine.
+      params: Address of the exported KV cache.
+      prompt_tokens: Number of prompt tokens, as counted by the engine.
     """
 
     params: KvTransferParams
@@ -38,12 +38,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class RunningRequest:
-    """A request that an engine holds memory for.
+    """A request for which an engine holds memory.
 
     Attributes:
-      request_id: Text of the attempt id.
-      stage: The engine's word for its stage.
-      age_s: Seconds since it came.
+      request_id: Attempt id as text.
+      stage: Processing stage, as named by the engine.
+      age_s: Seconds since the engine received the request.
     """
 
     request_id: str
@@ -53,13 +53,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """An engine's load, which lags.
+    """Load reported by an engine; the values may be out of date.
 
     Attributes:
-      running: Requests that hold a slot.
-      waiting: Requests in the engine's own queue.
-      kv_usage: Part of the KV cache's memory in use, from 0 to 1.
-      slots: Slots it has.
+      running: Number of requests that hold a slot.
+      waiting: Number of requests in the engine's own queue.
+      kv_usage: Fraction of the KV cache memory in use, from 0 to 1.
+      slots: Total number of slots of the engine.
     """
 
     running: int
@@ -69,7 +69,7 @@
 
 
 class CacheEventKind(enum.StrEnum):
-    """What became of a block of the prefix cache."""
+    """Kind of change to a block of the prefix cache."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -77,12 +77,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CacheEvent:
-    """One change of an engine's prefix cache.
+    """One change to the prefix cache of an engine.
 
     Attributes:
-      seq: Counts from 1 at the engine's start.
-      kind: What became of the block.
-      block: Hash of the block and all before it.
+      seq: Sequence number, starting at 1 when the engine starts.
+      kind: Whether the block was stored or removed.
+      block: Hash of the block and all preceding blocks.
     """
 
     seq: int
@@ -92,13 +92,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CacheEvents:
-    """Cache events after a number.
+    """Cache events after a given sequence number.
 
     Attributes:
-      events: In order of `seq`.
-      last_seq: What to ask after next time.
-      gap: Whether events are missing before or among these, so that a view
-        built from them may hold blocks which are no longer cached.
+      events: The events, ordered by `seq`.
+      last_seq: Sequence number to pass as `after` in the next request.
+      gap: Whether events are missing before or between these. A view built
+        from them may then contain blocks that are no longer cached.
     """
 
     events: tuple[CacheEvent, ...]
@@ -108,11 +108,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EngineOrder:
-    """What an engine was ordered to be.
+    """The role and model order that is in force at an engine.
 
     Attributes:
-      fencing: The order's fencing number, 0 before the first order.
-      target: What the engine is.
+      fencing: Fencing token of the order, 0 before the first order.
+      target: Role and model that the engine has.
     """
 
     fencing: int
--- a/src/cowsliprill/engines/prefix.py
+++ b/src/cowsliprill/engines/prefix.py
@@ -1,9 +1,10 @@
-"""Prompts as engines count and cache them.
+"""Token estimates and prefix-cache block hashes for prompts.
 
-Engines name a cached block by a hash of its tokens and all before it. The
-router has no tokenizer, so both sides take a fixed number of characters for
-a token. Blocks are salted by customer: rivals share engines, and must not learn
-from the time to first token what another one has sent.
+Engines identify a cached block by a hash of its tokens and all preceding ones.
+The router has no tokenizer, so the router and the engines count a fixed number
+of characters as a token. The hashes are salted by customer: competitors share
+engines, and must not find out from the time to first token which prompts
+another customer has sent.
 """
 
 from typing import Any
@@ -15,19 +16,19 @@
 SALT_FIELD = "cache_salt"
 
 _BLOCK_CHARACTERS = CHARACTERS_PER_TOKEN * BLOCK_TOKENS
-# The answer to `GET /v1/cache_events` is JSON, whose numbers are only safe
-# up to 53 bits in common libraries.
+# `GET /v1/cache_events` returns the hashes as JSON numbers, which common
+# libraries represent exactly only up to 53 bits.
 _HASH_MASK = 2**53 - 1
 
 
 def prompt_text(body: dict[str, Any]) -> str:
-    """Joins the prompt of a completion or a chat completion.
+    """Returns the prompt text of a completion or a chat completion.
 
     Args:
-      body: The caller's body, already checked.
+      body: Validated JSON fields of the caller's request.
 
     Returns:
-      The prompt's text.
+      The prompt text; chat messages are joined by line breaks.
     """
     if "messages" not in body:
         return str(body.get("prompt", ""))
@@ -39,25 +40,25 @@
 
 
 def count_tokens(text: str) -> int:
-    """Estimates the tokens of a prompt; at least one."""
+    """Estimates the number of tokens in a prompt, at least one."""
     return max(1, -(-len(text) // CHARACTERS_PER_TOKEN))
 
 
 def block_hashes(text: str, salt: str) -> tuple[int, ...]:
-    """Hashes the prompt's successive whole blocks, first block first.
+    """Hashes the full blocks of a prompt, in order.
 
     Args:
-      text: The prompt.
-      salt: Id of the customer, so that customers share no blocks.
+      text: The prompt text.
+      salt: Customer id, so that customers share no blocks.
 
     Returns:
-      One hash a block; each depends on all before it.
+      One hash per block, which also depends on all preceding blocks.
     """
     hashes = []
-    last = xxhash.xxh3_64_intdigest(salt.encode())
-    whole = len(text) - len(text) % _BLOCK_CHARACTERS
-    for start in range(0, whole, _BLOCK_CHARACTERS):
+    previous = xxhash.xxh3_64_intdigest(salt.encode())
+    full_blocks_length = len(text) - len(text) % _BLOCK_CHARACTERS
+    for start in range(0, full_blocks_length, _BLOCK_CHARACTERS):
         block = text[start : start + _BLOCK_CHARACTERS].encode()
-        last = xxhash.xxh3_64_intdigest(block, seed=last)
-        hashes.append(last & _HASH_MASK)
+        previous = xxhash.xxh3_64_intdigest(block, seed=previous)
+        hashes.append(previous & _HASH_MASK)
     return tuple(hashes)
--- a/src/cowsliprill/engines/protocol.py
+++ b/src/cowsliprill/engines/protocol.py
@@ -1,50 +1,52 @@
-r"""The wire protocol of engines and plain services, in one exchangeable place.
+r"""HTTP protocol of engines and plain services: paths, headers and fields.
 
-It follows what today's engines speak. Stand-ins and adapters both take their
-paths, headers and field names from here.
+The protocol follows the APIs of current inference engines. The clients and the
+simulated engines both take names from this module, so that the protocol can be
+replaced in one place.
 
 Prefill engine:
-  `POST /v1/completions` with `X-Request-Id`, body as the caller's plus
+  `POST /v1/completions` with `X-Request-Id`; the body is the caller's plus
   `"max_tokens": 1, "kv_transfer_params": {"do_remote_decode": true}`. The
-  answer is JSON with `id` (the request id), `kv_transfer_params`
+  response is JSON with `id` (the request id), `kv_transfer_params`
   (`remote_engine_id`, `remote_host`, `remote_port`, `remote_handle`) and
-  `usage.prompt_tokens`. The KV cache is held until it is fetched, cancelled
-  or evicted.
-  `GET /v1/kv/<handle>` exports it: a chunked body of opaque bytes, with
-  `X-Request-Id` of the attempt; 410 `kv_evicted` once evicted.
+  `usage.prompt_tokens`. The engine keeps the exported KV cache until it is
+  fetched, cancelled or evicted.
+  `GET /v1/kv/<handle>` returns the KV cache as a chunked body of opaque bytes,
+  with `X-Request-Id` of the attempt; 410 `kv_evicted` after eviction.
 
 Decode engine:
   `POST /v1/completions` with `X-Request-Id`, `"stream": true` and the
   `kv_transfer_params` that the prefill returned plus
-  `"do_remote_prefill": true`. It imports the KV cache from the prefill engine
-  and streams server-sent events. Each event is
+  `"do_remote_prefill": true`. The engine imports the KV cache from the prefill
+  engine and streams server-sent events. Each event is
   `id: <request id>/<tokens so far>\ndata: <json>\n\n`; the JSON is an
   OpenAI completion chunk whose `id` is the request id. The last JSON carries
   `finish_reason` and `usage.completion_tokens`; then `data: [DONE]\n\n`.
-  The token numbers rise by one an event; the last event carries the last
-  token. A connection that is cut leaves the request held and running.
-  `POST /v1/resume` `{"request_id", "after_token"}` streams on from there; 404
-  `unknown_request` when it holds no such request.
+  Token numbers increase by one per event; the last event carries the last
+  token. When the connection is lost, the request keeps running and keeps its
+  memory.
+  `POST /v1/resume` `{"request_id", "after_token"}` continues the stream after
+  that token; 404 `unknown_request` if the engine has no such request.
 
 Both:
   `POST /v1/cancel` `{"request_id"}` -> `{"request_id", "held": false}`; also
-  for ids it has never seen, which it then refuses for a minute, so that a
-  cancel which overtakes its request still wins.
+  for unknown ids, which the engine then rejects for one minute. A cancellation
+  that arrives before its request thus still takes effect.
   `GET /v1/running` -> `{"requests": [{"request_id", "stage", "age_s"}]}`.
-  `GET /metrics`: Prometheus text, the load report (lagging).
+  `GET /metrics`: load report in Prometheus text format; may be out of date.
   `GET /v1/cache_events?after=N` -> `{"events": [{"seq", "kind":
-  "stored"|"removed", "block"}]}`; late and with gaps in `seq`.
+  "stored"|"removed", "block"}]}`; events may be late, with gaps in `seq`.
   `POST /v1/orders` `{"fencing", "role", "model", "adapter", "version"}` ->
   200, or 409 `stale_fencing` with `"highest"` in the error.
-  `GET /v1/orders` reads back what is in force.
+  `GET /v1/orders` returns the order in force.
   Refusals: 429 `engine_full`, 503 `engine_draining`, 410 `kv_evicted`, 404,
-  each with JSON `{"error": {"code", "message", "run": "no"}}`. Only an
-  answer with `run: "no"` proves that nothing was run, and only if it echoes
-  `X-Request-Id`, as every answer to a request that has one does.
+  each with JSON `{"error": {"code", "message", "run": "no"}}`. Only a
+  response with `run: "no"` that echoes `X-Request-Id` proves that the request
+  was not executed. Every response to a request with that header echoes it.
 
 Plain service:
-  Any method and path, with `X-Request-Id` and, where the caller gave one,
-  `Idempotency-Key`. It echoes `X-Request-Id`.
+  Any method and path, with `X-Request-Id` and, if the caller sent one,
+  `Idempotency-Key`. The service echoes `X-Request-Id`.
 """
 
 import dataclasses
@@ -85,14 +87,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerError:
-    """The error in an answer's JSON, as far as it has one.
+class ErrorDetails:
+    """Error details parsed from the JSON body of a response.
 
     Attributes:
-      code: Its code, empty if none.
-      message: Its message.
-      run: Its field `run`, None if none.
-      highest: Highest fencing number that the engine has seen, else 0.
+      code: Error code, empty if the body has none.
+      message: Error message.
+      run: Field `run` of the error, None if absent.
+      highest: Highest fencing token that the engine has seen, 0 if absent.
     """
 
     code: str = ""
@@ -101,35 +103,35 @@
     highest: int = 0
 
 
-def error_of(text: bytes) -> AnswerError:
-    """Reads the error out of an answer's body.
+def parse_error(body: bytes) -> ErrorDetails:
+    """Parses the error details from a response body.
 
     Args:
-      text: The whole body, of any content.
+      body: The complete body, of any content.
 
     Returns:
-      The error; without code if the body holds none.
+      The error details, with an empty code if the body contains no error.
     """
     try:
-        error = json.loads(text)["error"]
-        return AnswerError(
+        error = json.loads(body)["error"]
+        return ErrorDetails(
             code=str(error["code"]),
             message=str(error.get("message", "")),
             run=error.get("run"),
             highest=int(error.get("highest", 0)),
         )
     except (ValueError, TypeError, KeyError, AttributeError):
-        return AnswerError(message="answer without an error code")
+        return ErrorDetails(message="response has no error code")
 
 
 def prefill_body(body: dict[str, Any]) -> dict[str, Any]:
-    """Builds a prefill's body.
+    """Builds the JSON fields of a prefill request.
 
     Args:
-      body: The caller's body.
+      body: JSON fields of the caller's request.
 
     Returns:
-      JSON fields.
+      The JSON fields.
     """
     fields = {**body, "max_tokens": 1, "stream": False}
     fields["kv_transfer_params"] = {"do_remote_decode": True}
@@ -139,27 +141,27 @@
 def decode_body(
     body: dict[str, Any], params: engine_model.KvTransferParams
 ) -> dict[str, Any]:
-    """Builds a decode's body.
+    """Builds the JSON fields of a decode request.
 
     Args:
-      body: The caller's body.
-      params: Where the KV cache is.
+      body: JSON fields of the caller's request.
+      params: Address of the exported KV cache.
 
     Returns:
-      JSON fields.
+      The JSON fields.
     """
     transfer = {"do_remote_prefill": True, **dataclasses.asdict(params)}
     return {**body, "stream": True, "kv_transfer_params": transfer}
 
 
 def order_body(fencing: int, target: model.EngineTarget) -> dict[str, Any]:
-    """Builds an order's body.
+    """Builds the JSON fields of an order to an engine.
 
     Args:
-      fencing: The order's fencing number.
-      target: What the engine should be.
+      fencing: Fencing token of the order.
+      target: Role and model that the engine should have.
 
     Returns:
-      JSON fields.
+      The JSON fields.
     """
     return {FENCING_FIELD: fencing, **dataclasses.asdict(target)}
--- a/src/cowsliprill/engines/service_client.py
+++ b/src/cowsliprill/engines/service_client.py
@@ -1,4 +1,4 @@
-"""Adapter for plain services: one HTTP call, passed whole."""
+"""Client for plain services that forwards a call as one HTTP request."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -13,17 +13,17 @@
 from cowsliprill.engines import http_client
 from cowsliprill.engines import protocol
 
-_MAX_ANSWER_BYTES = 16_777_216
+_MAX_RESPONSE_BYTES = 16_777_216
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceAnswer:
-    """A plain service's whole answer.
+    """Complete response of a plain service.
 
     Attributes:
       status: HTTP status.
-      headers: End-to-end headers.
-      body: The body.
+      headers: End-to-end headers of the response.
+      body: Response body.
     """
 
     status: int
@@ -33,16 +33,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceRequest:
-    """A call to a plain service.
+    """A request to a plain service.
 
     Attributes:
-      request_id: Text of the attempt id.
+      request_id: Attempt id as text.
       method: HTTP method.
-      path: Path and query at the service.
-      headers: The caller's headers; hop-by-hop ones aren't passed on, nor is
-        `Authorization`, which holds the caller's key for this router.
-      body: The body.
-      idempotency_key: The caller's key, empty for none.
+      path: Path and query string at the service.
+      headers: The caller's headers. Hop-by-hop headers are not forwarded, nor
+        is `Authorization`, which holds the caller's API key for this router.
+      body: Request body.
+      idempotency_key: The caller's idempotency key, empty for none.
     """
 
     request_id: str
@@ -54,10 +54,10 @@
 
 
 class ServiceClient:
-    """Calls plain services.
+    """Sends requests to plain services.
 
     Args:
-      http: The HTTP client.
+      http: HTTP client for all calls.
     """
 
     def __init__(self, http: http_client.HttpClient) -> None:
@@ -70,25 +70,26 @@
         request: ServiceRequest,
         progress: call_lib.Progress | None = None,
     ) -> ServiceAnswer:
-        """Makes one call, never a second.
+        """Sends a request once, without retries.
 
-        An unrepeatable call goes out on a new connection: an idle one may be
-        closed by the service just as the request goes out, and then nobody
-        could say whether it was run.
+        A non-idempotent request uses a new connection. The service may close
+        an idle connection just as a request is sent on it, which leaves
+        unknown whether the request was executed.
 
         Args:
           endpoint: The server.
-          service: The service as resolved for this request.
-          request: What to send.
-          progress: Told how far the call got, for use after a cancel.
+          service: Settings of the service, as resolved for this request.
+          request: The request to send.
+          progress: Records how far the call got, to be read after a
+            cancellation.
 
         Returns:
-          The whole answer, of any status.
+          The complete response, of any status.
 
         Raises:
-          errors.ServiceRefused: The service says that it didn't run it.
-          errors.CallError: There was no whole answer to this request; `run`
-            says what is known.
+          errors.ServiceRefused: The service did not execute the request.
+          errors.CallError: No complete response to this request was received;
+            `run` tells whether it was executed, as far as known.
         """
         progress = progress or call_lib.Progress()
         response = await self._http.call(
@@ -102,28 +103,30 @@
             fresh=service.idempotency is model.Idempotency.UNREPEATABLE,
             progress=progress,
         )
-        body = await response.read(_MAX_ANSWER_BYTES)
-        answer_id = response.headers.get(protocol.REQUEST_ID_HEADER)
-        error = protocol.error_of(body)
+        body = await response.read(_MAX_RESPONSE_BYTES)
+        response_id = response.headers.get(protocol.REQUEST_ID_HEADER)
+        error = protocol.parse_error(body)
         if call_lib.is_refusal(
-            response.status, error.run, answer_id, request.request_id
+            response.status, error.run, response_id, request.request_id
         ):
             progress.refused()
             raise errors.ServiceRefused(error.message, code=error.code)
-        if service.echoes_request_id and answer_id != request.request_id:
-            raise errors.ForeignAnswer(f"answer carries the id {answer_id!r}")
-        return _answer(response, body)
+        if service.echoes_request_id and response_id != request.request_id:
+            raise errors.ForeignAnswer(
+                f"response carries the request id {response_id!r}"
+            )
+        return _build_response(response, body)
 
 
 def request_headers(request: ServiceRequest) -> httputil.HTTPHeaders:
-    """Builds the headers that go to the service.
+    """Builds the headers to send to the service.
 
     Args:
-      request: The call.
+      request: The request to send.
 
     Returns:
-      The caller's end-to-end headers, less its key for this router, with the
-      attempt's id and the idempotency key.
+      The caller's end-to-end headers without `Authorization`, plus the attempt
+      id and the idempotency key.
     """
     headers = hop_headers.end_to_end(request.headers)
     headers.pop("Authorization", None)
@@ -134,7 +137,9 @@
     return headers
 
 
-def _answer(response: exchange_lib.Response, body: bytes) -> ServiceAnswer:
+def _build_response(
+    response: exchange_lib.Response, body: bytes
+) -> ServiceAnswer:
     return ServiceAnswer(
         status=response.status,
         headers=hop_headers.end_to_end(response.headers),
--- a/src/cowsliprill/engines/token_stream.py
+++ b/src/cowsliprill/engines/token_stream.py
@@ -1,4 +1,4 @@
-"""The checked tokens of one attempt at a model request."""
+"""Validated token stream of one attempt at a model request."""
 
 from collections.abc import AsyncIterator
 
@@ -8,45 +8,45 @@
 
 
 class TokenStream:
-    """The checked tokens of one attempt, as bytes of server-sent events.
+    """Validated server-sent events of one attempt, as bytes.
 
-    Iterate with `async for`; the end of the iteration means that the answer
-    is whole. A `errors.StreamBroken` that is `resumable` may be followed by
-    `EngineClient.resume`, after which the iteration goes on.
+    Iterate with `async for`; the iteration ends normally only if the output is
+    complete. After an `errors.StreamBroken` that is `resumable`, call
+    `EngineClient.resume` and iterate again.
 
     Attributes:
-      request_id: The attempt's id.
-      checker: Where the stream stands.
+      request_id: Attempt id as text.
+      validator: Validates the events and tracks the last delivered token.
     """
 
     def __init__(self, request_id: str) -> None:
         self.request_id = request_id
-        self.checker = stream_lib.Checker(request_id)
+        self.validator = stream_lib.Checker(request_id)
         self._response: exchange_lib.Response | None = None
 
     @property
     def tokens(self) -> int:
-        """Tokens that were delivered so far."""
-        return self.checker.last_token
+        """Number of tokens delivered so far."""
+        return self.validator.last_token
 
     def attach(self, response: exchange_lib.Response) -> None:
-        """Takes the connection that the next events come by.
+        """Sets the response from which the next events are read.
 
         Args:
-          response: The engine's answer.
+          response: Response of the engine.
         """
         self._response = response
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yields checked events.
+        """Yields validated events.
 
         Raises:
-          errors.StreamBroken: The answer isn't whole.
+          errors.StreamBroken: The stream is truncated, stalled or invalid.
         """
         reason = stream_lib.Reason.CUT
         try:
             async for chunk in self._response.chunks():
-                result = self.checker.feed(chunk)
+                result = self.validator.feed(chunk)
                 if result.data:
                     yield result.data
                 if not isinstance(result, stream_lib.Events):
@@ -56,8 +56,8 @@
         except errors.CallError:
             pass
         finally:
-            self._let_go()
-        result = self.checker.end(reason)
+            self._release_connection()
+        result = self.validator.end(reason)
         if isinstance(result, stream_lib.Broken):
             raise errors.StreamBroken(
                 f"stream is {result.reason} after token {result.last_token}",
@@ -65,18 +65,18 @@
                 last_token=result.last_token,
             )
 
-    def _let_go(self) -> None:
+    def _release_connection(self) -> None:
         if self._response is None:
             return
-        if self.checker.complete:
+        if self.validator.complete:
             self._response.release()
         else:
             self._response.close()
 
     def close(self) -> None:
-        """Ends the reading, at any time.
+        """Stops reading; may be called at any time.
 
-        The connection of an answer that isn't whole is dropped; the engine
-        holds its memory until a cancel.
+        Closes the connection if the stream is incomplete. The engine keeps the
+        memory of the request until a cancellation.
         """
-        self._let_go()
+        self._release_connection()
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -62,7 +62,7 @@
         stream = await fleet.start_decode()
         delivered = await _read(stream)
         assert delivered == _true_events(fleet) + protocol.END_MARKER
-        assert stream.checker.last_token == 5
+        assert stream.validator.last_token == 5
         assert fleet.held() == (0, 0)
 
     @_with_fleet
