--- a/tests/raw_endpoint.py
+++ b/tests/raw_endpoint.py
@@ -1,24 +1,24 @@
-"""An endpoint on a raw socket, which does exactly what a test scripts."""
+"""Raw-socket HTTP endpoint for tests, controlled by a script."""
 
 import asyncio
 from collections.abc import Awaitable
 from collections.abc import Callable
 from typing import Self
 
-# Only a client that never hangs up takes so long.
-_PATIENCE_S = 10
+# Long enough that only a client that never disconnects reaches the timeout.
+_DISCONNECT_TIMEOUT_S = 10
 
 
 class RawEndpoint:
-    """Serves each connection by a script and keeps a journal of what ran.
+    """Runs a script per connection and records the executed requests.
 
     Args:
-      script: Plays one connection.
+      script: Coroutine function that serves one connection.
 
     Attributes:
-      port: Port it listens on.
-      connections: Connections taken so far.
-      ran: Whole requests that the script ran.
+      port: Listening port.
+      connections: Number of connections accepted so far.
+      ran: Complete requests that the script executed.
     """
 
     def __init__(
@@ -27,12 +27,12 @@
         self.port = 0
         self.connections = 0
         self.ran: list[bytes] = []
-        self._hung_up = asyncio.Event()
+        self._disconnected = asyncio.Event()
         self._script = script
         self._server: asyncio.Server | None = None
 
     async def __aenter__(self) -> Self:
-        """Starts to listen."""
+        """Starts listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -42,13 +42,17 @@
         self._server.close()
 
     async def wait_for_hang_up(self) -> None:
-        """Waits until a client has closed its connection."""
-        async with asyncio.timeout(_PATIENCE_S):
-            await self._hung_up.wait()
+        """Waits until a client has closed its connection.
 
-    def note_hang_up(self) -> None:
-        """Notes that a client has closed its connection."""
-        self._hung_up.set()
+        Raises:
+          TimeoutError: No client has disconnected in time.
+        """
+        async with asyncio.timeout(_DISCONNECT_TIMEOUT_S):
+            await self._disconnected.wait()
+
+    def record_disconnect(self) -> None:
+        """Records that a client has closed its connection."""
+        self._disconnected.set()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -57,20 +61,20 @@
         try:
             await self._script(Connection(self, reader, writer))
         except (OSError, asyncio.IncompleteReadError):
-            self._hung_up.set()
+            self._disconnected.set()
         except asyncio.CancelledError:
-            pass  # The test is over.
+            pass  # The test has ended.
         finally:
             writer.close()
 
 
 class Connection:
-    """One connection at a raw endpoint.
+    """One connection accepted by a raw endpoint.
 
     Args:
       endpoint: The endpoint.
-      reader: What comes in.
-      writer: What goes out.
+      reader: Stream of received bytes.
+      writer: Stream for bytes to send.
     """
 
     def __init__(
@@ -84,14 +88,14 @@
         self.writer = writer
 
     async def run(self) -> None:
-        """Reads a whole request and runs it."""
+        """Reads a complete request and records its execution."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = head.lower().split(b"content-length:")[1].split(b"\r\n")[0]
         body = await self.reader.readexactly(int(length))
         self.endpoint.ran.append(head + body)
 
     async def send(self, data: bytes) -> None:
-        """Sends bytes as they are."""
+        """Sends raw bytes."""
         self.writer.write(data)
         await self.writer.drain()
 
@@ -99,23 +103,23 @@
         """Waits until the client has closed the connection."""
         while await self.reader.read(65_536):
             pass
-        self.endpoint.note_hang_up()
+        self.endpoint.record_disconnect()
 
 
 def answer(
     body: bytes, status: str = "200 OK", headers: str = "", length: int = -1
 ) -> bytes:
-    """Writes an HTTP answer.
+    """Builds an HTTP response.
 
     Args:
-      body: Its body.
-      status: Its status.
-      headers: Further header lines, each with its line end.
-      length: Content length to claim instead of the true one.
+      body: Response body.
+      status: Status code and reason phrase.
+      headers: Additional header lines, each with its line break.
+      length: Value of `Content-Length`, -1 for the actual length.
 
     Returns:
-      The bytes.
+      The bytes of the response.
     """
-    claimed = len(body) if length < 0 else length
-    head = f"HTTP/1.1 {status}\r\nContent-Length: {claimed}\r\n{headers}\r\n"
+    declared = len(body) if length < 0 else length
+    head = f"HTTP/1.1 {status}\r\nContent-Length: {declared}\r\n{headers}\r\n"
     return head.encode() + body
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -1,4 +1,4 @@
-"""Tests of `engines.engine_client` against the stand-ins of engines."""
+"""Tests of `engines.engine_client` against simulated engines."""
 
 import asyncio
 import functools
@@ -32,7 +32,7 @@
 
         asyncio.run(body())
 
-    # pytest must ask for the parameters but not for `fleet`.
+    # pytest must not treat `fleet` as a fixture, but pass the parameters.
     del run.__wrapped__
     return run
 
@@ -41,38 +41,36 @@
     return b"".join([events async for events in stream])
 
 
-async def _read_until_broken(stream) -> tuple[bytes, errors.StreamBroken]:
-    delivered = b""
+async def _read_until_error(stream) -> tuple[bytes, errors.StreamBroken]:
+    received = b""
     with pytest.raises(errors.StreamBroken) as caught:
         async for events in stream:
-            delivered += events
-    return delivered, caught.value
+            received += events
+    return received, caught.value
 
 
-def _true_events(fleet, request_id: str = _ID) -> bytes:
+def _expected_events(fleet, request_id: str = _ID) -> bytes:
     request = fleet.decode.memory.requests_by_id[request_id]
     return b"".join(request.events)
 
 
-class TestWholeRequest:
-    """Prefill, transfer and decode without faults."""
+class TestCompleteRequest:
+    """Prefill, KV cache transfer and decode without faults."""
 
     @_with_fleet
-    async def test_streams_the_tokens_and_frees_all_memory(self, fleet) -> None:
+    async def test_streams_all_tokens_and_frees_memory(self, fleet) -> None:
         stream = await fleet.start_decode()
-        delivered = await _read(stream)
-        assert delivered == _true_events(fleet) + protocol.END_MARKER
+        received = await _read(stream)
+        assert received == _expected_events(fleet) + protocol.END_MARKER
         assert stream.validator.last_token == 5
         assert fleet.held() == (0, 0)
 
     @_with_fleet
-    async def test_same_prompt_of_two_customers_shares_no_block(
-        self, fleet
-    ) -> None:
-        """Rival firms send the same case file.
+    async def test_customers_share_no_cache_blocks(self, fleet) -> None:
+        """Two customers send the same prompt to one engine.
 
-        A first token that comes sooner would tell one of them that the other
-        has the same client.
+        With shared cache blocks, a shorter time to first token would reveal to
+        one customer that another one has sent the same prompt.
         """
         for number, salt in enumerate(["firm-1", "ubumwe", "ubumwe"]):
             await _read(
@@ -85,7 +83,7 @@
 
 
 class TestCancelFreesMemory:
-    """The caller leaves in each stage; the engines must hold nothing."""
+    """A cancellation in any stage frees all engine memory."""
 
     @pytest.mark.parametrize(
         ("stage", "fault"),
@@ -94,10 +92,10 @@
             (_Stage.TRANSFER, {"stall_export_at_byte": 0}),
         ],
     )
-    def test_while_an_engine_works(self, stage, fault) -> None:
-        """The caller hangs up during the prefill or the transfer.
+    def test_during_prefill_or_transfer(self, stage, fault) -> None:
+        """The caller disconnects during the prefill or the transfer.
 
-        A slot that stays taken makes briefs wait behind nobody.
+        A slot that stays in use would delay other requests for nothing.
         """
 
         @_with_fleet(prefill_tokens_per_s=1e9, link_bytes_per_s=1e9)
@@ -105,7 +103,7 @@
             fleet.prefill.conduct.set(fault)
             call = asyncio.create_task(fleet.start_decode())
             engine = fleet.prefill if stage is _Stage.PREFILL else fleet.decode
-            await _admitted(engine, stage)
+            await _wait_for_stage(engine, stage)
             call.cancel()
             await asyncio.gather(call, return_exceptions=True)
             assert fleet.held() != (0, 0)
@@ -116,7 +114,7 @@
 
     @_with_fleet
     async def test_between_prefill_and_transfer(self, fleet) -> None:
-        """The caller hangs up when its prefill has just finished."""
+        """The caller disconnects just after its prefill has finished."""
         await fleet.client.prefill(
             fleet.prefill_endpoint, _ID, standin_fleet.BODY
         )
@@ -126,9 +124,9 @@
 
     @_with_fleet(seconds_per_token=0.05)
     async def test_during_decode(self, fleet) -> None:
-        """The caller hangs up amid the answer.
+        """The caller disconnects while tokens are streamed.
 
-        Closing the connection alone leaves the engine at work.
+        Closing the connection alone doesn't stop the request at the engine.
         """
         stream = await fleet.start_decode(max_tokens=10_000)
         async for _ in stream:
@@ -140,8 +138,8 @@
         assert fleet.held() == (0, 0)
 
     @_with_fleet
-    async def test_cancel_overtakes_its_request(self, fleet) -> None:
-        """The cancel order arrives before the request that it is for."""
+    async def test_cancel_before_its_request(self, fleet) -> None:
+        """The cancellation arrives first; the engine refuses the request."""
         assert await fleet.cancel() == [True, True]
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.start_decode()
@@ -149,10 +147,10 @@
         assert fleet.held() == (0, 0)
 
     @pytest.mark.parametrize("fault", ["refuse", "lose"])
-    def test_cancel_that_fails_is_not_called_done(self, fault) -> None:
-        """The engine refuses the cancel order, or it is lost.
+    def test_failed_cancel_is_not_reported_as_done(self, fault) -> None:
+        """The engine refuses the cancellation, or the message is lost.
 
-        Taken for done, the slot would stay held.
+        If the cancellation counted as done, the slot would stay in use.
         """
 
         @_with_fleet
@@ -168,29 +166,31 @@
         scenario(None)
 
     @_with_fleet
-    async def test_late_cancel_is_not_called_done_in_time(self, fleet) -> None:
+    async def test_cancel_that_times_out_is_not_reported_as_done(
+        self, fleet
+    ) -> None:
         fleet.prefill.conduct.set({"cancel": "late", "cancel_delay_s": 60})
         assert not await fleet.client.cancel(
             fleet.prefill_endpoint, _ID, timeout_s=0.05
         )
 
 
-async def _admitted(engine, stage) -> engine_memory.Request:
+async def _wait_for_stage(engine, stage) -> engine_memory.Request:
     for _ in range(1_000_000):
         request = engine.memory.requests_by_id.get(_ID)
         if request is not None and request.stage is stage:
             return request
         await asyncio.sleep(0)
-    raise AssertionError(f"request never came to {stage}")
+    raise AssertionError(f"request never reached {stage}")
 
 
 class TestRefusal:
-    """An engine doesn't take a request."""
+    """An engine refuses a request."""
 
     @pytest.mark.parametrize(
         "code", [protocol.CODE_FULL, protocol.CODE_DRAINING]
     )
-    def test_whole_refusal_says_not_run(self, code) -> None:
+    def test_complete_refusal_proves_not_executed(self, code) -> None:
         @_with_fleet
         async def scenario(self, fleet) -> None:
             fleet.prefill.conduct.set({"refuse": code})
@@ -203,7 +203,7 @@
         scenario(None)
 
     @_with_fleet(slots=1, seconds_per_token=0.05)
-    async def test_engine_that_is_full(self, fleet) -> None:
+    async def test_full_engine(self, fleet) -> None:
         stream = await fleet.start_decode(max_tokens=1_000)
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.start_decode(_OTHER)
@@ -211,12 +211,12 @@
         stream.close()
 
     @_with_fleet(export_ttl_s=0.01)
-    async def test_prefill_that_was_evicted(self, fleet) -> None:
-        """The decode comes later than the KV cache is kept."""
+    async def test_evicted_prefill(self, fleet) -> None:
+        """The decode starts after the exported KV cache has expired."""
         result = await fleet.client.prefill(
             fleet.prefill_endpoint, _ID, standin_fleet.BODY
         )
-        await _admitted(fleet.prefill, _Stage.EVICTED)
+        await _wait_for_stage(fleet.prefill, _Stage.EVICTED)
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.client.decode(
                 fleet.decode_endpoint, _ID, standin_fleet.BODY, result
@@ -225,10 +225,11 @@
         assert fleet.held() == (0, 0)
 
     @_with_fleet
-    async def test_engine_that_dies_while_refusing(self, fleet) -> None:
-        """The refusal breaks off; it can't be told from another answer.
+    async def test_truncated_refusal(self, fleet) -> None:
+        """The connection is lost at each byte of a refusal.
 
-        "Not run" may only be said of a whole refusal.
+        A truncated refusal can't be told from another truncated response, so
+        only a complete one proves that the request was not executed.
         """
         refusal = {"refuse": protocol.CODE_FULL, "times": 1}
         length = len(shell.refusal_body(protocol.CODE_FULL))
@@ -236,68 +237,69 @@
             fleet.prefill.conduct.set({**refusal, "cut_refusal_at_byte": end})
             with pytest.raises(errors.CallError) as caught:
                 await fleet.start_decode()
-            whole = isinstance(caught.value, errors.EngineRefused)
-            assert (caught.value.run is messages.Run.NO) is whole
-            assert whole is (end == length)
+            is_refusal = isinstance(caught.value, errors.EngineRefused)
+            assert (caught.value.run is messages.Run.NO) is is_refusal
+            assert is_refusal is (end == length)
 
     @_with_fleet
     async def test_refusal_of_another_request(self, fleet) -> None:
-        """An engine sends the refusal of another request."""
+        """An engine sends a refusal that carries another request's id."""
         fleet.prefill.conduct.set({"foreign_id": True})
         with pytest.raises(errors.ForeignAnswer) as caught:
             await fleet.start_decode()
         assert caught.value.run is messages.Run.UNKNOWN
 
 
-class TestBrokenStream:
-    """The decode engine's stream is cut, garbled or another's."""
+class TestInvalidStream:
+    """The decode stream is truncated, invalid or of another request."""
 
     @_with_fleet
-    async def test_cut_anywhere_and_resumed(self, fleet) -> None:
-        """The connection to the engine breaks, and the engine lives on.
+    async def test_interrupted_and_resumed(self, fleet) -> None:
+        """The connection is lost at several offsets and the stream resumed.
 
-        The caller must read each token once, and the end.
+        The engine keeps running. The caller must receive each token exactly
+        once, and the end marker.
         """
         for number, end in enumerate(range(0, 900, 61)):
             request_id = f"v.e.x.{number}.0"
             fleet.decode.conduct.set({"cut_at_byte": end, "times": 1})
             stream = await fleet.start_decode(request_id)
-            delivered, broken = await _read_until_broken(stream)
-            assert broken.resumable
+            received, stream_error = await _read_until_error(stream)
+            assert stream_error.resumable
             await fleet.client.resume(fleet.decode_endpoint, stream)
-            delivered += await _read(stream)
-            true = _true_events(fleet, request_id)
-            assert delivered == true + protocol.END_MARKER
+            received += await _read(stream)
+            expected = _expected_events(fleet, request_id)
+            assert received == expected + protocol.END_MARKER
 
     @_with_fleet
-    async def test_resumed_stream_that_overlaps(self, fleet) -> None:
+    async def test_resumed_stream_repeats_a_token(self, fleet) -> None:
         fleet.decode.conduct.set({"cut_at_token": 3, "times": 1})
         stream = await fleet.start_decode()
-        delivered, _ = await _read_until_broken(stream)
+        received, _ = await _read_until_error(stream)
         fleet.decode.conduct.set({"repeat_token": True})
         await fleet.client.resume(fleet.decode_endpoint, stream)
-        delivered += await _read(stream)
-        assert delivered == _true_events(fleet) + protocol.END_MARKER
+        received += await _read(stream)
+        assert received == _expected_events(fleet) + protocol.END_MARKER
 
     @_with_fleet
-    async def test_engine_no_longer_knows_the_request(self, fleet) -> None:
-        """The engine was replaced; its successor can't go on."""
+    async def test_resume_of_an_unknown_request(self, fleet) -> None:
+        """The engine was replaced; the new one can't resume the request."""
         fleet.decode.conduct.set({"cut_at_token": 2, "times": 1})
         stream = await fleet.start_decode()
-        await _read_until_broken(stream)
+        await _read_until_error(stream)
         fleet.decode.memory.requests_by_id.clear()
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.client.resume(fleet.decode_endpoint, stream)
         assert caught.value.code == protocol.CODE_UNKNOWN_REQUEST
 
     @_with_fleet
-    async def test_engine_that_stalls(self, fleet) -> None:
-        """The engine stands still partway, its connection open."""
+    async def test_stalled_stream(self, fleet) -> None:
+        """The engine stops sending while the connection stays open."""
         fleet.decode.conduct.set({"stall_at_token": 2, "times": 1})
         stream = await fleet.start_decode()
-        _, broken = await _read_until_broken(stream)
-        assert broken.reason is stream_lib.Reason.STALLED
-        assert broken.last_token == 2
+        _, stream_error = await _read_until_error(stream)
+        assert stream_error.reason is stream_lib.Reason.STALLED
+        assert stream_error.last_token == 2
         assert await fleet.cancel() == [True, True]
         assert fleet.held() == (0, 0)
 
@@ -308,29 +310,29 @@
             ("omit_end_marker", stream_lib.Reason.CUT),
         ],
     )
-    def test_end_that_proves_nothing(self, fault, reason) -> None:
-        """The stream ends cleanly, but isn't whole by its own account."""
+    def test_end_of_an_incomplete_stream(self, fault, reason) -> None:
+        """The HTTP response ends normally, but the stream is incomplete."""
 
         @_with_fleet
         async def scenario(self, fleet) -> None:
             fleet.decode.conduct.set({fault: True})
             stream = await fleet.start_decode()
-            delivered, broken = await _read_until_broken(stream)
-            assert broken.reason is reason
-            assert protocol.END_MARKER not in delivered
+            received, stream_error = await _read_until_error(stream)
+            assert stream_error.reason is reason
+            assert protocol.END_MARKER not in received
 
         scenario(None)
 
     @_with_fleet
-    async def test_answer_headed_by_another_id(self, fleet) -> None:
-        """The head of a stream already names another request."""
+    async def test_response_header_with_another_id(self, fleet) -> None:
+        """The response headers of a stream carry another request's id."""
         fleet.decode.conduct.set({"foreign_id": True})
         with pytest.raises(errors.ForeignAnswer):
             await fleet.start_decode()
 
     @_with_fleet(seconds_per_token=0.01)
-    async def test_answers_swapped(self, fleet) -> None:
-        """An engine sends a firm the answer of its rival."""
+    async def test_stream_of_another_request(self, fleet) -> None:
+        """An engine sends the tokens of another customer's request."""
         other = await fleet.start_decode(
             _OTHER, prompt="a rival's", max_tokens=50
         )
@@ -338,14 +340,14 @@
             break
         fleet.decode.conduct.set({"swap": True})
         stream = await fleet.start_decode()
-        delivered, broken = await _read_until_broken(stream)
-        assert delivered == b""
-        assert broken.reason is stream_lib.Reason.FOREIGN
+        received, stream_error = await _read_until_error(stream)
+        assert received == b""
+        assert stream_error.reason is stream_lib.Reason.FOREIGN
         other.close()
 
     @_with_fleet
-    async def test_transfer_cut(self, fleet) -> None:
-        """The transfer between the engines breaks off."""
+    async def test_interrupted_transfer(self, fleet) -> None:
+        """The KV cache transfer between the engines is interrupted."""
         fleet.prefill.conduct.set({"cut_export_at_byte": 0})
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.start_decode()
@@ -355,8 +357,8 @@
         assert fleet.held() == (0, 0)
 
 
-class TestReports:
-    """Load, cache events and orders."""
+class TestReportsAndOrders:
+    """Load reports, cache events and orders."""
 
     @_with_fleet(report_lag_s=3600)
     async def test_load_report_lags(self, fleet) -> None:
@@ -367,15 +369,15 @@
 
     @_with_fleet
     async def test_lost_cache_events_are_flagged(self, fleet) -> None:
-        """Cache events are lost on their way.
+        """The engine omits cache events.
 
-        A view without the lost ones would send prompts to an engine that has
-        dropped them from its cache.
+        Without the gap flag, the router would send prompts to an engine that
+        has already removed their blocks from its cache.
         """
         await _read(await fleet.start_decode())
         endpoint = fleet.prefill_endpoint
-        whole = await fleet.client.cache_events(endpoint, 0)
-        assert len(whole.events) == whole.last_seq and not whole.gap
+        complete = await fleet.client.cache_events(endpoint, 0)
+        assert len(complete.events) == complete.last_seq and not complete.gap
         fleet.prefill.conduct.set({"drop_cache_events": 2})
         assert (await fleet.client.cache_events(endpoint, 0)).gap
         fleet.prefill.conduct.set({"cache_lag_s": 3600})
@@ -383,8 +385,8 @@
         assert late.events == () and not late.gap
 
     @pytest.mark.parametrize("checks", [True, False])
-    def test_order_with_an_old_fencing_number(self, checks) -> None:
-        """A VM wakes after long and sends an order that is out of date."""
+    def test_order_with_an_old_fencing_token(self, checks) -> None:
+        """A VM resumes after a long pause and sends an outdated order."""
         old = model.EngineTarget(role=model.EndpointKind.DECODE, model="old")
         new = model.EngineTarget(role=model.EndpointKind.DECODE, model="new")
 
@@ -404,8 +406,8 @@
         scenario(None)
 
     @pytest.mark.parametrize("answer", [b"[]", b"{}", b"\xff", b"{"])
-    def test_answer_of_another_form(self, answer) -> None:
-        """An engine answers with what isn't the protocol's JSON."""
+    def test_malformed_response(self, answer) -> None:
+        """An engine responds with invalid or unexpected JSON."""
 
         @_with_fleet
         async def scenario(self, fleet) -> None:
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Tests of `engines.event_stream`: whole events, each once, in order."""
+"""Tests of `engines.event_stream`: complete events, each once, in order."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,20 +14,20 @@
 
 
 class _Response:
-    """An answer whose body comes in given parts, and then its end."""
+    """A response whose body arrives in the given chunks."""
 
     status = 200
     headers = httputil.HTTPHeaders()
 
     def __init__(
-        self, parts: list[bytes], error: errors.CallError | None = None
+        self, chunks: list[bytes], error: errors.CallError | None = None
     ) -> None:
-        self._parts, self._error = parts, error
+        self._chunks, self._error = chunks, error
         self.closed = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        for part in self._parts:
-            yield part
+        for chunk in self._chunks:
+            yield chunk
         if self._error is not None:
             raise self._error
 
@@ -40,77 +40,80 @@
 
 
 def _read(
-    parts: list[bytes],
+    chunks: list[bytes],
     error: errors.CallError | None = None,
     after: str = "",
 ) -> tuple[bytes, event_stream.EventStream, errors.StreamBroken | None]:
-    stream = event_stream.EventStream(_Response(parts, error), after, 8)
+    stream = event_stream.EventStream(_Response(chunks, error), after, 8)
 
     async def collect():
-        got = b""
+        received = b""
         try:
             async for events in stream:
-                got += events
-        except errors.StreamBroken as broken:
-            return got, broken
-        return got, None
+                received += events
+        except errors.StreamBroken as stream_error:
+            return received, stream_error
+        return received, None
 
-    got, broken = asyncio.run(collect())
-    return got, stream, broken
+    received, stream_error = asyncio.run(collect())
+    return received, stream, stream_error
 
 
-class TestWholeStreams:
-    """Parts are cut anywhere."""
+class TestCompleteStreams:
+    """Chunk boundaries at any offset."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
     @hypothesis.given(strategies.lists(strategies.integers(1, 60), max_size=9))
-    def test_bytes_pass_unchanged_wherever_they_are_cut(self, sizes):
+    def test_bytes_are_unchanged_for_any_chunking(self, sizes):
         text = b"".join(_event(number) for number in range(1, 8))
-        parts = []
-        rest = text
+        chunks = []
+        remaining = text
         for size in sizes:
-            parts.append(rest[:size])
-            rest = rest[size:]
-        got, stream, broken = _read([*parts, rest])
-        assert got == text
-        assert broken is None
+            chunks.append(remaining[:size])
+            remaining = remaining[size:]
+        received, stream, stream_error = _read([*chunks, remaining])
+        assert received == text
+        assert stream_error is None
         assert stream.last_id == "7"
         assert stream.tokens == 7 * 8
 
 
-class TestBrokenStreams:
-    """What an engine may do wrong amid a stream."""
+class TestInvalidStreams:
+    """Faults of an engine during a stream."""
 
-    def test_half_an_event_is_kept_back(self):
-        """The engine crashed while it wrote; the rest comes from another.
+    def test_partial_event_is_held_back(self):
+        """An engine crashes while it sends an event; another one continues.
 
-        Half an event followed by a whole one would be read as one wrong one.
+        A partial event followed by a complete one would be parsed as a single
+        wrong event.
         """
-        cut = errors.CallError("lost")
-        got, stream, broken = _read([_event(1) + b"id: 2\nda"], cut)
-        assert got == _event(1)
-        assert broken.reason is stream_lib.Reason.CUT
+        connection_error = errors.CallError("lost")
+        received, stream, stream_error = _read(
+            [_event(1) + b"id: 2\nda"], connection_error
+        )
+        assert received == _event(1)
+        assert stream_error.reason is stream_lib.Reason.CUT
         assert stream.last_id == "1"
 
-    def test_an_end_amid_an_event_isnt_the_end(self):
-        got, _, broken = _read([_event(1) + b"id: 2\nda"])
-        assert got == _event(1)
-        assert broken is not None
+    def test_end_within_an_event_is_an_error(self):
+        received, _, stream_error = _read([_event(1) + b"id: 2\nda"])
+        assert received == _event(1)
+        assert stream_error is not None
 
     @pytest.mark.parametrize("second", [1, 0])
-    def test_an_event_that_comes_again_isnt_passed_on(self, second):
-        got, _, broken = _read([_event(1), _event(second)])
-        assert got == _event(1)
-        assert broken.reason is stream_lib.Reason.OUT_OF_ORDER
-
-    def test_a_resumed_stream_must_go_on_after_its_last_event(self):
-        got, _, broken = _read([_event(3)], after="3")
-        assert got == b""
-        assert broken.reason is stream_lib.Reason.OUT_OF_ORDER
-        got, _, broken = _read([_event(4)], after="3")
-        assert got == _event(4)
-        assert broken is None
-
-    def test_a_stall_is_told_as_one(self):
-        _, _, broken = _read([_event(1)], errors.CallTimeout("silent"))
-        assert broken.reason is stream_lib.Reason.STALLED
+    def test_repeated_event_is_rejected(self, second):
+        received, _, stream_error = _read([_event(1), _event(second)])
+        assert received == _event(1)
+        assert stream_error.reason is stream_lib.Reason.OUT_OF_ORDER
+
+    def test_resumed_stream_must_continue_after_last_event(self):
+        received, _, stream_error = _read([_event(3)], after="3")
+        assert received == b""
+        assert stream_error.reason is stream_lib.Reason.OUT_OF_ORDER
+        received, _, stream_error = _read([_event(4)], after="3")
+        assert received == _event(4)
+        assert stream_error is None
+
+    def test_timeout_is_reported_as_stalled(self):
+        _, _, stream_error = _read([_event(1)], errors.CallTimeout("silent"))
+        assert stream_error.reason is stream_lib.Reason.STALLED
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of `engines.http_client` against endpoints on raw sockets."""
+"""Tests of `engines.http_client` against scripted raw-socket endpoints."""
 
 import asyncio
 import socket
@@ -21,18 +21,18 @@
     return await response.read(1_000_000)
 
 
-async def _error(client, port, **options) -> errors.CallError:
+async def _call_error(client, port, **options) -> errors.CallError:
     with pytest.raises(errors.CallError) as caught:
         await _post(client, port, **options)
     return caught.value
 
 
-async def _turns_until(condition) -> None:
+async def _run_loop_until(condition) -> None:
     for _ in range(100_000):
         if condition():
             return
         await asyncio.sleep(0)
-    raise AssertionError("it never came about")
+    raise AssertionError("condition was never met")
 
 
 async def _request_length() -> int:
@@ -46,24 +46,24 @@
 
 
 class TestFaultAtEachByte:
-    """Whether a call was run, when the connection is lost somewhere."""
+    """What is known of a request's execution after a lost connection."""
 
     def test_no_listener(self) -> None:
-        """The endpoint's process is gone; the caller may safely ask again."""
+        """The endpoint is down; the request is known not to be executed."""
 
         async def scenario() -> None:
             with socket.create_server(("127.0.0.1", 0)) as listener:
                 port = listener.getsockname()[1]
-            error = await _error(http_client.HttpClient(), port)
+            error = await _call_error(http_client.HttpClient(), port)
             assert error.run is messages.Run.NO
 
         asyncio.run(scenario())
 
     def test_lost_at_each_byte_of_the_request(self) -> None:
-        """The endpoint dies while the request comes in, or having run it.
+        """The endpoint crashes while receiving or after executing a request.
 
-        A caller that is told "not run" would book again, and a client would
-        be booked twice.
+        Reporting "not run" would make the caller repeat a request that may
+        have been executed.
         """
 
         async def scenario() -> None:
@@ -78,43 +78,44 @@
                         await connection.reader.readexactly(end)
 
                 async with raw_endpoint.RawEndpoint(script) as endpoint:
-                    error = await _error(client, endpoint.port)
+                    error = await _call_error(client, endpoint.port)
                     assert error.run is messages.Run.UNKNOWN, end
                     assert len(endpoint.ran) == int(end == length)
 
         asyncio.run(scenario())
 
     @pytest.mark.parametrize("chunked", [False, True])
-    def test_lost_at_each_byte_of_the_answer(self, chunked) -> None:
-        """The endpoint has run the call and dies while it answers.
+    def test_lost_at_each_byte_of_the_response(self, chunked) -> None:
+        """The endpoint executes the request and crashes while responding.
 
-        The caller would take a part of the answer for the whole, or hear that
-        its call was not run.
+        The caller must neither accept a truncated response as complete nor
+        get "not run".
         """
-        whole = raw_endpoint.answer(b'{"number": 1}')
+        response = raw_endpoint.answer(b'{"number": 1}')
         if chunked:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            whole = head + b"4\r\n{1:2\r\n1\r\n}\r\n0\r\n\r\n"
+            response = head + b"4\r\n{1:2\r\n1\r\n}\r\n0\r\n\r\n"
 
         async def scenario() -> None:
             client = http_client.HttpClient()
-            for end in range(len(whole)):
+            for end in range(len(response)):
 
                 async def script(connection, end=end) -> None:
                     await connection.run()
-                    await connection.send(whole[:end])
+                    await connection.send(response[:end])
 
                 async with raw_endpoint.RawEndpoint(script) as endpoint:
-                    error = await _error(client, endpoint.port)
+                    error = await _call_error(client, endpoint.port)
                     assert error.run is messages.Run.UNKNOWN, end
                     assert len(endpoint.ran) == 1
 
         asyncio.run(scenario())
 
-    def test_answer_whose_end_cannot_be_told(self) -> None:
-        """An endpoint ends its answer by closing the connection.
+    def test_close_delimited_response_is_rejected(self) -> None:
+        """An endpoint ends its response by closing the connection.
 
-        A cut answer looks the same as a whole one, so it isn't passed on.
+        A truncated response would look the same as a complete one, so the
+        response is rejected.
         """
 
         async def script(connection) -> None:
@@ -123,7 +124,9 @@
 
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
-                error = await _error(http_client.HttpClient(), endpoint.port)
+                error = await _call_error(
+                    http_client.HttpClient(), endpoint.port
+                )
                 assert error.run is messages.Run.UNKNOWN
 
         asyncio.run(scenario())
@@ -131,7 +134,7 @@
     @pytest.mark.parametrize(
         "garbage", [b"\0" * 70_000 + b"\r\n\r\n", b"HTTP/1.1 x\r\n\r\n"]
     )
-    def test_answer_that_is_not_http(self, garbage) -> None:
+    def test_response_that_is_not_http(self, garbage) -> None:
         async def script(connection) -> None:
             await connection.run()
             await connection.send(garbage)
@@ -139,7 +142,9 @@
 
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
-                error = await _error(http_client.HttpClient(), endpoint.port)
+                error = await _call_error(
+                    http_client.HttpClient(), endpoint.port
+                )
                 assert error.run is messages.Run.UNKNOWN
 
         asyncio.run(scenario())
@@ -153,10 +158,10 @@
             ("POST", "/", {"A\r\nB": "c"}),
         ],
     )
-    def test_request_that_would_split(self, method, path, headers) -> None:
-        """A caller puts a line end into what becomes a header.
+    def test_request_splitting_is_rejected(self, method, path, headers) -> None:
+        """A caller sends a line break inside a header, method or path.
 
-        The endpoint would see a second request that nobody answers for.
+        The endpoint would see a second request (request splitting).
         """
 
         async def script(connection) -> None:
@@ -174,10 +179,11 @@
 
         asyncio.run(scenario())
 
-    def test_two_headers_of_length(self) -> None:
-        """A caller claims chunked coding for a body of known length.
+    def test_conflicting_length_headers(self) -> None:
+        """A caller sends both `Transfer-Encoding` and `Content-Length`.
 
-        An endpoint would take the rest of the body for a second request.
+        An endpoint could read a part of the body as a second request (request
+        smuggling).
         """
 
         async def script(connection) -> None:
@@ -198,10 +204,10 @@
 
 
 class TestCancel:
-    """The caller leaves while its call is somewhere on its way."""
+    """The calling task is cancelled during a call."""
 
-    def test_before_the_connection_is_there(self) -> None:
-        """The endpoint's host doesn't answer, and the caller leaves."""
+    def test_while_connecting(self) -> None:
+        """The call is cancelled while the connection is being opened."""
 
         async def scenario() -> None:
             listener = socket.socket()
@@ -227,10 +233,11 @@
 
         asyncio.run(scenario())
 
-    def test_before_the_answer(self) -> None:
-        """The caller leaves while the endpoint is at work.
+    def test_before_the_response(self) -> None:
+        """The call is cancelled while the endpoint executes the request.
 
-        The endpoint must notice, or it would go on for nobody.
+        The connection must be closed, or the endpoint would continue for
+        nothing.
         """
 
         async def scenario() -> None:
@@ -257,17 +264,17 @@
 
         asyncio.run(scenario())
 
-    @pytest.mark.parametrize("part", [b"", b"0123"])
-    def test_amid_the_answer(self, part) -> None:
-        """The caller leaves while its answer comes in.
+    @pytest.mark.parametrize("sent_body", [b"", b"0123"])
+    def test_during_the_response(self, sent_body) -> None:
+        """The call is cancelled while the response body is received.
 
-        The connection would stay open until the whole call's time is up, and
-        sockets would pile up with each caller that leaves.
+        Without a close, the connection would stay open until the call times
+        out, and each cancelled call would add an open socket.
         """
 
         async def script(connection) -> None:
             await connection.run()
-            await connection.send(raw_endpoint.answer(part, length=10))
+            await connection.send(raw_endpoint.answer(sent_body, length=10))
             await connection.wait_for_hang_up()
 
         async def scenario() -> None:
@@ -289,13 +296,13 @@
 
 
 class TestTimeouts:
-    """An endpoint that holds its answer back."""
+    """An endpoint does not finish its response."""
 
     @pytest.mark.parametrize(
         "limits", [{"timeout_s": 0.05}, {"stall_s": 0.05, "timeout_s": 60}]
     )
-    def test_answer_stands_still(self, limits) -> None:
-        """An engine hangs amid its answer; the caller would wait for ever."""
+    def test_stalled_response(self, limits) -> None:
+        """An engine hangs during its response; the call must time out."""
 
         async def script(connection) -> None:
             await connection.run()
@@ -304,7 +311,7 @@
 
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
-                error = await _error(
+                error = await _call_error(
                     http_client.HttpClient(), endpoint.port, **limits
                 )
                 assert isinstance(error, errors.CallTimeout)
@@ -314,7 +321,7 @@
 
 
 class TestReuse:
-    """Idle connections are kept, but only clean ones."""
+    """Idle connections are reused unless they are in an unclear state."""
 
     @staticmethod
     def _connections_after_two_calls(answers, **options) -> int:
@@ -337,24 +344,25 @@
         answer = raw_endpoint.answer(b"one")
         assert self._connections_after_two_calls(answer) == 1
 
-    def test_a_fresh_connection_is_made_where_asked_for(self) -> None:
+    def test_new_connection_on_request(self) -> None:
         answer = raw_endpoint.answer(b"one")
         assert self._connections_after_two_calls(answer, fresh=True) == 2
 
-    def test_connection_that_is_to_be_closed(self) -> None:
+    def test_connection_close_header(self) -> None:
         answer = raw_endpoint.answer(b"one", headers="Connection: close\r\n")
         assert self._connections_after_two_calls(answer) == 2
 
-    def test_bytes_that_nobody_asked_for(self) -> None:
-        """An endpoint sends a second answer to the same request.
+    def test_unsolicited_bytes_prevent_reuse(self) -> None:
+        """An endpoint sends a second response to the same request.
 
-        The next caller on this connection would read it as its own.
+        The next call on this connection would read the second response as its
+        own.
         """
         answer = raw_endpoint.answer(b"one") + raw_endpoint.answer(b"two")
         assert self._connections_after_two_calls(answer) == 2
 
     def test_endpoint_closes_an_idle_connection(self) -> None:
-        """The next call must not fail for that."""
+        """An endpoint closes idle connections; the next calls still succeed."""
 
         async def scenario() -> None:
             async def script(connection) -> None:
@@ -365,17 +373,18 @@
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 for _ in range(5):
                     assert await _post(client, endpoint.port) == b"one"
-                    await _turns_until(lambda: client.idle_count() == 0)
+                    await _run_loop_until(lambda: client.idle_count() == 0)
                 assert endpoint.connections == 5
 
         asyncio.run(scenario())
 
     @pytest.mark.parametrize("ends", [True, False])
-    def test_released_before_the_end_has_come(self, ends) -> None:
-        """A reader knows by the content that it has the whole answer.
+    def test_release_before_the_framing_ends(self, ends) -> None:
+        """A reader releases a response before the end of the HTTP framing.
 
-        Its connection serves another call once the answer has ended, and is
-        closed if that never comes: sockets of a faulty engine would pile up.
+        The connection is reused once the framing ends. If the end never
+        arrives, the connection must be closed, or sockets to a faulty engine
+        would accumulate.
         """
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -401,17 +410,18 @@
                 response.release()
                 released.set()
                 if ends:
-                    await _turns_until(lambda: client.idle_count() == 1)
+                    await _run_loop_until(lambda: client.idle_count() == 1)
                 else:
                     await endpoint.wait_for_hang_up()
                     assert client.idle_count() == 0
 
         asyncio.run(scenario())
 
-    def test_answer_before_the_whole_request_was_read(self) -> None:
-        """An endpoint refuses a large body without reading it.
+    def test_response_before_the_request_is_read(self) -> None:
+        """An endpoint refuses a large request body without reading all of it.
 
-        The rest of the body would be read as the start of the next request.
+        On a reused connection, the rest of the body would be read as the start
+        of the next request.
         """
         size = 30_000_000
 
@@ -439,16 +449,17 @@
 
 
 class TestSlowReader:
-    """A caller reads slower than the engine sends."""
+    """A reader is slower than the endpoint, or the response too large."""
 
     def test_memory_stays_bounded(self) -> None:
-        """A caller on a bad line reads a long answer, byte by byte.
+        """A slow caller reads a large response.
 
-        The process would hold the whole answer, and die with many such.
+        Without backpressure the process would buffer the whole response and
+        run out of memory with many such callers.
         """
         total = 48_000_000
-        # What kernels may hold of a connection on both sides, at most.
-        bound = 16_000_000
+        # Upper limit of the kernel buffers of both ends of a connection.
+        max_in_flight_bytes = 16_000_000
 
         async def scenario() -> None:
             sent = 0
@@ -471,20 +482,22 @@
                     for _ in range(4):
                         await asyncio.sleep(0)
                     assert response.buffered() <= 200_000
-                    assert sent - read <= bound
+                    assert sent - read <= max_in_flight_bytes
                     read += len(chunk)
                 assert read == total
 
         asyncio.run(scenario())
 
-    def test_answer_larger_than_allowed(self) -> None:
+    def test_response_over_the_size_limit(self) -> None:
         async def script(connection) -> None:
             await connection.run()
             await connection.send(raw_endpoint.answer(bytes(2_000_000)))
 
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
-                error = await _error(http_client.HttpClient(), endpoint.port)
+                error = await _call_error(
+                    http_client.HttpClient(), endpoint.port
+                )
                 assert isinstance(error, errors.AnswerTooLarge)
 
         asyncio.run(scenario())
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -10,9 +10,9 @@
 
 
 class TestParse:
-    """Prometheus text of an engine."""
+    """Parsing of load reports in Prometheus text format."""
 
-    def test_reads_what_render_writes(self) -> None:
+    def test_parses_rendered_report(self) -> None:
         assert load_report.parse(load_report.render(_REPORT)) == _REPORT
 
     def test_labels_exponents_and_other_metrics(self) -> None:
@@ -28,10 +28,11 @@
     @pytest.mark.parametrize(
         "text", [b"", b"engine_slots 4\n", b"\xff\xfe", b"engine_slots ee\n"]
     )
-    def test_report_without_the_gauges(self, text) -> None:
-        """An engine starts up, or is of another make.
+    def test_missing_or_invalid_gauges(self, text) -> None:
+        """An engine is starting up, or is of an unsupported kind.
 
-        A report taken for empty would send it more than it can hold.
+        If the report counted as zero load, the router would overload the
+        engine.
         """
         with pytest.raises(errors.EngineFailed):
             load_report.parse(text)
--- a/tests/test_service_client.py
+++ b/tests/test_service_client.py
@@ -1,4 +1,4 @@
-"""Tests of `engines.service_client` against the stand-in of a service."""
+"""Tests of `engines.service_client` against a simulated service."""
 
 import asyncio
 import dataclasses
@@ -57,9 +57,9 @@
 
 
 class TestCall:
-    """One call, passed whole."""
+    """Forwarding of one request and its response."""
 
-    def test_passes_the_call_and_the_answer_whole(self) -> None:
+    def test_forwards_request_and_response_unchanged(self) -> None:
         answer, _, journal = _call({})
         assert answer.status == 200
         assert json.loads(answer.body)["received"] == "bag 7"
@@ -67,14 +67,14 @@
         assert journal[0].idempotency_key == "k1"
         assert "Content-Length" not in answer.headers
 
-    def test_headers_of_one_connection_stay_behind(self) -> None:
-        """A caller's key and connection headers aren't the service's."""
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
+        """The API key and hop-by-hop headers are not forwarded."""
         headers = service_client.request_headers(_REQUEST)
         assert headers["X-End"] == "2"
         dropped = {"Authorization", "Connection", "X-Hop", "Transfer-Encoding"}
         assert not dropped & set(headers)
 
-    def test_a_key_runs_once_where_the_service_checks(self) -> None:
+    def test_service_deduplicates_by_idempotency_key(self) -> None:
         async def scenario() -> None:
             async with standin_fleet.start() as fleet:
                 answers = [
@@ -90,7 +90,7 @@
 
 
 class TestConnections:
-    """Which calls may go out on a connection that lay idle."""
+    """Which requests may reuse an idle connection."""
 
     @pytest.mark.parametrize(
         ("idempotency", "expected"),
@@ -99,12 +99,12 @@
             (model.Idempotency.REPEATABLE, 1),
         ],
     )
-    def test_unrepeatable_call_opens_its_own(
+    def test_non_idempotent_request_opens_a_connection(
         self, idempotency, expected
     ) -> None:
-        """A service closes an idle connection just as a booking goes out.
+        """A service may close an idle connection as a request is sent on it.
 
-        Nobody could tell whether the booking was made.
+        Whether a non-idempotent request was executed would then be unknown.
         """
 
         async def script(connection) -> None:
@@ -135,13 +135,13 @@
 
 
 class TestFailure:
-    """What may be said of a call without a usable answer."""
+    """What is known of a request's execution without a usable response."""
 
-    def test_refusal_cut_at_each_byte(self) -> None:
-        """The service dies while it refuses.
+    def test_refusal_truncated_at_each_byte(self) -> None:
+        """The service crashes at each byte of its refusal.
 
-        A caller told "not run" repeats the pickup, so it must be true; a
-        caller told "unknown" without need has to look it up by hand.
+        A caller repeats a request reported as "not run", so this must be true;
+        a needless "unknown" makes the caller check by hand.
         """
         length = len(shell.refusal_body("engine_draining"))
 
@@ -158,9 +158,9 @@
                         await fleet.service_client.call(
                             fleet.service_endpoint, _SERVICE, _REQUEST
                         )
-                    whole = isinstance(caught.value, errors.ServiceRefused)
-                    assert (caught.value.run is messages.Run.NO) is whole
-                    assert whole is (end == length)
+                    is_refusal = isinstance(caught.value, errors.ServiceRefused)
+                    assert (caught.value.run is messages.Run.NO) is is_refusal
+                    assert is_refusal is (end == length)
                 assert fleet.service.journal == []
 
         asyncio.run(scenario())
@@ -174,21 +174,21 @@
             ({"foreign_id": True}, 1),
         ],
     )
-    def test_nothing_but_a_refusal_says_not_run(self, conduct, ran) -> None:
-        """The service breaks off before or after it has run the call."""
+    def test_only_a_refusal_proves_not_executed(self, conduct, ran) -> None:
+        """The connection is lost before or after the execution."""
         outcome, progress, journal = _call(conduct)
         assert isinstance(outcome, errors.CallError)
         assert outcome.run is messages.Run.UNKNOWN
         assert progress.run is messages.Run.UNKNOWN
         assert len(journal) == ran
 
-    def test_refusal_is_kept_for_use_after_a_cancel(self) -> None:
+    def test_progress_records_a_refusal(self) -> None:
         _, progress, _ = _call({"refuse": "engine_draining"})
         assert progress.run is messages.Run.NO
 
 
 class TestIsRefusal:
-    """Which answers prove that nothing was run."""
+    """Which responses prove that a request was not executed."""
 
     @pytest.mark.parametrize(
         ("status", "run", "answer_id", "expected"),
@@ -201,8 +201,8 @@
             (200, "no", "a", False),
         ],
     )
-    def test_only_its_own_and_explicit(
+    def test_requires_explicit_refusal_with_matching_id(
         self, status, run, answer_id, expected
     ) -> None:
-        """An engine mixes up refusals, or fails without a word on the run."""
+        """An endpoint mixes up refusals, or fails without a `run` field."""
         assert call_lib.is_refusal(status, run, answer_id, "a") is expected
