--- a/src/cowsliprill/engines/engine_client.py
+++ b/src/cowsliprill/engines/engine_client.py
@@ -215,21 +215,21 @@
     async def order(
         self,
         endpoint: model.Endpoint,
-        fencing: int,
+        fencing_token: int,
         target: model.EngineTarget,
     ) -> None:
         """Orders an engine to take a role and a model.
 
         Args:
           endpoint: The engine.
-          fencing: Fencing token of the order.
+          fencing_token: Fencing token of the order.
           target: Role and model that the engine should have.
 
         Raises:
           errors.StaleFencing: The engine has seen a higher fencing token.
           errors.CallError: The engine returned no usable response.
         """
-        fields = protocol.order_body(fencing, target)
+        fields = protocol.order_body(fencing_token, target)
         await self._caller.fetch_json(
             endpoint, ("POST", protocol.ORDERS_PATH, fields)
         )
@@ -245,9 +245,10 @@
         payload = await self._caller.fetch_json(
             endpoint, ("GET", protocol.ORDERS_PATH, None)
         )
-        fencing = payload.pop(protocol.FENCING_FIELD, None)
+        fencing_token = payload.pop(protocol.FENCING_FIELD, None)
         return engine_caller.parse_as(
-            engine_model.EngineOrder, {"fencing": fencing, "target": payload}
+            engine_model.EngineOrder,
+            {"fencing": fencing_token, "target": payload},
         )
 
 
--- a/src/cowsliprill/engines/exchange.py
+++ b/src/cowsliprill/engines/exchange.py
@@ -81,9 +81,9 @@
             self.close()
         return b"".join(chunks)
 
-    def buffered(self) -> int:
+    def buffered_bytes(self) -> int:
         """Returns the number of bytes received but not yet read."""
-        return self._exchange.buffered
+        return self._exchange.buffered_bytes
 
     def release(self) -> None:
         """Keeps the connection for reuse if the body ends within a second.
@@ -109,7 +109,7 @@
       status: HTTP status, 0 before the headers are received.
       headers: HTTP headers of the response.
       complete: Whether the end of the response body was received.
-      buffered: Number of bytes received but not yet read.
+      buffered_bytes: Number of bytes received but not yet read.
       allow_unframed: Whether a clean close of the connection may end the
         body (close-delimited body).
     """
@@ -123,7 +123,7 @@
         self._loop = asyncio.get_running_loop()
         self._stream = stream
         self._chunks: collections.deque[bytes] = collections.deque()
-        self.buffered = 0
+        self.buffered_bytes = 0
         self._data_available: asyncio.Future[None] | None = None
         self._space_available: asyncio.Future[None] | None = None
         self._headers_future: asyncio.Future[None] = self._loop.create_future()
@@ -151,12 +151,12 @@
         if self._error is not None:
             return None
         self._chunks.append(chunk)
-        self.buffered += len(chunk)
+        self.buffered_bytes += len(chunk)
         self._last_received_at = self._loop.time()
         if self._data_available is not None:
             _set_done(self._data_available)
             self._data_available = None
-        if self.buffered < _MAX_BUFFERED_BYTES:
+        if self.buffered_bytes < _MAX_BUFFERED_BYTES:
             return None
         self._space_available = self._loop.create_future()
         return self._space_available
@@ -201,10 +201,10 @@
             self._data_available = self._loop.create_future()
             await self._data_available
         chunk = self._chunks.popleft()
-        self.buffered -= len(chunk)
+        self.buffered_bytes -= len(chunk)
         if (
             self._space_available is not None
-            and self.buffered < _MAX_BUFFERED_BYTES
+            and self.buffered_bytes < _MAX_BUFFERED_BYTES
         ):
             _set_done(self._space_available)
             self._space_available = None
--- a/src/cowsliprill/engines/http_client.py
+++ b/src/cowsliprill/engines/http_client.py
@@ -264,11 +264,11 @@
         Raises:
           errors.ConnectionsSpent: All permitted connections are in use.
         """
-        allowance = self.allowances_by_address.get(address)
-        if allowance is None:
+        limits = self.allowances_by_address.get(address)
+        if limits is None:
             return
         idle = self._idle_by_address.get(address, [])
-        match allowance.opening(self._connection_count(address), len(idle)):
+        match limits.opening(self._connection_count(address), len(idle)):
             case connections.Opening.CLOSE_IDLE_FIRST:
                 oldest = idle.pop(0)
                 oldest.expiry.cancel()
@@ -276,7 +276,7 @@
             case connections.Opening.REFUSE:
                 host, port = address
                 raise errors.ConnectionsSpent(
-                    f"{host}:{port}: all {allowance.connections} connections"
+                    f"{host}:{port}: all {limits.connections} connections"
                     " are in use"
                 )
 
@@ -343,10 +343,10 @@
         stream.set_close_callback(lambda: self._remove_idle(stream, address))
 
     def _can_add_idle(self, address: _Address, idle: int) -> bool:
-        allowance = self.allowances_by_address.get(address)
-        if allowance is None:
+        limits = self.allowances_by_address.get(address)
+        if limits is None:
             return idle < _MAX_IDLE_PER_ENDPOINT
-        return allowance.keeps(self._connection_count(address), idle)
+        return limits.keeps(self._connection_count(address), idle)
 
     def _remove_idle(
         self, stream: iostream.IOStream, address: _Address
--- a/src/cowsliprill/engines/protocol.py
+++ b/src/cowsliprill/engines/protocol.py
@@ -154,14 +154,16 @@
     return {**body, "stream": True, "kv_transfer_params": transfer}
 
 
-def order_body(fencing: int, target: model.EngineTarget) -> dict[str, Any]:
+def order_body(
+    fencing_token: int, target: model.EngineTarget
+) -> dict[str, Any]:
     """Builds the JSON fields of an order to an engine.
 
     Args:
-      fencing: Fencing token of the order.
+      fencing_token: Fencing token of the order.
       target: Role and model that the engine should have.
 
     Returns:
       The JSON fields.
     """
-    return {FENCING_FIELD: fencing, **dataclasses.asdict(target)}
+    return {FENCING_FIELD: fencing_token, **dataclasses.asdict(target)}
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -405,18 +405,18 @@
 
         scenario(None)
 
-    @pytest.mark.parametrize("answer", [b"[]", b"{}", b"\xff", b"{"])
-    def test_malformed_response(self, answer) -> None:
+    @pytest.mark.parametrize("response_body", [b"[]", b"{}", b"\xff", b"{"])
+    def test_malformed_response(self, response_body) -> None:
         """An engine responds with invalid or unexpected JSON."""
 
         @_with_fleet
         async def scenario(self, fleet) -> None:
-            fleet.service._last_answer = answer
+            fleet.service._last_answer = response_body
             fleet.service.conduct.set({"swap": True})
             endpoint = fleet.service_endpoint
             with pytest.raises(errors.CallError):
                 await fleet.client.running(endpoint)
-            fleet.service._last_answer = answer
+            fleet.service._last_answer = response_body
             with pytest.raises(errors.CallError):
                 await fleet.client.load(endpoint)
             assert not await fleet.client.cancel(endpoint, _ID)
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -241,11 +241,11 @@
         """
 
         async def scenario() -> None:
-            ran = asyncio.Event()
+            executed = asyncio.Event()
 
             async def script(connection) -> None:
                 await connection.run()
-                ran.set()
+                executed.set()
                 await connection.wait_for_hang_up()
 
             progress = call_lib.Progress()
@@ -254,7 +254,7 @@
                 call = asyncio.create_task(
                     _post(client, endpoint.port, progress=progress)
                 )
-                await ran.wait()
+                await executed.wait()
                 call.cancel()
                 with pytest.raises(asyncio.CancelledError):
                     await call
@@ -481,7 +481,7 @@
                 async for chunk in response.chunks():
                     for _ in range(4):
                         await asyncio.sleep(0)
-                    assert response.buffered() <= 200_000
+                    assert response.buffered_bytes() <= 200_000
                     assert sent - read <= max_in_flight_bytes
                     read += len(chunk)
                 assert read == total
--- a/tests/test_service_client.py
+++ b/tests/test_service_client.py
@@ -60,12 +60,12 @@
     """Forwarding of one request and its response."""
 
     def test_forwards_request_and_response_unchanged(self) -> None:
-        answer, _, journal = _call({})
-        assert answer.status == 200
-        assert json.loads(answer.body)["received"] == "bag 7"
+        response, _, journal = _call({})
+        assert response.status == 200
+        assert json.loads(response.body)["received"] == "bag 7"
         assert [entry.path for entry in journal] == [_REQUEST.path]
         assert journal[0].idempotency_key == "k1"
-        assert "Content-Length" not in answer.headers
+        assert "Content-Length" not in response.headers
 
     def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
         """The API key and hop-by-hop headers are not forwarded."""
@@ -77,13 +77,13 @@
     def test_service_deduplicates_by_idempotency_key(self) -> None:
         async def scenario() -> None:
             async with standin_fleet.start() as fleet:
-                answers = [
+                responses = [
                     await fleet.service_client.call(
                         fleet.service_endpoint, _SERVICE, _REQUEST
                     )
                     for _ in range(2)
                 ]
-                assert answers[0].body == answers[1].body
+                assert responses[0].body == responses[1].body
                 assert len(fleet.service.journal) == 1
 
         asyncio.run(scenario())
@@ -166,7 +166,7 @@
         asyncio.run(scenario())
 
     @pytest.mark.parametrize(
-        ("conduct", "ran"),
+        ("conduct", "executions"),
         [
             ({"cut_before_run": True}, 0),
             ({"cut_at_byte": 0}, 1),
@@ -174,13 +174,15 @@
             ({"foreign_id": True}, 1),
         ],
     )
-    def test_only_a_refusal_proves_not_executed(self, conduct, ran) -> None:
+    def test_only_a_refusal_proves_not_executed(
+        self, conduct, executions
+    ) -> None:
         """The connection is lost before or after the execution."""
         outcome, progress, journal = _call(conduct)
         assert isinstance(outcome, errors.CallError)
         assert outcome.run is messages.Run.UNKNOWN
         assert progress.run is messages.Run.UNKNOWN
-        assert len(journal) == ran
+        assert len(journal) == executions
 
     def test_progress_records_a_refusal(self) -> None:
         _, progress, _ = _call({"refuse": "engine_draining"})
@@ -191,7 +193,7 @@
     """Which responses prove that a request was not executed."""
 
     @pytest.mark.parametrize(
-        ("status", "run", "answer_id", "expected"),
+        ("status", "run", "response_id", "expected"),
         [
             (503, "no", "a", True),
             (503, "no", "b", False),
@@ -202,7 +204,7 @@
         ],
     )
     def test_requires_explicit_refusal_with_matching_id(
-        self, status, run, answer_id, expected
+        self, status, run, response_id, expected
     ) -> None:
         """An endpoint mixes up refusals, or fails without a `run` field."""
-        assert call_lib.is_refusal(status, run, answer_id, "a") is expected
+        assert call_lib.is_refusal(status, run, response_id, "a") is expected
