--- a/src/cowsliprill/engines/engine_caller.py
+++ b/src/cowsliprill/engines/engine_caller.py
@@ -29,7 +29,7 @@
 
     def __init__(self, http: http_client.HttpClient, stall_s: float) -> None:
         self._http = http
-        self._stall_s = stall_s
+        self._stall_timeout_s = stall_s
 
     async def open_stream(
         self,
@@ -58,7 +58,7 @@
             {**_JSON_HEADERS, protocol.REQUEST_ID_HEADER: stream.request_id},
             json.dumps(fields).encode(),
             timeout_s=timeout_s,
-            stall_s=self._stall_s,
+            stall_s=self._stall_timeout_s,
         )
         if response.status != _OK:
             await _raise_error_response(response, stream.request_id)
--- a/src/cowsliprill/engines/exchange.py
+++ b/src/cowsliprill/engines/exchange.py
@@ -233,8 +233,8 @@
 
         Args:
           timeout_s: Timeout of the whole exchange in seconds.
-          stall_s: Maximum time in seconds between received bytes, None for no
-            limit.
+          stall_s: Maximum time in seconds between received bytes, None
+            for no limit.
         """
         self._cancel_timers()
         self._last_received_at = self._loop.time()
--- a/src/cowsliprill/engines/http_client.py
+++ b/src/cowsliprill/engines/http_client.py
@@ -165,13 +165,13 @@
           connect_timeout_s: Connect timeout in seconds.
           timeout_s: Timeout of the call in seconds, from sending the request to
             the end of the response body.
-          stall_s: Maximum time in seconds between received bytes, None for no
-            limit.
-          fresh: Whether to open a new connection. An endpoint may close an
-            idle one just as a request is sent on it, which leaves unknown
-            whether the request was executed.
-          allow_unframed: Whether a clean close of the connection ends a
-            response that has neither a length nor chunked encoding; otherwise
+          stall_s: Maximum time in seconds between received bytes, None
+            for no limit.
+          fresh: Whether to open a new connection. An endpoint may
+            close an idle one just as a request is sent on it, which leaves
+            unknown whether the request was executed.
+          allow_unframed: Whether a clean close of the connection ends
+            a response that has neither a length nor chunked encoding; otherwise
             such a response counts as truncated.
           connection: Unused connection from `connect` to send the request on.
           progress: Records how far the call got, to be read after a
