--- a/features/support/endpoint_processes.py
+++ b/features/support/endpoint_processes.py
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         self.runner = asyncio.Runner()
         http = http_client.HttpClient()
-        self.client = engine_client.EngineClient(http, stall_s=_STALL_S)
+        self.client = engine_client.EngineClient(http, stall_timeout_s=_STALL_S)
         self._service_client = service_client.ServiceClient(http)
         self._children_by_id = {
             name: child.Child(
@@ -116,7 +116,7 @@
 
     async def book(
         self, timeout_s: float = _BOOKING_TIMEOUT_S
-    ) -> service_client.ServiceAnswer:
+    ) -> service_client.ServiceResponse:
         """Makes a booking.
 
         Args:
--- a/src/cowsliprill/dispatch/order_sender.py
+++ b/src/cowsliprill/dispatch/order_sender.py
@@ -115,7 +115,7 @@
             await self._context.engines.order(
                 endpoint, order.fencing, order.target
             )
-        except engine_errors.StaleFencing as error:
+        except engine_errors.StaleFencingToken as error:
             self._reconciler.record_fencing_token(
                 order.endpoint_id, error.highest
             )
--- a/src/cowsliprill/engines/engine_caller.py
+++ b/src/cowsliprill/engines/engine_caller.py
@@ -24,12 +24,14 @@
 
     Args:
       http: HTTP client for all calls.
-      stall_s: Maximum time in seconds between bytes of a token stream.
+      stall_timeout_s: Maximum time in seconds between bytes of a token stream.
     """
 
-    def __init__(self, http: http_client.HttpClient, stall_s: float) -> None:
+    def __init__(
+        self, http: http_client.HttpClient, stall_timeout_s: float
+    ) -> None:
         self._http = http
-        self._stall_timeout_s = stall_s
+        self._stall_timeout_s = stall_timeout_s
 
     async def open_stream(
         self,
@@ -58,7 +60,7 @@
             {**_JSON_HEADERS, protocol.REQUEST_ID_HEADER: stream.request_id},
             json.dumps(fields).encode(),
             timeout_s=timeout_s,
-            stall_s=self._stall_timeout_s,
+            stall_timeout_s=self._stall_timeout_s,
         )
         if response.status != _OK:
             await _raise_error_response(response, stream.request_id)
@@ -146,7 +148,7 @@
     response_id = response.headers.get(protocol.REQUEST_ID_HEADER)
     if response_id != request_id:
         response.close()
-        raise errors.ForeignAnswer(
+        raise errors.ResponseIdMismatch(
             f"response carries the request id {response_id!r}"
         )
 
@@ -159,7 +161,7 @@
     # Load reports and orders have no request id, so there is none to echo.
     response_id = response.headers.get(protocol.REQUEST_ID_HEADER, "")
     if error.code == protocol.CODE_STALE_FENCING:
-        raise errors.StaleFencing(
+        raise errors.StaleFencingToken(
             error.message, code=error.code, highest=error.highest
         )
     if call_lib.is_refusal(response.status, error.run, response_id, request_id):
--- a/src/cowsliprill/engines/engine_client.py
+++ b/src/cowsliprill/engines/engine_client.py
@@ -17,13 +17,13 @@
 
     Args:
       http: HTTP client for all calls.
-      stall_s: Maximum time in seconds between bytes of a token stream.
+      stall_timeout_s: Maximum time in seconds between bytes of a token stream.
     """
 
     def __init__(
-        self, http: http_client.HttpClient, *, stall_s: float = 5.0
+        self, http: http_client.HttpClient, *, stall_timeout_s: float = 5.0
     ) -> None:
-        self._caller = engine_caller.EngineCaller(http, stall_s)
+        self._caller = engine_caller.EngineCaller(http, stall_timeout_s)
 
     async def prefill(
         self,
@@ -57,7 +57,7 @@
             timeout_s=timeout_s,
         )
         if payload.get("id") != request_id:
-            raise errors.ForeignAnswer(
+            raise errors.ResponseIdMismatch(
                 "prefill response carries the id of another request"
             )
         return engine_caller.parse_as(
--- a/src/cowsliprill/engines/errors.py
+++ b/src/cowsliprill/engines/errors.py
@@ -37,7 +37,7 @@
         super().__init__(message, run=messages.Executed.NO)
 
 
-class ConnectionsSpent(ConnectFailed):
+class ConnectionLimitReached(ConnectFailed):
     """This VM has reached its connection limit for the endpoint."""
 
     code = "connections_spent"
@@ -49,13 +49,13 @@
     code = "endpoint_timeout"
 
 
-class AnswerTooLarge(CallError):  # noqa: N818
+class ResponseTooLarge(CallError):  # noqa: N818
     """The response body exceeds the size limit for buffering in memory."""
 
     code = "answer_too_large"
 
 
-class ForeignAnswer(CallError):  # noqa: N818
+class ResponseIdMismatch(CallError):  # noqa: N818
     """The response does not carry the id of the request."""
 
     code = "foreign_answer"
@@ -78,7 +78,7 @@
         super().__init__(message, run=messages.Executed.NO, code=code)
 
 
-class StaleFencing(EngineRefused):
+class StaleFencingToken(EngineRefused):
     """The engine rejected an order because it has seen a higher fencing token.
 
     Attributes:
--- a/src/cowsliprill/engines/exchange.py
+++ b/src/cowsliprill/engines/exchange.py
@@ -71,7 +71,7 @@
             async for chunk in self.chunks():
                 size += len(chunk)
                 if size > limit:
-                    raise errors.AnswerTooLarge(
+                    raise errors.ResponseTooLarge(
                         f"response body exceeds {limit} bytes"
                     )
                 chunks.append(chunk)
@@ -110,7 +110,7 @@
       headers: HTTP headers of the response.
       complete: Whether the end of the response body was received.
       buffered_bytes: Number of bytes received but not yet read.
-      allow_unframed: Whether a clean close of the connection may end the
+      allow_close_delimited: Whether a clean close of the connection may end the
         body (close-delimited body).
     """
 
@@ -118,7 +118,7 @@
         self.status = 0
         self.headers = httputil.HTTPHeaders()
         self.complete = False
-        self.allow_unframed = False
+        self.allow_close_delimited = False
         self._has_body = method != "HEAD"
         self._loop = asyncio.get_running_loop()
         self._stream = stream
@@ -228,12 +228,14 @@
         if not self.complete and self._error is None:
             self.start_timers(_RELEASE_TIMEOUT_S, None)
 
-    def start_timers(self, timeout_s: float, stall_s: float | None) -> None:
+    def start_timers(
+        self, timeout_s: float, stall_timeout_s: float | None
+    ) -> None:
         """Starts the timers for the whole exchange and for stalls.
 
         Args:
           timeout_s: Timeout of the whole exchange in seconds.
-          stall_s: Maximum time in seconds between received bytes, None
+          stall_timeout_s: Maximum time in seconds between received bytes, None
             for no limit.
         """
         self._cancel_timers()
@@ -241,22 +243,24 @@
         self._timeout_timer = self._loop.call_later(
             timeout_s, self.fail, errors.CallTimeout("call timed out")
         )
-        if stall_s is not None:
-            self._check_stall(stall_s)
+        if stall_timeout_s is not None:
+            self._check_stall(stall_timeout_s)
 
-    def _check_stall(self, stall_s: float) -> None:
+    def _check_stall(self, stall_timeout_s: float) -> None:
         # One timer per stream that checks the time of the last byte. A timer
         # per chunk would cost more than relaying the chunk.
         idle_s = self._loop.time() - self._last_received_at
         reading = self._space_available is None
-        if reading and idle_s >= stall_s:
-            self.fail(errors.CallTimeout(f"no data received for {stall_s} s"))
+        if reading and idle_s >= stall_timeout_s:
+            self.fail(
+                errors.CallTimeout(f"no data received for {stall_timeout_s} s")
+            )
             return
         if self.complete or self._error is not None:
             return
-        wait_s = stall_s - idle_s if reading else stall_s
+        wait_s = stall_timeout_s - idle_s if reading else stall_timeout_s
         self._stall_timer = self._loop.call_later(
-            wait_s, self._check_stall, stall_s
+            wait_s, self._check_stall, stall_timeout_s
         )
 
     def _is_framed(self) -> bool:
@@ -274,7 +278,7 @@
         the end from a lost connection, and only if the server is known to
         close cleanly exactly when the body is complete.
         """
-        return self.allow_unframed and self._stream.error is None
+        return self.allow_close_delimited and self._stream.error is None
 
     def _stop_waiting(self) -> None:
         self._cancel_timers()
--- a/src/cowsliprill/engines/http_client.py
+++ b/src/cowsliprill/engines/http_client.py
@@ -144,9 +144,9 @@
         *,
         connect_timeout_s: float = 1.0,
         timeout_s: float = 120.0,
-        stall_s: float | None = None,
-        fresh: bool = False,
-        allow_unframed: bool = False,
+        stall_timeout_s: float | None = None,
+        new_connection: bool = False,
+        allow_close_delimited: bool = False,
         connection: Connection | None = None,
         progress: call_lib.CallProgress | None = None,
     ) -> exchange_lib.Response:
@@ -165,12 +165,12 @@
           connect_timeout_s: Connect timeout in seconds.
           timeout_s: Timeout of the call in seconds, from sending the request to
             the end of the response body.
-          stall_s: Maximum time in seconds between received bytes, None
+          stall_timeout_s: Maximum time in seconds between received bytes, None
             for no limit.
-          fresh: Whether to open a new connection. An endpoint may
+          new_connection: Whether to open a new connection. An endpoint may
             close an idle one just as a request is sent on it, which leaves
             unknown whether the request was executed.
-          allow_unframed: Whether a clean close of the connection ends
+          allow_close_delimited: Whether a clean close of the connection ends
             a response that has neither a length nor chunked encoding; otherwise
             such a response counts as truncated.
           connection: Unused connection from `connect` to send the request on.
@@ -193,16 +193,16 @@
         if connection is not None:
             stream = connection.stream
         else:
-            stream = None if fresh else self._pop_idle((host, port))
+            stream = None if new_connection else self._pop_idle((host, port))
         if stream is None:
             stream = await self._connect(host, port, connect_timeout_s)
         exchange = exchange_lib.Exchange(stream, method)
-        exchange.allow_unframed = allow_unframed
+        exchange.allow_close_delimited = allow_close_delimited
         try:
             http_connection = _send_request(
                 stream, (method, path, all_headers, body), progress
             )
-            exchange.start_timers(timeout_s, stall_s)
+            exchange.start_timers(timeout_s, stall_timeout_s)
             self._start_reader(http_connection, exchange, (host, port))
             await exchange.wait_for_headers()
         except BaseException:
@@ -275,7 +275,7 @@
                 oldest.stream.close()
             case connection_limits.OpenAction.REFUSE:
                 host, port = address
-                raise errors.ConnectionsSpent(
+                raise errors.ConnectionLimitReached(
                     f"{host}:{port}: all {limits.connections} connections"
                     " are in use"
                 )
--- a/src/cowsliprill/engines/service_client.py
+++ b/src/cowsliprill/engines/service_client.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class ServiceAnswer:
+class ServiceResponse:
     """Complete response of a plain service.
 
     Attributes:
@@ -69,7 +69,7 @@
         service: model.Service,
         request: ServiceRequest,
         progress: call_lib.CallProgress | None = None,
-    ) -> ServiceAnswer:
+    ) -> ServiceResponse:
         """Sends a request once, without retries.
 
         A non-idempotent request uses a new connection. The service may close
@@ -100,7 +100,8 @@
             request_headers(request),
             request.body,
             timeout_s=service.timeout_s,
-            fresh=service.idempotency is model.Idempotency.NON_IDEMPOTENT,
+            new_connection=service.idempotency
+            is model.Idempotency.NON_IDEMPOTENT,
             progress=progress,
         )
         body = await response.read(_MAX_RESPONSE_BYTES)
@@ -112,7 +113,7 @@
             progress.mark_refused()
             raise errors.ServiceRefused(error.message, code=error.code)
         if service.echoes_request_id and response_id != request.request_id:
-            raise errors.ForeignAnswer(
+            raise errors.ResponseIdMismatch(
                 f"response carries the request id {response_id!r}"
             )
         return _build_response(response, body)
@@ -139,8 +140,8 @@
 
 def _build_response(
     response: exchange_lib.Response, body: bytes
-) -> ServiceAnswer:
-    return ServiceAnswer(
+) -> ServiceResponse:
+    return ServiceResponse(
         status=response.status,
         headers=hop_headers.end_to_end(response.headers),
         body=body,
--- a/src/cowsliprill/entry/attempts.py
+++ b/src/cowsliprill/entry/attempts.py
@@ -59,7 +59,7 @@
         self,
         run: messages.Executed,
         reason: str,
-        answer: service_client.ServiceAnswer | None = None,
+        answer: service_client.ServiceResponse | None = None,
         *,
         unsent: bool = False,
     ) -> None:
--- a/src/cowsliprill/entry/calls.py
+++ b/src/cowsliprill/entry/calls.py
@@ -101,7 +101,7 @@
 
     async def call(
         self, ctx: context.Context, progress: call_lib.CallProgress
-    ) -> service_client.ServiceAnswer:
+    ) -> service_client.ServiceResponse:
         """Calls `ctx.endpoint` once.
 
         Raises:
--- a/src/cowsliprill/entry/context.py
+++ b/src/cowsliprill/entry/context.py
@@ -137,8 +137,9 @@
       caller_timeout_s: Timeout that the caller declares in seconds, 0 for none.
       declared_tokens: Sum of prompt tokens and limit of output tokens that the
         caller declares, 0 for none.
-      stall_s: Read timeout of the current call to an endpoint in seconds, None
-        to wait until the response is due; set by the relay or the placement.
+      stall_timeout_s: Read timeout of the current call to an endpoint in
+        seconds, None to wait until the response is due; set by the relay or the
+        placement.
       connection: Open, unused connection to the decode engine of the current
         attempt.
       exported_prefill: Exported KV cache of a finished prefill that no decode
@@ -171,7 +172,7 @@
     useful_until: float = 0.0
     caller_timeout_s: float = 0.0
     declared_tokens: int = 0
-    stall_s: float | None = None
+    stall_timeout_s: float | None = None
     connection: http_client.Connection | None = None
     exported_prefill: Any = None
     idempotency_key: str = ""
--- a/src/cowsliprill/entry/filters/plain_placement.py
+++ b/src/cowsliprill/entry/filters/plain_placement.py
@@ -72,7 +72,7 @@
                 )
             self.authorization.check(ctx)
             ctx.progress.attempts += 1
-            ctx.stall_s = _stall_timeout_s(ctx)
+            ctx.stall_timeout_s = _stall_timeout_s(ctx)
             try:
                 await self._run_call(ctx, proceed)
                 self.health.record_success(ctx.endpoint.id)
--- a/src/cowsliprill/entry/filters/resolve.py
+++ b/src/cowsliprill/entry/filters/resolve.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from cowsliprill.decisions import model
-from cowsliprill.engines import prefix
+from cowsliprill.engines import prompt_blocks
 from cowsliprill.engines import protocol
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
@@ -143,8 +143,8 @@
     fields: dict[str, Any],
     service: model.Service,
 ) -> context.Generation:
-    text = prefix.prompt_text(fields)
-    prompt_tokens = prefix.count_tokens(text)
+    text = prompt_blocks.prompt_text(fields)
+    prompt_tokens = prompt_blocks.count_tokens(text)
     if prompt_tokens > service.max_prompt_tokens:
         raise errors.EntryError(
             errors.Code.PROMPT_TOO_LARGE,
@@ -165,6 +165,8 @@
         prompt_tokens=prompt_tokens,
         # The salt keeps customers from sharing prefix cache blocks: otherwise
         # one could infer from its TTFT which prompts a competitor has sent.
-        prefix_hashes=prefix.block_hashes(text[:_MAX_HASHED_CHARACTERS], salt),
+        prefix_hashes=prompt_blocks.block_hashes(
+            text[:_MAX_HASHED_CHARACTERS], salt
+        ),
         output_tokens=output_tokens,
     )
--- a/src/cowsliprill/entry/model_relay.py
+++ b/src/cowsliprill/entry/model_relay.py
@@ -75,7 +75,9 @@
             stream.
           errors.EntryError: The request has failed for good.
         """
-        ctx.stall_s = _STREAM_STALL_TIMEOUT_S if ctx.service.resume else None
+        ctx.stall_timeout_s = (
+            _STREAM_STALL_TIMEOUT_S if ctx.service.resume else None
+        )
         try:
             await self._wait_for_engines(ctx.start)
             await self._connect_decode_engine(ctx)
@@ -109,7 +111,7 @@
             await self.calls.prepare(ctx, endpoint)
         except engine_errors.ConnectFailed as error:
             connections_exhausted = isinstance(
-                error, engine_errors.ConnectionsSpent
+                error, engine_errors.ConnectionLimitReached
             )
             raise attempts.AttemptError(
                 endpoint.id,
--- a/src/cowsliprill/entry/native.py
+++ b/src/cowsliprill/entry/native.py
@@ -10,7 +10,7 @@
 from cowsliprill.decisions import model
 from cowsliprill.engines import engine_client
 from cowsliprill.engines import model as engine_model
-from cowsliprill.engines import prefix
+from cowsliprill.engines import prompt_blocks
 from cowsliprill.engines import service_client
 from cowsliprill.engines import token_stream
 from cowsliprill.entry import context
@@ -105,7 +105,7 @@
 
     async def call(
         self, ctx: context.Context, progress: call_lib.CallProgress
-    ) -> service_client.ServiceAnswer:
+    ) -> service_client.ServiceResponse:
         """Calls `ctx.endpoint` once."""
         # Attempt numbers start at 0.
         attempt = ctx.progress.attempts - 1
@@ -187,7 +187,7 @@
     # Engines include the salt in their prefix cache keys, so that customers who
     # send the same prompt don't share blocks. A salt set by the caller is
     # overridden.
-    fields[prefix.SALT_FIELD] = ctx.customer.id
+    fields[prompt_blocks.SALT_FIELD] = ctx.customer.id
     return fields
 
 
--- a/src/cowsliprill/entry/plain_relay.py
+++ b/src/cowsliprill/entry/plain_relay.py
@@ -42,7 +42,7 @@
 
     async def _call_service(
         self, ctx: context.Context
-    ) -> service_client.ServiceAnswer:
+    ) -> service_client.ServiceResponse:
         progress = call_lib.CallProgress()
         try:
             return await self.calls.call(ctx, progress)
@@ -59,7 +59,7 @@
 
 
 async def relay_response(
-    ctx: context.Context, response: service_client.ServiceAnswer
+    ctx: context.Context, response: service_client.ServiceResponse
 ) -> None:
     """Sends a plain service's complete response to the caller.
 
@@ -78,7 +78,7 @@
 
 
 def _should_retry(
-    ctx: context.Context, response: service_client.ServiceAnswer
+    ctx: context.Context, response: service_client.ServiceResponse
 ) -> bool:
     return (
         ctx.service.retries.failed_answers
--- a/src/cowsliprill/entry/ticket_forwarding.py
+++ b/src/cowsliprill/entry/ticket_forwarding.py
@@ -141,7 +141,7 @@
             self._forward_headers(ctx.call, owner_incarnation),
             ctx.call.body,
             timeout_s=timeout_s,
-            fresh=True,
+            new_connection=True,
         )
         await _relay_response(ctx, response)
 
--- a/src/cowsliprill/platform/engines.py
+++ b/src/cowsliprill/platform/engines.py
@@ -180,7 +180,7 @@
 
     async def call(
         self, ctx: context.Context, progress: call_lib.CallProgress
-    ) -> service_client.ServiceAnswer:
+    ) -> service_client.ServiceResponse:
         """Calls `ctx.endpoint` once."""
         timeout_s = max(ctx.response_due_at - clock.now(), 1 / _MS_PER_S)
         response = await _send(
@@ -197,7 +197,7 @@
         except errors.EngineRefused:
             progress.mark_refused()
             raise
-        return service_client.ServiceAnswer(
+        return service_client.ServiceResponse(
             status=response.status,
             headers=hop_headers.end_to_end(response.headers),
             body=body,
@@ -225,11 +225,11 @@
         ctx.call.body,
         connect_timeout_s=_CONNECT_S,
         timeout_s=timeout_s,
-        stall_s=ctx.stall_s,
+        stall_timeout_s=ctx.stall_timeout_s,
         # An engine may close a kept connection just as a request goes out on
         # it, and then nobody could say whether that was run.
-        fresh=unrepeatable and not prefills,
-        allow_unframed=True,
+        new_connection=unrepeatable and not prefills,
+        allow_close_delimited=True,
         connection=connection,
         progress=progress,
     )
@@ -274,7 +274,9 @@
     headers = response.headers
     attempt = ctx.call.headers.get(headers_lib.ATTEMPT, "")
     if headers.get(headers_lib.ATTEMPT, attempt) != attempt:
-        raise errors.ForeignAnswer("the answer carries another request's id")
+        raise errors.ResponseIdMismatch(
+            "the answer carries another request's id"
+        )
     status = response.status
     if headers_lib.NOT_RUN in headers:
         raise errors.EngineRefused(f"status {status}", code=protocol.CODE_FULL)
@@ -291,7 +293,7 @@
 
 def _check_success(headers: httputil.HTTPHeaders, *, signed: bool) -> None:
     if headers_lib.ATTEMPT not in headers:
-        raise errors.ForeignAnswer("the answer carries no id")
+        raise errors.ResponseIdMismatch("the answer carries no id")
     if signed and headers_lib.SIGNATURE not in headers:
         raise errors.EngineFailed("the answer bears no signature")
     if headers_lib.CONTENT_ENCODING in headers:
--- a/src/cowsliprill/platform/orders.py
+++ b/src/cowsliprill/platform/orders.py
@@ -68,7 +68,7 @@
             json.dumps(order).encode(),
             connect_timeout_s=_CONNECT_S,
             timeout_s=_ANSWER_S,
-            fresh=True,
+            new_connection=True,
         )
         await response.read(_MAX_ANSWER_BYTES)
         return _OUTCOME_BY_STATUS.get(response.status, str(response.status))
--- a/src/cowsliprill/platform/store.py
+++ b/src/cowsliprill/platform/store.py
@@ -78,7 +78,7 @@
                 {},
                 connect_timeout_s=_CONNECT_S,
                 timeout_s=timeout_s,
-                fresh=True,
+                new_connection=True,
             )
             body = await response.read(_MAX_ANSWER_BYTES)
         except engine_errors.CallError as error:
--- a/src/cowsliprill/standins/engine.py
+++ b/src/cowsliprill/standins/engine.py
@@ -8,7 +8,7 @@
 from cowsliprill.engines import errors
 from cowsliprill.engines import http_client
 from cowsliprill.engines import model as engine_model
-from cowsliprill.engines import prefix
+from cowsliprill.engines import prompt_blocks
 from cowsliprill.engines import protocol
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_memory
@@ -78,11 +78,13 @@
           body: The request's body.
           conduct: What to do wrong.
         """
-        salt = str(body.get(prefix.SALT_FIELD, ""))
-        hashes = prefix.block_hashes(request.text, salt)
+        salt = str(body.get(prompt_blocks.SALT_FIELD, ""))
+        hashes = prompt_blocks.block_hashes(request.text, salt)
         await self._turns.acquire(int(body.get("priority", 0)))
         try:
-            cached = self.memory.count_cached(hashes) * prefix.BLOCK_TOKENS
+            cached = (
+                self.memory.count_cached(hashes) * prompt_blocks.BLOCK_TOKENS
+            )
             tokens = max(request.prompt_tokens - cached, 1)
             seconds = tokens / self.command.prefill_tokens_per_s
             await self._work(request, seconds * conduct.slow_factor)
--- a/src/cowsliprill/standins/engine_handlers.py
+++ b/src/cowsliprill/standins/engine_handlers.py
@@ -10,7 +10,7 @@
 from cowsliprill.decisions import model
 from cowsliprill.engines import load_report
 from cowsliprill.engines import model as engine_model
-from cowsliprill.engines import prefix
+from cowsliprill.engines import prompt_blocks
 from cowsliprill.engines import protocol
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_memory
@@ -148,8 +148,8 @@
         conduct: misbehaviour_lib.Misbehaviour,
         wants_decode: bool,
     ) -> None:
-        text = prefix.prompt_text(body)
-        tokens = prefix.count_tokens(text)
+        text = prompt_blocks.prompt_text(body)
+        tokens = prompt_blocks.count_tokens(text)
         stage = _Stage.TRANSFER if wants_decode else _Stage.PREFILL
         answer_tokens = int(body.get("max_tokens", 0)) if wants_decode else 0
         request = self._memory.admit(
--- a/src/cowsliprill/standins/engine_memory.py
+++ b/src/cowsliprill/standins/engine_memory.py
@@ -7,7 +7,7 @@
 import time
 
 from cowsliprill.engines import model
-from cowsliprill.engines import prefix
+from cowsliprill.engines import prompt_blocks
 
 _CANCEL_MEMORY_S = 60.0
 _MAX_CACHE_EVENTS = 10_000
@@ -151,7 +151,7 @@
         Returns:
           The request, None if there is no slot or not enough KV blocks.
         """
-        blocks = -(-tokens // prefix.BLOCK_TOKENS)
+        blocks = -(-tokens // prompt_blocks.BLOCK_TOKENS)
         if self.used_slots() >= self.slots:
             return None
         if self.used_blocks() + blocks > self.blocks:
--- a/src/cowsliprill/standins/event_writer.py
+++ b/src/cowsliprill/standins/event_writer.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from cowsliprill.engines import prefix
+from cowsliprill.engines import prompt_blocks
 from cowsliprill.standins import engine_memory
 from cowsliprill.standins import misbehaviour as misbehaviour_lib
 
@@ -39,7 +39,7 @@
             "chat.completion.chunk" if self._chat else "text_completion"
         )
         self._counted = count + int(conduct.wrong_count)
-        self._prompt_tokens = prefix.count_tokens(request.text)
+        self._prompt_tokens = prompt_blocks.count_tokens(request.text)
         digest = xxhash.xxh3_64_hexdigest(request.text.encode())
         self._word = f" {digest[:8]}"
 
--- a/tests/entry_site.py
+++ b/tests/entry_site.py
@@ -376,7 +376,7 @@
             path,
             {**key, **(headers or {})},
             body,
-            fresh=True,
+            new_connection=True,
         )
 
     async def call(self, *arguments: Any, **named: Any) -> HttpResponse:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -541,7 +541,7 @@
             path,
             {**own, **(headers or {})},
             body,
-            fresh=True,
+            new_connection=True,
         )
 
     async def call(
--- a/tests/raw_endpoint.py
+++ b/tests/raw_endpoint.py
@@ -18,7 +18,7 @@
     Attributes:
       port: Listening port.
       connections: Number of connections accepted so far.
-      ran: Complete requests that the script executed.
+      executed_requests: Complete requests that the script executed.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
     ) -> None:
         self.port = 0
         self.connections = 0
-        self.ran: list[bytes] = []
+        self.executed_requests: list[bytes] = []
         self._disconnected = asyncio.Event()
         self._script = script
         self._server: asyncio.Server | None = None
@@ -41,7 +41,7 @@
         """Stops listening."""
         self._server.close()
 
-    async def wait_for_hang_up(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Waits until a client has closed its connection.
 
         Raises:
@@ -92,21 +92,21 @@
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = head.lower().split(b"content-length:")[1].split(b"\r\n")[0]
         body = await self.reader.readexactly(int(length))
-        self.endpoint.ran.append(head + body)
+        self.endpoint.executed_requests.append(head + body)
 
     async def send(self, data: bytes) -> None:
         """Sends raw bytes."""
         self.writer.write(data)
         await self.writer.drain()
 
-    async def wait_for_hang_up(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Waits until the client has closed the connection."""
         while await self.reader.read(65_536):
             pass
         self.endpoint.record_disconnect()
 
 
-def answer(
+def http_response(
     body: bytes, status: str = "200 OK", headers: str = "", length: int = -1
 ) -> bytes:
     """Builds an HTTP response.
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -120,7 +120,7 @@
             prefill_endpoint=endpoints[0],
             decode_endpoint=endpoints[1],
             service_endpoint=endpoints[2],
-            client=engine_client.EngineClient(http, stall_s=0.3),
+            client=engine_client.EngineClient(http, stall_timeout_s=0.3),
             service_client=service_client.ServiceClient(http),
         )
     finally:
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -114,8 +114,8 @@
 
 async def _answer_once(connection):
     await connection.run()
-    await connection.send(raw_endpoint.answer(b"one"))
-    await connection.wait_for_hang_up()
+    await connection.send(raw_endpoint.http_response(b"one"))
+    await connection.wait_for_disconnect()
 
 
 async def _spin_until(condition) -> None:
@@ -136,7 +136,7 @@
             async with raw_endpoint.RawEndpoint(_answer_once) as endpoint:
                 client = _make_limited_client(endpoint.port, 4, 2)
                 for _ in range(9):
-                    await _call(client, endpoint.port, fresh=True)
+                    await _call(client, endpoint.port, new_connection=True)
                 idle = client.idle_count()
                 client.close()
                 return endpoint.connections, idle
@@ -158,13 +158,13 @@
                 await connection.run()
                 ran.set()
                 await done.wait()
-                await connection.send(raw_endpoint.answer(b"one"))
+                await connection.send(raw_endpoint.http_response(b"one"))
 
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 client = _make_limited_client(endpoint.port, 1, 1)
                 first = asyncio.create_task(_call(client, endpoint.port))
                 await ran.wait()
-                with pytest.raises(errors.ConnectionsSpent) as caught:
+                with pytest.raises(errors.ConnectionLimitReached) as caught:
                     await _call(client, endpoint.port)
                 done.set()
                 await first
@@ -179,8 +179,8 @@
                 client = _make_limited_client(endpoint.port, 1, 1)
                 await _call(client, endpoint.port)
                 assert client.idle_count() == 1
-                await _call(client, endpoint.port, fresh=True)
-                await endpoint.wait_for_hang_up()
+                await _call(client, endpoint.port, new_connection=True)
+                await endpoint.wait_for_disconnect()
                 client.close()
                 return endpoint.connections
 
@@ -197,7 +197,9 @@
             for _ in range(3):
                 with pytest.raises(errors.ConnectFailed) as caught:
                     await _call(client, port)
-                assert not isinstance(caught.value, errors.ConnectionsSpent)
+                assert not isinstance(
+                    caught.value, errors.ConnectionLimitReached
+                )
 
         asyncio.run(scenario())
 
@@ -207,15 +209,15 @@
         A call sent at that moment is cut off, and it is unknown whether it was
         executed.
         """
-        answer = raw_endpoint.answer(
+        http_response = raw_endpoint.http_response(
             b"one", headers="Keep-Alive: timeout=0\r\n"
         )
 
         async def scenario():
             async def script(connection):
                 await connection.run()
-                await connection.send(answer)
-                await connection.wait_for_hang_up()
+                await connection.send(http_response)
+                await connection.wait_for_disconnect()
 
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 client = http_client.HttpClient()
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -245,7 +245,7 @@
     async def test_refusal_of_another_request(self, fleet) -> None:
         """An engine sends a refusal that carries another request's id."""
         fleet.prefill.conduct.set({"foreign_id": True})
-        with pytest.raises(errors.ForeignAnswer) as caught:
+        with pytest.raises(errors.ResponseIdMismatch) as caught:
             await fleet.start_decode()
         assert caught.value.run is messages.Executed.UNKNOWN
 
@@ -327,7 +327,7 @@
     async def test_response_header_with_another_id(self, fleet) -> None:
         """The response headers of a stream carry another request's id."""
         fleet.decode.conduct.set({"foreign_id": True})
-        with pytest.raises(errors.ForeignAnswer):
+        with pytest.raises(errors.ResponseIdMismatch):
             await fleet.start_decode()
 
     @_with_fleet(seconds_per_token=0.01)
@@ -395,7 +395,7 @@
             endpoint = fleet.decode_endpoint
             await fleet.client.order(endpoint, 7, new)
             if checks:
-                with pytest.raises(errors.StaleFencing) as caught:
+                with pytest.raises(errors.StaleFencingToken) as caught:
                     await fleet.client.order(endpoint, 6, old)
                 assert caught.value.highest == 7
             else:
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -38,11 +38,11 @@
 async def _request_length() -> int:
     async def script(connection) -> None:
         await connection.run()
-        await connection.send(raw_endpoint.answer(b""))
+        await connection.send(raw_endpoint.http_response(b""))
 
     async with raw_endpoint.RawEndpoint(script) as endpoint:
         await _post(http_client.HttpClient(), endpoint.port)
-        return len(endpoint.ran[0])
+        return len(endpoint.executed_requests[0])
 
 
 class TestFaultAtEachByte:
@@ -80,7 +80,7 @@
                 async with raw_endpoint.RawEndpoint(script) as endpoint:
                     error = await _call_error(client, endpoint.port)
                     assert error.run is messages.Executed.UNKNOWN, end
-                    assert len(endpoint.ran) == int(end == length)
+                    assert len(endpoint.executed_requests) == int(end == length)
 
         asyncio.run(scenario())
 
@@ -91,7 +91,7 @@
         The caller must neither accept a truncated response as complete nor
         get "not run".
         """
-        response = raw_endpoint.answer(b'{"number": 1}')
+        response = raw_endpoint.http_response(b'{"number": 1}')
         if chunked:
             head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             response = head + b"4\r\n{1:2\r\n1\r\n}\r\n0\r\n\r\n"
@@ -107,7 +107,7 @@
                 async with raw_endpoint.RawEndpoint(script) as endpoint:
                     error = await _call_error(client, endpoint.port)
                     assert error.run is messages.Executed.UNKNOWN, end
-                    assert len(endpoint.ran) == 1
+                    assert len(endpoint.executed_requests) == 1
 
         asyncio.run(scenario())
 
@@ -138,7 +138,7 @@
         async def script(connection) -> None:
             await connection.run()
             await connection.send(garbage)
-            await connection.wait_for_hang_up()
+            await connection.wait_for_disconnect()
 
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
@@ -175,7 +175,7 @@
                         "127.0.0.1", endpoint.port, method, path, headers
                     )
                 assert caught.value.run is messages.Executed.NO
-                assert endpoint.ran == []
+                assert endpoint.executed_requests == []
 
         asyncio.run(scenario())
 
@@ -188,7 +188,7 @@
 
         async def script(connection) -> None:
             await connection.run()
-            await connection.send(raw_endpoint.answer(b""))
+            await connection.send(raw_endpoint.http_response(b""))
 
         async def scenario() -> None:
             headers = {"Transfer-Encoding": "chunked", "Content-Length": "9"}
@@ -196,7 +196,7 @@
                 await http_client.HttpClient().call(
                     "127.0.0.1", endpoint.port, "POST", "/", headers, b"abc"
                 )
-                head = endpoint.ran[0].lower()
+                head = endpoint.executed_requests[0].lower()
                 assert b"transfer-encoding" not in head
                 assert head.count(b"content-length: 3") == 1
 
@@ -246,7 +246,7 @@
             async def script(connection) -> None:
                 await connection.run()
                 executed.set()
-                await connection.wait_for_hang_up()
+                await connection.wait_for_disconnect()
 
             progress = call_lib.CallProgress()
             client = http_client.HttpClient()
@@ -258,7 +258,7 @@
                 call.cancel()
                 with pytest.raises(asyncio.CancelledError):
                     await call
-                await endpoint.wait_for_hang_up()
+                await endpoint.wait_for_disconnect()
                 assert progress.run is messages.Executed.UNKNOWN
             client.close()
 
@@ -274,8 +274,10 @@
 
         async def script(connection) -> None:
             await connection.run()
-            await connection.send(raw_endpoint.answer(sent_body, length=10))
-            await connection.wait_for_hang_up()
+            await connection.send(
+                raw_endpoint.http_response(sent_body, length=10)
+            )
+            await connection.wait_for_disconnect()
 
         async def scenario() -> None:
             client = http_client.HttpClient()
@@ -289,7 +291,7 @@
                 reading.cancel()
                 with pytest.raises(asyncio.CancelledError):
                     await reading
-                await endpoint.wait_for_hang_up()
+                await endpoint.wait_for_disconnect()
             client.close()
 
         asyncio.run(scenario())
@@ -299,15 +301,16 @@
     """An endpoint does not finish its response."""
 
     @pytest.mark.parametrize(
-        "limits", [{"timeout_s": 0.05}, {"stall_s": 0.05, "timeout_s": 60}]
+        "limits",
+        [{"timeout_s": 0.05}, {"stall_timeout_s": 0.05, "timeout_s": 60}],
     )
     def test_stalled_response(self, limits) -> None:
         """An engine hangs during its response; the call must time out."""
 
         async def script(connection) -> None:
             await connection.run()
-            await connection.send(raw_endpoint.answer(b"half", length=8))
-            await connection.wait_for_hang_up()
+            await connection.send(raw_endpoint.http_response(b"half", length=8))
+            await connection.wait_for_disconnect()
 
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
@@ -315,7 +318,7 @@
                     http_client.HttpClient(), endpoint.port, **limits
                 )
                 assert isinstance(error, errors.CallTimeout)
-                await endpoint.wait_for_hang_up()
+                await endpoint.wait_for_disconnect()
 
         asyncio.run(scenario())
 
@@ -341,16 +344,23 @@
         return asyncio.run(scenario())
 
     def test_clean_connection_is_reused(self) -> None:
-        answer = raw_endpoint.answer(b"one")
-        assert self._connections_after_two_calls(answer) == 1
+        http_response = raw_endpoint.http_response(b"one")
+        assert self._connections_after_two_calls(http_response) == 1
 
     def test_new_connection_on_request(self) -> None:
-        answer = raw_endpoint.answer(b"one")
-        assert self._connections_after_two_calls(answer, fresh=True) == 2
+        http_response = raw_endpoint.http_response(b"one")
+        assert (
+            self._connections_after_two_calls(
+                http_response, new_connection=True
+            )
+            == 2
+        )
 
     def test_connection_close_header(self) -> None:
-        answer = raw_endpoint.answer(b"one", headers="Connection: close\r\n")
-        assert self._connections_after_two_calls(answer) == 2
+        http_response = raw_endpoint.http_response(
+            b"one", headers="Connection: close\r\n"
+        )
+        assert self._connections_after_two_calls(http_response) == 2
 
     def test_unsolicited_bytes_prevent_reuse(self) -> None:
         """An endpoint sends a second response to the same request.
@@ -358,8 +368,10 @@
         The next call on this connection would read the second response as its
         own.
         """
-        answer = raw_endpoint.answer(b"one") + raw_endpoint.answer(b"two")
-        assert self._connections_after_two_calls(answer) == 2
+        http_response = raw_endpoint.http_response(
+            b"one"
+        ) + raw_endpoint.http_response(b"two")
+        assert self._connections_after_two_calls(http_response) == 2
 
     def test_endpoint_closes_an_idle_connection(self) -> None:
         """An endpoint closes idle connections; the next calls still succeed."""
@@ -367,7 +379,7 @@
         async def scenario() -> None:
             async def script(connection) -> None:
                 await connection.run()
-                await connection.send(raw_endpoint.answer(b"one"))
+                await connection.send(raw_endpoint.http_response(b"one"))
 
             client = http_client.HttpClient()
             async with raw_endpoint.RawEndpoint(script) as endpoint:
@@ -397,7 +409,7 @@
                 await released.wait()
                 if ends:
                     await connection.send(b"0\r\n\r\n")
-                await connection.wait_for_hang_up()
+                await connection.wait_for_disconnect()
 
             client = http_client.HttpClient()
             async with raw_endpoint.RawEndpoint(script) as endpoint:
@@ -412,7 +424,7 @@
                 if ends:
                     await _run_loop_until(lambda: client.idle_count() == 1)
                 else:
-                    await endpoint.wait_for_hang_up()
+                    await endpoint.wait_for_disconnect()
                     assert client.idle_count() == 0
 
         asyncio.run(scenario())
@@ -431,7 +443,7 @@
 
             async def script(connection) -> None:
                 await connection.reader.readuntil(b"\r\n\r\n")
-                await connection.send(raw_endpoint.answer(b"too large"))
+                await connection.send(raw_endpoint.http_response(b"too large"))
                 await answered.wait()
                 arrived.set_result(len(await connection.reader.read()))
 
@@ -467,7 +479,9 @@
             async def script(connection) -> None:
                 nonlocal sent
                 await connection.run()
-                await connection.send(raw_endpoint.answer(b"", length=total))
+                await connection.send(
+                    raw_endpoint.http_response(b"", length=total)
+                )
                 while sent < total:
                     await connection.send(bytes(100_000))
                     sent += 100_000
@@ -491,13 +505,13 @@
     def test_response_over_the_size_limit(self) -> None:
         async def script(connection) -> None:
             await connection.run()
-            await connection.send(raw_endpoint.answer(bytes(2_000_000)))
+            await connection.send(raw_endpoint.http_response(bytes(2_000_000)))
 
         async def scenario() -> None:
             async with raw_endpoint.RawEndpoint(script) as endpoint:
                 error = await _call_error(
                     http_client.HttpClient(), endpoint.port
                 )
-                assert isinstance(error, errors.AnswerTooLarge)
+                assert isinstance(error, errors.ResponseTooLarge)
 
         asyncio.run(scenario())
--- a/tests/test_model_relay.py
+++ b/tests/test_model_relay.py
@@ -151,7 +151,7 @@
             response_due_at=clock.now() + 60,
             connection=None,
             exported_prefill=None,
-            stall_s=None,
+            stall_timeout_s=None,
         )
 
     def _warn(self, event, **fields):
--- a/tests/test_plain_call_outcomes.py
+++ b/tests/test_plain_call_outcomes.py
@@ -69,7 +69,7 @@
         if outcome in (_RESPONSE_LOST, _REQUEST_LOST):
             raise engine_errors.CallError("connection lost", run=progress.run)
         status = 500 if outcome == _SERVER_ERROR else 200
-        return service_client.ServiceAnswer(
+        return service_client.ServiceResponse(
             status=status, headers=httputil.HTTPHeaders(), body=b""
         )
 
@@ -127,7 +127,7 @@
         deadline=clock.now() + 60,
         idempotency_key="",
         endpoint=None,
-        stall_s=None,
+        stall_timeout_s=None,
         response_writer=None,
     )
 
--- a/tests/test_prefix.py
+++ b/tests/test_prompt_blocks.py
@@ -3,9 +3,9 @@
 import hypothesis
 from hypothesis import strategies
 
-from cowsliprill.engines import prefix
+from cowsliprill.engines import prompt_blocks
 
-_BLOCK = prefix.CHARACTERS_PER_TOKEN * prefix.BLOCK_TOKENS
+_BLOCK = prompt_blocks.CHARACTERS_PER_TOKEN * prompt_blocks.BLOCK_TOKENS
 _settings = hypothesis.settings(
     derandomize=True, deadline=None, database=None, max_examples=60
 )
@@ -19,9 +19,12 @@
         strategies.text(max_size=4 * _BLOCK), strategies.text(max_size=90)
     )
     def test_longer_prompt_keeps_earlier_hashes(self, text, more) -> None:
-        hashes = prefix.block_hashes(text, "firm")
+        hashes = prompt_blocks.block_hashes(text, "firm")
         assert len(hashes) == len(text) // _BLOCK
-        assert prefix.block_hashes(text + more, "firm")[: len(hashes)] == hashes
+        assert (
+            prompt_blocks.block_hashes(text + more, "firm")[: len(hashes)]
+            == hashes
+        )
 
     def test_hash_depends_on_preceding_blocks(self) -> None:
         """Two prompts have different first blocks and equal last blocks.
@@ -30,19 +33,19 @@
         decoded with the KV cache of the first one.
         """
         ends = "e" * _BLOCK
-        first = prefix.block_hashes("a" * _BLOCK + ends, "firm")
-        second = prefix.block_hashes("b" * _BLOCK + ends, "firm")
+        first = prompt_blocks.block_hashes("a" * _BLOCK + ends, "firm")
+        second = prompt_blocks.block_hashes("b" * _BLOCK + ends, "firm")
         assert not set(first) & set(second)
 
     def test_customers_share_no_block(self) -> None:
         """Equal prompts of two customers have no block hash in common."""
         text = "p" * 3 * _BLOCK
-        first = prefix.block_hashes(text, "umurongo/isoko")
-        second = prefix.block_hashes(text, "umurongo/inkomoko")
+        first = prompt_blocks.block_hashes(text, "umurongo/isoko")
+        second = prompt_blocks.block_hashes(text, "umurongo/inkomoko")
         assert not set(first) & set(second)
 
     def test_hashes_fit_53_bits(self) -> None:
-        hashes = prefix.block_hashes("x" * 50 * _BLOCK, "firm")
+        hashes = prompt_blocks.block_hashes("x" * 50 * _BLOCK, "firm")
         assert all(0 <= value < 2**53 for value in hashes)
 
 
@@ -54,10 +57,12 @@
             {"role": "system", "content": "be short"},
             {"role": "user", "content": "where is bag 7"},
         ]
-        chat = prefix.prompt_text({"messages": messages})
+        chat = prompt_blocks.prompt_text({"messages": messages})
         assert chat == "system: be short\nuser: where is bag 7"
-        assert prefix.prompt_text({"prompt": "a b"}) == "a b"
+        assert prompt_blocks.prompt_text({"prompt": "a b"}) == "a b"
 
     def test_token_count_is_rounded_up_and_at_least_one(self) -> None:
-        counts = [prefix.count_tokens("x" * size) for size in (0, 1, 4, 5)]
+        counts = [
+            prompt_blocks.count_tokens("x" * size) for size in (0, 1, 4, 5)
+        ]
         assert counts == [1, 1, 1, 2]
--- a/tests/test_service_client.py
+++ b/tests/test_service_client.py
@@ -110,7 +110,7 @@
         async def script(connection) -> None:
             while True:
                 await connection.run()
-                await connection.send(raw_endpoint.answer(b"booked"))
+                await connection.send(raw_endpoint.http_response(b"booked"))
 
         async def scenario() -> None:
             service = dataclasses.replace(
