--- a/src/cowsliprill/capacity/__init__.py
+++ b/src/cowsliprill/capacity/__init__.py
@@ -1,1 +1,4 @@
-"""Measured slopes behind docs/CAPACITY.md."""
+"""Measures control-plane costs and extrapolates them to a fleet's size.
+
+The tables of docs/CAPACITY.md come from this package.
+"""
--- a/src/cowsliprill/capacity/__main__.py
+++ b/src/cowsliprill/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the measurements: `python -m cowsliprill.capacity`."""
+"""Command line of `python -m cowsliprill.capacity`."""
 
 import dataclasses
 import pathlib
@@ -16,10 +16,10 @@
 @cappa.command(name="cowsliprill-capacity")
 @dataclasses.dataclass
 class _Command:
-    """Measure the slopes and print the tables of docs/CAPACITY.md.
+    """Measure control-plane costs and print the tables of docs/CAPACITY.md.
 
     Attributes:
-      plot: Where to draw the slopes.
+      plot: Image file for a plot of all fits; None draws no plot.
     """
 
     plot: Annotated[
@@ -28,21 +28,25 @@
 
 
 def main() -> int:
-    """Measures and prints.
+    """Runs all measurements and prints the tables as Markdown.
 
     Returns:
-      The exit code.
+      The exit code, always 0.
     """
     arguments = cappa.parse(_Command)
-    slopes = measure.all_slopes()
-    slopes_by_name = {slope.name: slope for slope in slopes}
-    print(report.slopes_table(slopes))
+    fits = measure.measure_all()
+    fits_by_name = {line.name: line for line in fits}
+    print(report.fits_table(fits))
     print()
-    print(report.roles_table(slopes_by_name, fleet.LETTER, fleet.LIMITS))
+    print(
+        report.control_cost_table(
+            fits_by_name, fleet.TARGET_FLEET, fleet.TARGET_LIMITS
+        )
+    )
     print()
-    print(report.memory_table(slopes_by_name, fleet.LETTER))
+    print(report.memory_table(fits_by_name, fleet.TARGET_FLEET))
     if arguments.plot is not None:
-        plot.save(slopes, arguments.plot)
+        plot.save(fits, arguments.plot)
     return 0
 
 
--- a/src/cowsliprill/capacity/fleet.py
+++ b/src/cowsliprill/capacity/fleet.py
@@ -1,64 +1,66 @@
-"""The size that the letter names, and the limits that come with it."""
+"""Size of the fleet that the router is planned for, and its resource limits."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSize:
-    """Counts and rates of the whole fleet.
+    """Sizes and request rates of the whole fleet.
 
     Attributes:
-      nodes: Entry VMs.
-      engines: Prefill and decode engines.
-      customers: Customers.
-      changes_per_s: Changes of the settings, average of a day.
-      requests_per_s: Requests at the peak.
-      tokens_per_s: Generated tokens at the peak.
-      vm_changes_per_s: Failures and restarts of VMs; each is two changes of
-        the list.
-      zones: Availability zones.
-      slots: Slots of a decode engine.
+      entry_vms: VMs that run entry, dispatch and settings processes.
+      engines: Number of prefill and decode engines.
+      customers: Number of customers.
+      settings_changes_per_s: Settings changes per second, averaged over a
+        day.
+      requests_per_s: Requests per second at peak load.
+      tokens_per_s: Generated tokens per second at peak load.
+      vm_list_changes_per_s: Changes of the VM list per second; each failure
+        or restart of a VM changes the list twice.
+      availability_zones: Number of availability zones.
+      slots_per_decode_engine: Requests that a decode engine runs at once.
     """
 
-    nodes: int = 690
+    entry_vms: int = 690
     engines: int = 5_900
     customers: int = 42_000
-    changes_per_s: float = 25_000 / 86_400
+    settings_changes_per_s: float = 25_000 / 86_400
     requests_per_s: float = 36_000.0
     tokens_per_s: float = 15_000_000.0
-    vm_changes_per_s: float = 2 * (1_900 + 77) / 86_400
-    zones: int = 10
-    slots: int = 20
+    vm_list_changes_per_s: float = 2 * (1_900 + 77) / 86_400
+    availability_zones: int = 10
+    slots_per_decode_engine: int = 20
 
     @property
-    def engines_per_home(self) -> float:
-        """Engines whose home one node is."""
-        return self.engines / self.nodes
+    def engines_per_coordinator(self) -> float:
+        """Returns the mean number of engines that one VM coordinates."""
+        return self.engines / self.entry_vms
 
     @property
-    def requests_per_node(self) -> float:
-        """Requests a second at one node."""
-        return self.requests_per_s / self.nodes
+    def requests_per_vm_s(self) -> float:
+        """Returns the requests per second through one VM at peak load."""
+        return self.requests_per_s / self.entry_vms
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Limits:
-    """What one node may spend on control, and what the platform stands.
+class ResourceLimits:
+    """Limits on control-plane work per VM and on load of the platform API.
 
     Attributes:
-      core: Part of a core.
-      memory_bytes: Resident memory.
-      bytes_per_s: Bytes on the wire.
-      change_s: Time until a change is in force everywhere.
-      platform_reads_per_s: Calls of the platform by all nodes.
+      core_fraction: CPU time per VM, as a fraction of one core.
+      memory_bytes: Resident memory per VM.
+      bytes_per_s: Network traffic per VM.
+      settings_propagation_s: Time until a settings change is in force on all
+        VMs.
+      platform_calls_per_s: Platform API calls per second by all VMs together.
     """
 
-    core: float = 0.027
+    core_fraction: float = 0.027
     memory_bytes: float = 128e6
     bytes_per_s: float = 4_000.0
-    change_s: float = 9.0
-    platform_reads_per_s: float = 2_000.0
+    settings_propagation_s: float = 9.0
+    platform_calls_per_s: float = 2_000.0
 
 
-LETTER = FleetSize()
-LIMITS = Limits()
+TARGET_FLEET = FleetSize()
+TARGET_LIMITS = ResourceLimits()
--- a/src/cowsliprill/capacity/gauge.py
+++ b/src/cowsliprill/capacity/gauge.py
@@ -1,4 +1,4 @@
-"""Measures memory and processor time of one step in this process."""
+"""Measures memory and CPU time of an operation in the current process."""
 
 import gc
 import time
@@ -6,42 +6,43 @@
 from collections.abc import Callable
 from typing import Any
 
-_REPEATS = 3
+_ROUNDS = 3
 
 
 def memory_bytes(build: Callable[[], Any]) -> float:
-    """Returns what the built object holds, by tracemalloc.
+    """Returns the memory that a newly built object retains, by tracemalloc.
 
     Args:
-      build: Makes the object anew.
+      build: Builds a new object.
 
     Returns:
-      Bytes still allocated while only the object is kept.
+      Bytes that remain allocated after garbage collection while the object is
+      referenced.
     """
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    built = build()
     gc.collect()
-    size, _ = tracemalloc.get_traced_memory()
+    retained_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
-    return float(size)
+    del built
+    return float(retained_bytes)
 
 
-def cpu_s(step: Callable[[], Any], times: int = 1) -> float:
-    """Returns the processor time of one step, the least of a few rounds.
+def cpu_s(operation: Callable[[], Any], iterations: int = 1) -> float:
+    """Returns the CPU time of one operation, the minimum of several rounds.
 
     Args:
-      step: What to measure.
-      times: How often it is run in a round.
+      operation: Operation to measure.
+      iterations: Calls of the operation in each round.
 
     Returns:
-      Seconds a step.
+      CPU seconds per call.
     """
-    best = float("inf")
-    for _ in range(_REPEATS):
+    min_s = float("inf")
+    for _ in range(_ROUNDS):
         start = time.process_time()
-        for _ in range(times):
-            step()
-        best = min(best, (time.process_time() - start) / times)
-    return best
+        for _ in range(iterations):
+            operation()
+        min_s = min(min_s, (time.process_time() - start) / iterations)
+    return min_s
--- a/src/cowsliprill/capacity/measure.py
+++ b/src/cowsliprill/capacity/measure.py
@@ -1,4 +1,4 @@
-"""Every slope, each over at least three sizes."""
+"""Measures each control-plane cost at three or more sizes and fits a line."""
 
 import dataclasses
 import itertools
@@ -22,85 +22,94 @@
 from cowsliprill.settings import resolve
 from cowsliprill.settings import store as store_lib
 
-_ENDPOINTS = (13, 130, 1_300, 5_900)
+_ENGINE_COUNTS = (13, 130, 1_300, 5_900)
 
 
-def all_slopes() -> list[fit.Slope]:
-    """Measures everything; takes about a minute."""
+def measure_all() -> list[fit.LinearFit]:
+    """Runs all measurements; takes about one minute."""
     return [
-        *_wire_slopes(),
-        *_ledger_slopes(),
-        *_settings_slopes(),
-        *_change_slopes(),
-        *_list_slopes(),
-        *_sweep_slopes(),
-        *_scheduler_slopes(),
+        *_wire_fits(),
+        *_ledger_fits(),
+        *_settings_fits(),
+        *_change_fits(),
+        *_vm_list_fits(),
+        *_orphan_detection_fits(),
+        *_scheduler_fits(),
     ]
 
 
-def _wire_slopes() -> list[fit.Slope]:
-    asks = {n: wire.slots_exchange(n) for n in (1, 4, 8, 16)}
-    busy = {n: wire.slots_exchange(1, n) for n in (0, 5, 10, 19)}
-    running = {n: wire.running_list(n) for n in (1, 10, 20, 40)}
-    peer = {n: wire.peer_exchange(n) for n in (100, 1_000, 4_000)}
+def _wire_fits() -> list[fit.LinearFit]:
+    by_demands = {n: wire.slots_exchange(n) for n in (1, 4, 8, 16)}
+    by_running = {n: wire.slots_exchange(1, n) for n in (0, 5, 10, 19)}
+    by_list_length = {n: wire.running_list(n) for n in (1, 10, 20, 40)}
+    by_body_bytes = {n: wire.peer_exchange(n) for n in (100, 1_000, 4_000)}
     return [
-        _fit_bytes("slots_bytes", "asks in a message", asks),
-        _fit_cpu("slots_cpu", "asks in a message", asks),
-        _fit_bytes("slots_user_bytes", "running requests in an ask", busy),
-        _fit_bytes("running_bytes", "requests an engine runs", running),
-        _fit_cpu("running_cpu", "requests an engine runs", running),
-        _fit_bytes("peer_bytes", "bytes of each body", peer),
-        _fit_cpu("peer_cpu", "bytes of each body", peer),
+        _fit_bytes("slots_bytes", "asks in a message", by_demands),
+        _fit_cpu("slots_cpu", "asks in a message", by_demands),
+        _fit_bytes(
+            "slots_user_bytes", "running requests in an ask", by_running
+        ),
+        _fit_bytes("running_bytes", "requests an engine runs", by_list_length),
+        _fit_cpu("running_cpu", "requests an engine runs", by_list_length),
+        _fit_bytes("peer_bytes", "bytes of each body", by_body_bytes),
+        _fit_cpu("peer_cpu", "bytes of each body", by_body_bytes),
     ]
 
 
-def _fit_bytes(name: str, per: str, costs: dict[int, wire.Cost]) -> fit.Slope:
+def _fit_bytes(
+    name: str, per: str, costs: dict[int, wire.ExchangeCost]
+) -> fit.LinearFit:
     points = [(size, cost.bytes) for size, cost in costs.items()]
     return fit.fit(name, per, "B", points)
 
 
-def _fit_cpu(name: str, per: str, costs: dict[int, wire.Cost]) -> fit.Slope:
+def _fit_cpu(
+    name: str, per: str, costs: dict[int, wire.ExchangeCost]
+) -> fit.LinearFit:
     points = [(size, cost.cpu_s * 1e6) for size, cost in costs.items()]
     return fit.fit(name, per, "µs", points)
 
 
-def _ledger(entries: int) -> slots.SlotLedger:
+def _ledger(entry_processes: int) -> slots.SlotLedger:
     ledger = slots.SlotLedger("engine-0000", 20)
-    for number in range(entries):
-        entry = f"vm-{number:04d}.e0.0123456789abcdef"
-        ledger.ask(entry, synthetic.ask("engine-0000", 1, 1), 0.0)
+    for number in range(entry_processes):
+        entry_id = f"vm-{number:04d}.e0.0123456789abcdef"
+        ledger.ask(entry_id, synthetic.slot_demand("engine-0000", 1, 1), 0.0)
     return ledger
 
 
-def _ledger_slopes() -> list[fit.Slope]:
+def _ledger_fits() -> list[fit.LinearFit]:
     memory, cpu = [], []
-    for entries in (1, 7, 14, 20):
+    for entry_processes in (1, 7, 14, 20):
         memory.append(
-            (entries, gauge.memory_bytes(lambda n=entries: _ledger(n)))
+            (
+                entry_processes,
+                gauge.memory_bytes(lambda n=entry_processes: _ledger(n)),
+            )
         )
-        cpu.append((entries, _ask_cpu_s(entries) * 1e6))
+        cpu.append((entry_processes, _demand_cpu_s(entry_processes) * 1e6))
     return [
         fit.fit("ledger_memory", "entries with a lease", "B", memory),
         fit.fit("ledger_cpu", "entries with a lease", "µs", cpu),
     ]
 
 
-def _ask_cpu_s(entries: int) -> float:
-    ledger = _ledger(entries)
-    ask = dataclasses.replace(synthetic.ask("engine-0000", 1, 0))
-    entry = "vm-0000.e0.0123456789abcdef"
-    return gauge.cpu_s(lambda: ledger.ask(entry, ask, 0.1), 2_000)
+def _demand_cpu_s(entry_processes: int) -> float:
+    ledger = _ledger(entry_processes)
+    demand = dataclasses.replace(synthetic.slot_demand("engine-0000", 1, 0))
+    entry_id = "vm-0000.e0.0123456789abcdef"
+    return gauge.cpu_s(lambda: ledger.ask(entry_id, demand, 0.1), 2_000)
 
 
 def _resolved(customers: int, services: int, engines: int) -> tuple:
     texts = publish.split(synthetic.text(customers, services, engines))
-    store = _stored(texts)
+    store = _part_store(texts)
     resolver = resolve.Resolver()
     index, _ = parts.index_of(texts)
     return resolver, store, resolver.resolve(1, index, store.held)
 
 
-def _stored(*texts_by_part: dict[str, str]) -> store_lib.PartStore:
+def _part_store(*texts_by_part: dict[str, str]) -> store_lib.PartStore:
     store = store_lib.PartStore()
     for texts in texts_by_part:
         for text in texts.values():
@@ -108,7 +117,7 @@
     return store
 
 
-def _settings_slopes() -> list[fit.Slope]:
+def _settings_fits() -> list[fit.LinearFit]:
     customers = [
         (n, gauge.memory_bytes(lambda n=n: _resolved(n, 3, 13)))
         for n in (2_000, 10_000, 42_000)
@@ -119,7 +128,7 @@
     ]
     engines = [
         (n, gauge.memory_bytes(lambda n=n: _resolved(10, 3, n)))
-        for n in _ENDPOINTS
+        for n in _ENGINE_COUNTS
     ]
     return [
         fit.fit("settings_memory_customer", "customers", "B", customers),
@@ -128,16 +137,16 @@
     ]
 
 
-def _change_slopes() -> list[fit.Slope]:
+def _change_fits() -> list[fit.LinearFit]:
     sizes = [(2_000, 300), (10_000, 1_500), (42_000, 5_900)]
-    moved, index, cpu = [], [], []
+    transferred, index, cpu = [], [], []
     for customers, engines in sizes:
-        change = change_of(customers, engines)
-        moved.append((customers, change.moved_bytes))
+        change = measure_customer_change(customers, engines)
+        transferred.append((customers, change.transferred_bytes))
         index.append((customers, change.index_bytes))
         cpu.append((customers, change.cpu_s * 1e6))
     return [
-        fit.fit("change_bytes", "customers", "B", moved),
+        fit.fit("change_bytes", "customers", "B", transferred),
         fit.fit("index_bytes", "customers", "B", index),
         fit.fit("change_cpu", "customers (with engines)", "µs", cpu),
         fit.fit(
@@ -150,21 +159,28 @@
 
 
 def _engine_change_bytes() -> list[tuple[float, float]]:
-    """Sizes of head and parts that move when one engine of a pool changes."""
+    """Returns pairs of pool size and bytes sent when one engine changes.
+
+    The bytes are those of the new head and the changed parts.
+    """
     points = []
-    for engines in _ENDPOINTS:
+    for engines in _ENGINE_COUNTS:
         document = synthetic.document(1, 1, engines)
         before = publish.publish(json.dumps(document))
         pool = document["pools"][synthetic.POOL]
         pool["endpoints"]["engine-0000"]["slots"] = 10
         document["revision"] = 2
-        moved = _moved(before, publish.publish(json.dumps(document), before))
-        points.append((engines, float(moved)))
+        transferred = _transferred_bytes(
+            before, publish.publish(json.dumps(document), before)
+        )
+        points.append((engines, float(transferred)))
     return points
 
 
-def _moved(before: publish.Publication, after: publish.Publication) -> int:
-    """Returns bytes of the new head and parts, the whole index left out."""
+def _transferred_bytes(
+    before: publish.Publication, after: publish.Publication
+) -> int:
+    """Returns the size of the new head and parts, excluding the full index."""
     new = {
         text_hash: text
         for text_hash, text in after.texts_by_hash.items()
@@ -175,29 +191,29 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Change:
-    """What a change of one customer costs.
+class CustomerChangeCost:
+    """Cost of a settings change that affects one customer.
 
     Attributes:
-      moved_bytes: Head and changed part.
-      index_bytes: The whole index.
-      cpu_s: Processor time of resolving it in one process.
+      transferred_bytes: Size of the head and the changed part.
+      index_bytes: Size of the full index.
+      cpu_s: CPU time for one process to resolve the changed settings.
     """
 
-    moved_bytes: float
+    transferred_bytes: float
     index_bytes: float
     cpu_s: float
 
 
-def change_of(customers: int, engines: int) -> Change:
-    """Publishes a change of one customer and resolves it.
+def measure_customer_change(customers: int, engines: int) -> CustomerChangeCost:
+    """Measures publishing and resolving a change of one customer.
 
     Args:
-      customers: Customers of the settings.
-      engines: Engines of the settings.
+      customers: Number of customers in the settings.
+      engines: Number of engines in the settings.
 
     Returns:
-      The cost.
+      Bytes and CPU time of the change.
     """
     document = synthetic.document(customers, 3, engines)
     before = publish.publish(json.dumps(document))
@@ -208,14 +224,14 @@
     after = publish.publish(json.dumps(document), before)
     changed = publish.split(json.dumps(document))
     index = after.texts_by_hash[after.head.index]
-    moved = _moved(before, after)
+    transferred = _transferred_bytes(before, after)
     cpu = _resolve_cpu_s(texts, changed)
-    return Change(float(moved), float(len(index)), cpu)
+    return CustomerChangeCost(float(transferred), float(len(index)), cpu)
 
 
 def _resolve_cpu_s(old: dict[str, str], new: dict[str, str]) -> float:
-    """Measures resolving again after one customer has changed."""
-    store = _stored(old, new)
+    """Returns the CPU time to resolve settings after one customer changed."""
+    store = _part_store(old, new)
     indexes = [parts.index_of(texts)[0] for texts in (old, new)]
     resolver = resolve.Resolver()
     numbers = itertools.count(1)
@@ -228,7 +244,7 @@
     return gauge.cpu_s(step, 4)
 
 
-def _list_slopes() -> list[fit.Slope]:
+def _vm_list_fits() -> list[fit.LinearFit]:
     sizes = (69, 230, 690, 2_000)
     texts = {n: codec.encode(synthetic.vms(n)) for n in sizes}
     kind = list[model.Vm]
@@ -249,60 +265,74 @@
         ),
         fit.fit("list_memory", "VMs in the list", "B", memory),
         fit.fit("list_cpu", "VMs in the list", "µs", cpu),
-        fit.fit("homes_start_cpu", "engines", "µs", _home_cpu(start=True)),
-        fit.fit("homes_change_cpu", "engines", "µs", _home_cpu(start=False)),
+        fit.fit(
+            "homes_start_cpu",
+            "engines",
+            "µs",
+            _coordinator_map_cpu(from_empty=True),
+        ),
+        fit.fit(
+            "homes_change_cpu",
+            "engines",
+            "µs",
+            _coordinator_map_cpu(from_empty=False),
+        ),
     ]
 
 
-def _home_cpu(*, start: bool) -> list[tuple[float, float]]:
+def _coordinator_map_cpu(*, from_empty: bool) -> list[tuple[float, float]]:
     vms = synthetic.vms(690)
     points = []
-    for engines in _ENDPOINTS:
+    for engines in _ENGINE_COUNTS:
         names = [f"engine-{n:04d}" for n in range(engines)]
-        homes = home_map.HomeMap()
+        coordinators = home_map.HomeMap()
 
-        def look(homes=homes, names=names) -> None:
+        def look_up_all(coordinators=coordinators, names=names) -> None:
             for name in names:
-                homes.home_of(name)
-
-        def begin(homes=homes, look=look) -> None:
-            homes.keep_only([])
-            homes.update(vms)
-            look()
-
-        def change(homes=homes, look=look) -> None:
-            homes.update(vms[1:])
-            look()
-            homes.update(vms)
-            look()
-
-        begin()
-        step = begin if start else change
+                coordinators.home_of(name)
+
+        def start_empty(
+            coordinators=coordinators, look_up_all=look_up_all
+        ) -> None:
+            coordinators.keep_only([])
+            coordinators.update(vms)
+            look_up_all()
+
+        def change_vms(
+            coordinators=coordinators, look_up_all=look_up_all
+        ) -> None:
+            coordinators.update(vms[1:])
+            look_up_all()
+            coordinators.update(vms)
+            look_up_all()
+
+        start_empty()
+        step = start_empty if from_empty else change_vms
         points.append((engines, gauge.cpu_s(step) * 1e6))
     return points
 
 
-def _sweep_slopes() -> list[fit.Slope]:
+def _orphan_detection_fits() -> list[fit.LinearFit]:
     points = []
     for count in (20, 80, 170, 340):
-        sweep = orphans.OrphanSweep(0.0)
-        sweep.see_list(synthetic.vms(690), 0.0)
-        requests = [_running(n) for n in range(count)]
+        detector = orphans.OrphanSweep(0.0)
+        detector.see_list(synthetic.vms(690), 0.0)
+        requests = [_running_request(n) for n in range(count)]
         for number in range(count):
-            owner = identity.Incarnation(f"vm-{number:04d}", "e0", "abc")
-            sweep.hear(owner, 0.5)
+            incarnation = identity.Incarnation(f"vm-{number:04d}", "e0", "abc")
+            detector.hear(incarnation, 0.5)
 
-        def judge(sweep=sweep, requests=requests) -> None:
-            sweep.suspects(requests, 1.0)
-            sweep.orphans(
+        def find_orphans(detector=detector, requests=requests) -> None:
+            detector.suspects(requests, 1.0)
+            detector.orphans(
                 requests, longest_request_s=120.0, reaches_zone=True, now=1.0
             )
 
-        points.append((count, gauge.cpu_s(judge, 20) * 1e6))
+        points.append((count, gauge.cpu_s(find_orphans, 20) * 1e6))
     return [fit.fit("sweep_cpu", "running requests of a home", "µs", points)]
 
 
-def _running(number: int) -> orphans.Running:
+def _running_request(number: int) -> orphans.Running:
     return orphans.Running(
         endpoint_id="engine",
         request_id=f"vm-{number:04d}.e0.abc.{number}.0",
@@ -310,82 +340,105 @@
     )
 
 
-def _scheduler_slopes() -> list[fit.Slope]:
-    decide, change = [], []
-    for engines in _ENDPOINTS:
+def _scheduler_fits() -> list[fit.LinearFit]:
+    request_points, state_change_points = [], []
+    for engines in _ENGINE_COUNTS:
         snapshot = resolve.resolve(synthetic.text(500, 3, engines))
         vms = {vm.id: vm for vm in synthetic.vms(690)}
-        world = messages.WorldChanged(
+        cluster_state = messages.WorldChanged(
             snapshot, model.Fleet(version=1, vms_by_id=vms)
         )
-        decide.append((engines, _request_cpu_s(world) * 1e6))
-        one = scheduler.Scheduler("zone-0", 1)
-        change.append(
+        request_points.append((engines, _request_cpu_s(cluster_state) * 1e6))
+        zone_scheduler = scheduler.Scheduler("zone-0", 1)
+        state_change_points.append(
             (
                 engines,
-                gauge.cpu_s(lambda o=one, w=world: o.handle(w, 0.0)) * 1e6,
+                gauge.cpu_s(
+                    lambda s=zone_scheduler, c=cluster_state: s.handle(c, 0.0)
+                )
+                * 1e6,
             )
         )
     return [
-        fit.fit("request_cpu", "engines in the settings", "µs", decide),
-        fit.fit("world_cpu", "engines in the settings", "µs", change),
-        fit.fit("world_users_cpu", "customers", "µs", _world_customers_cpu()),
+        fit.fit("request_cpu", "engines in the settings", "µs", request_points),
+        fit.fit(
+            "world_cpu", "engines in the settings", "µs", state_change_points
+        ),
+        fit.fit("world_users_cpu", "customers", "µs", _customer_change_cpu()),
     ]
 
 
-def _world_customers_cpu() -> list[tuple[float, float]]:
+def _customer_change_cpu() -> list[tuple[float, float]]:
     points = []
     for customers in (500, 2_000, 8_000):
         snapshot = resolve.resolve(synthetic.text(customers, 3, 13))
-        world = messages.WorldChanged(snapshot, model.Fleet(version=1))
-        one = scheduler.Scheduler("zone-0", 1)
-        cpu_s = gauge.cpu_s(lambda o=one, w=world: o.handle(w, 0.0))
+        cluster_state = messages.WorldChanged(snapshot, model.Fleet(version=1))
+        zone_scheduler = scheduler.Scheduler("zone-0", 1)
+        cpu_s = gauge.cpu_s(
+            lambda s=zone_scheduler, c=cluster_state: s.handle(c, 0.0)
+        )
         points.append((customers, cpu_s * 1e6))
     return points
 
 
-def _request_cpu_s(world: messages.WorldChanged) -> float:
-    """Measures all decisions on one request, beside a home that has room."""
-    one = scheduler.Scheduler("zone-0", 1)
-    one.handle(world, 0.0)
-    service = next(iter(world.snapshot.services_by_id.values()))
+def _request_cpu_s(cluster_state: messages.WorldChanged) -> float:
+    """Returns the scheduling CPU time of one request from submit to finish.
+
+    Every slot demand is granted at once, as by a coordinator with free slots.
+    """
+    zone_scheduler = scheduler.Scheduler("zone-0", 1)
+    zone_scheduler.handle(cluster_state, 0.0)
+    service = next(iter(cluster_state.snapshot.services_by_id.values()))
     numbers = itertools.count(1)
-    draw = random.Random(1)
+    rng = random.Random(1)
 
     def step() -> None:
         number = next(numbers)
         submit = messages.Submit(
             request_id=number,
             service=service,
-            customer=f"{synthetic.PARENT}/customer-{draw.randrange(500):05d}",
+            customer=f"{synthetic.PARENT}/customer-{rng.randrange(500):05d}",
             prompt_tokens=1_000,
             output_tokens=100,
             deadline=number + 2.0,
         )
-        _grant_until_started(one, one.handle(submit, number), number)
-        one.handle(messages.PrefillFinished(number), number + 0.1)
-        one.handle(messages.FirstToken(number), number + 0.2)
-        one.handle(messages.Finished(number, 100), number + 0.9)
+        _grant_until_started(
+            zone_scheduler, zone_scheduler.handle(submit, number), number
+        )
+        zone_scheduler.handle(messages.PrefillFinished(number), number + 0.1)
+        zone_scheduler.handle(messages.FirstToken(number), number + 0.2)
+        zone_scheduler.handle(messages.Finished(number, 100), number + 0.9)
 
     return gauge.cpu_s(step, 100)
 
 
 def _grant_until_started(
-    one: scheduler.Scheduler, actions: list[messages.Action], now: float
+    zone_scheduler: scheduler.Scheduler,
+    actions: list[messages.Action],
+    now: float,
 ) -> None:
-    """Answers asks as a home with room does, each endpoint's newest first."""
-    asks_by_endpoint: dict[str, messages.SlotAsk] = {}
-    while not any(isinstance(each, messages.Start) for each in actions):
-        for each in actions:
-            if isinstance(each, messages.SlotAsk):
-                asks_by_endpoint[each.endpoint_id] = each
-        if not asks_by_endpoint:
-            raise RuntimeError("the measured request was not placed")
-        _, ask = asks_by_endpoint.popitem()
+    """Grants slot demands in full until the request starts.
+
+    Per endpoint only the newest demand is granted, as a coordinator with free
+    slots does.
+
+    Raises:
+      RuntimeError: The request has no open slot demand and has not started.
+    """
+    demands_by_endpoint: dict[str, messages.SlotAsk] = {}
+    while not any(isinstance(action, messages.Start) for action in actions):
+        for action in actions:
+            if isinstance(action, messages.SlotAsk):
+                demands_by_endpoint[action.endpoint_id] = action
+        if not demands_by_endpoint:
+            raise RuntimeError(
+                "measured request neither started nor demanded a slot"
+            )
+        _, demand = demands_by_endpoint.popitem()
         grant = messages.SlotGrant(
-            endpoint_id=ask.endpoint_id,
-            slots=ask.want,
+            endpoint_id=demand.endpoint_id,
+            slots=demand.want,
             expires_at=1e9,
-            sequence=ask.sequence,
+            sequence=demand.sequence,
         )
-        actions = one.handle(grant, now)
+        actions = zone_scheduler.handle(grant, now)
--- a/src/cowsliprill/capacity/plot.py
+++ b/src/cowsliprill/capacity/plot.py
@@ -1,4 +1,4 @@
-"""One image of all slopes."""
+"""Plots all cost fits in one image."""
 
 import pathlib
 from collections.abc import Sequence
@@ -13,26 +13,26 @@
 _DPI = 70
 
 
-def save(slopes: Sequence[fit.Slope], path: pathlib.Path) -> None:
-    """Draws each slope's points and line in a panel of its own.
+def save(fits: Sequence[fit.LinearFit], path: pathlib.Path) -> None:
+    """Draws the points and the line of each fit in a panel of its own.
 
     Args:
-      slopes: The slopes.
+      fits: Fits to draw.
       path: Image file to write.
     """
-    rows = -(-len(slopes) // _COLUMNS)
+    rows = -(-len(fits) // _COLUMNS)
     size = (_PANEL_INCHES[0] * _COLUMNS, _PANEL_INCHES[1] * rows)
-    sheet = figure.Figure(figsize=size, layout="constrained")
-    panels = sheet.subplots(rows, _COLUMNS, squeeze=False).flatten()
-    for slope, panel in zip(slopes, panels, strict=False):
-        sizes = numpy.array([size for size, _ in slope.points])
-        costs = [cost for _, cost in slope.points]
-        panel.plot(sizes, slope.fixed + slope.each * sizes, linewidth=1)
+    plot_figure = figure.Figure(figsize=size, layout="constrained")
+    panels = plot_figure.subplots(rows, _COLUMNS, squeeze=False).flatten()
+    for line, panel in zip(fits, panels, strict=False):
+        sizes = numpy.array([size for size, _ in line.points])
+        costs = [cost for _, cost in line.points]
+        panel.plot(sizes, line.intercept + line.slope * sizes, linewidth=1)
         panel.plot(sizes, costs, "o", markersize=4)
-        panel.set_title(slope.name, fontsize=9)
-        panel.set_xlabel(slope.per, fontsize=7)
-        panel.set_ylabel(slope.unit, fontsize=7)
+        panel.set_title(line.name, fontsize=9)
+        panel.set_xlabel(line.size_label, fontsize=7)
+        panel.set_ylabel(line.cost_label, fontsize=7)
         panel.tick_params(labelsize=6)
-    for panel in panels[len(slopes) :]:
+    for panel in panels[len(fits) :]:
         panel.set_visible(False)
-    sheet.savefig(path, dpi=_DPI)
+    plot_figure.savefig(path, dpi=_DPI)
--- a/src/cowsliprill/capacity/report.py
+++ b/src/cowsliprill/capacity/report.py
@@ -1,4 +1,7 @@
-"""The tables of docs/CAPACITY.md, as Markdown."""
+"""Formats measured and estimated costs as the Markdown tables of the docs.
+
+The tables are those of docs/CAPACITY.md.
+"""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -8,11 +11,11 @@
 from cowsliprill.capacity import roles
 
 
-def slopes_table(slopes: Iterable[fit.Slope]) -> str:
-    """Writes the measured slopes.
+def fits_table(fits: Iterable[fit.LinearFit]) -> str:
+    """Formats the fits of all measured costs.
 
     Args:
-      slopes: The slopes.
+      fits: Fits in the order of the rows.
 
     Returns:
       A Markdown table.
@@ -21,62 +24,67 @@
         "| slope | counted by | sizes measured | fixed | each | residual |",
         "|---|---|---|---:|---:|---:|",
     ]
-    for slope in slopes:
-        sizes = ", ".join(f"{size:,.0f}" for size, _ in slope.points)
+    for line in fits:
+        sizes = ", ".join(f"{size:,.0f}" for size, _ in line.points)
         lines.append(
-            f"| {slope.name} | {slope.per} | {sizes} "
-            f"| {slope.fixed:,.1f} {slope.unit} | {slope.each:,.3f} "
-            f"{slope.unit} | {slope.residual:.1%} |"
+            f"| {line.name} | {line.size_label} | {sizes} "
+            f"| {line.intercept:,.1f} {line.cost_label} | {line.slope:,.3f} "
+            f"{line.cost_label} | {line.max_relative_residual:.1%} |"
         )
     return "\n".join(lines)
 
 
-def roles_table(
-    slopes_by_name: Mapping[str, fit.Slope],
+def control_cost_table(
+    fits_by_name: Mapping[str, fit.LinearFit],
     fleet: fleet_lib.FleetSize,
-    limits: fleet_lib.Limits,
+    limits: fleet_lib.ResourceLimits,
 ) -> str:
-    """Writes what each kind of control work costs one node.
+    """Formats the traffic and CPU time of each control-plane activity per VM.
 
     Args:
-      slopes_by_name: The measured slopes.
-      fleet: The size.
-      limits: What a node may spend.
+      fits_by_name: Measured cost fits by name.
+      fleet: Sizes and rates of the fleet.
+      limits: Resource limits of one VM.
 
     Returns:
-      A Markdown table; `over` names the limits that a row exceeds alone.
+      A Markdown table; the column `over` names each limit that the row alone
+      exceeds, and by which factor.
     """
     lines = [
         "| process | what | a second | bytes each | bytes/s | core | over |",
         "|---|---|---:|---:|---:|---:|---|",
     ]
-    for row in roles.rows(slopes_by_name, fleet):
-        over = []
-        if row.bytes_per_s > limits.bytes_per_s:
-            over.append(f"bytes {row.bytes_per_s / limits.bytes_per_s:.1f}x")
-        if row.core > limits.core:
-            over.append(f"core {row.core / limits.core:.1f}x")
+    for cost in roles.control_costs(fits_by_name, fleet):
+        exceeded = []
+        if cost.bytes_per_s > limits.bytes_per_s:
+            exceeded.append(
+                f"bytes {cost.bytes_per_s / limits.bytes_per_s:.1f}x"
+            )
+        if cost.core_fraction > limits.core_fraction:
+            exceeded.append(
+                f"core {cost.core_fraction / limits.core_fraction:.1f}x"
+            )
         lines.append(
-            f"| {row.role} | {row.what} | {row.rate_per_s:,.3f} "
-            f"| {row.bytes_each:,.0f} | {row.bytes_per_s:,.0f} "
-            f"| {row.core:.2%} | {', '.join(over)} |"
+            f"| {cost.process} | {cost.activity} | {cost.rate_per_s:,.3f} "
+            f"| {cost.bytes_per_event:,.0f} | {cost.bytes_per_s:,.0f} "
+            f"| {cost.core_fraction:.2%} | {', '.join(exceeded)} |"
         )
     return "\n".join(lines)
 
 
 def memory_table(
-    slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> str:
-    """Writes the state of one process.
+    """Formats the estimated memory of each kind of state in one process.
 
     Args:
-      slopes_by_name: The measured slopes.
-      fleet: The size.
+      fits_by_name: Measured cost fits by name.
+      fleet: Sizes and rates of the fleet.
 
     Returns:
       A Markdown table.
     """
     lines = ["| state | MB |", "|---|---:|"]
-    for name, size in roles.memory_bytes(slopes_by_name, fleet).items():
-        lines.append(f"| {name} | {size / 1e6:,.2f} |")
+    for state, size in roles.memory_bytes_by_state(fits_by_name, fleet).items():
+        lines.append(f"| {state} | {size / 1e6:,.2f} |")
     return "\n".join(lines)
--- a/src/cowsliprill/capacity/roles.py
+++ b/src/cowsliprill/capacity/roles.py
@@ -1,4 +1,4 @@
-"""What the letter's size costs each node, worked out from the slopes."""
+"""Estimates control-plane costs per VM at a fleet's size from cost fits."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -8,284 +8,321 @@
 from cowsliprill.decisions import fencing
 from cowsliprill.decisions import subset
 
-# Assumptions that are neither measured nor in the letter.
-ENTRIES_PER_NODE = 2
-RENEWALS_PER_S = 1.0
-FAN_OUT = 2
-EXCHANGE_BODY_BYTES = 300
-EXCHANGE_INTERVAL_S = 3.0
-LIST_INTERVAL_S = 2.0
-WATCH_S = 5.0
-SWEEP_S = 60.0
-REPORT_BYTES = 900
-REPORT_BYTES_PER_S = 1_000
+# Assumed values: neither given by the target fleet nor taken from the fits.
+ENTRY_PROCESSES_PER_VM = 2
+LEASE_RENEWALS_PER_S = 1.0
+UPDATE_FAN_OUT = 2
+PEER_EXCHANGE_BODY_BYTES = 300
+PEER_EXCHANGE_INTERVAL_S = 3.0
+VM_LIST_INTERVAL_S = 2.0
+WATCH_INTERVAL_S = 5.0
+RUNNING_LIST_INTERVAL_S = 60.0
+LOAD_REPORT_BYTES = 900
+LOAD_REPORT_BYTES_PER_S = 1_000
 KV_BYTES_PER_TOKEN = 131_072
-KV_BYTES_PER_S = 3_900e9
-BLOCK_TOKENS = 16
+FLEET_KV_BYTES_PER_S = 3_900e9
+TOKENS_PER_CACHE_BLOCK = 16
 CACHE_EVENT_BYTES = 60
-SECONDS_PER_TOKEN = 0.032
+DECODE_S_PER_TOKEN = 0.032
 POOLS = 3
-# The redesign of the slot messages that the page proposes.
-NEW_HOMES = 4
-NEW_RENEWAL_S = 30.0
-ASK_RUNNING = 3
+# The change of the slot messages that docs/CAPACITY.md proposes: fewer
+# coordinators per entry process and rarer renewals.
+PROPOSED_COORDINATORS = 4
+PROPOSED_RENEWAL_INTERVAL_S = 30.0
+RUNNING_PER_DEMAND = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Row:
-    """One kind of message or work of one node.
+class ControlCost:
+    """Rate and cost of one control-plane activity on one VM.
 
     Attributes:
-      role: Process that does it.
-      what: What it is.
-      rate_per_s: How often.
-      bytes_each: Bytes of one, both ways.
-      cpu_us_each: Processor time of one, microseconds; 0 if not measured.
+      process: Process type that performs the activity.
+      activity: Description, the row's label in the table.
+      rate_per_s: Events per second.
+      bytes_per_event: Bytes per event, both directions.
+      cpu_us_per_event: CPU time per event in microseconds; 0 if unknown.
     """
 
-    role: str
-    what: str
+    process: str
+    activity: str
     rate_per_s: float
-    bytes_each: float
-    cpu_us_each: float
+    bytes_per_event: float
+    cpu_us_per_event: float
 
     @property
     def bytes_per_s(self) -> float:
-        """Bytes a second of one node."""
-        return self.rate_per_s * self.bytes_each
+        """Returns the bytes per second on one VM."""
+        return self.rate_per_s * self.bytes_per_event
 
     @property
-    def core(self) -> float:
-        """Part of a core."""
-        return self.rate_per_s * self.cpu_us_each / 1e6
+    def core_fraction(self) -> float:
+        """Returns the CPU time as a fraction of one core."""
+        return self.rate_per_s * self.cpu_us_per_event / 1e6
 
 
-def running_per_node(fleet: fleet_lib.FleetSize) -> float:
-    """Returns the streams that run at once through one node."""
+def running_requests_per_vm(fleet: fleet_lib.FleetSize) -> float:
+    """Returns the mean number of concurrent response streams through one VM."""
     tokens = fleet.tokens_per_s / fleet.requests_per_s
-    return fleet.requests_per_node * tokens * SECONDS_PER_TOKEN
+    return fleet.requests_per_vm_s * tokens * DECODE_S_PER_TOKEN
 
 
-def rows(
-    slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
-) -> list[Row]:
-    """Works out every kind of control message and work of one node.
+def control_costs(
+    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+) -> list[ControlCost]:
+    """Estimates the cost of every control-plane activity on one VM.
 
-    Each exchange between two nodes counts with the bytes and the processor
-    time of both ends once, since each node is at one end as often as at the
-    other: bytes are doubled, for they are sent by one and received by the
-    other.
+    A VM is the client of an exchange as often as the server. Each exchange
+    therefore counts once with the CPU time of both ends, and with twice its
+    bytes, since one VM sends and the other receives them.
 
     Args:
-      slopes_by_name: The measured slopes.
-      fleet: The size.
+      fits_by_name: Measured cost fits by name.
+      fleet: Sizes and rates of the fleet.
 
     Returns:
-      The rows.
+      One cost per activity.
     """
     return [
-        *_slot_rows(slopes_by_name, fleet),
-        *_home_rows(slopes_by_name, fleet),
-        *_settings_rows(slopes_by_name, fleet),
-        *_change_rows(slopes_by_name, fleet),
+        *_slot_costs(fits_by_name, fleet),
+        *_coordinator_costs(fits_by_name, fleet),
+        *_settings_costs(fits_by_name, fleet),
+        *_settings_change_costs(fits_by_name, fleet),
     ]
 
 
-def _slot_rows(
-    slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
-) -> list[Row]:
+def _slot_costs(
+    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+) -> list[ControlCost]:
     engines = subset.PREFILLS_MAX + subset.DECODES_MAX
-    homes = fleet.nodes * (1 - (1 - 1 / fleet.nodes) ** engines)
-    customers = slopes_by_name["slots_user_bytes"].each
-    running = running_per_node(fleet) / ENTRIES_PER_NODE
-    size = slopes_by_name["slots_bytes"]
-    spent = slopes_by_name["slots_cpu"]
-    per_ask = engines / homes
-    today = size.at(per_ask) + customers * (
-        running / homes - ASK_RUNNING * per_ask
+    coordinators = fleet.entry_vms * (1 - (1 - 1 / fleet.entry_vms) ** engines)
+    bytes_per_running_request = fits_by_name["slots_user_bytes"].slope
+    running = running_requests_per_vm(fleet) / ENTRY_PROCESSES_PER_VM
+    exchange_bytes = fits_by_name["slots_bytes"]
+    exchange_cpu_us = fits_by_name["slots_cpu"]
+    demands_per_message = engines / coordinators
+    current_message_bytes = exchange_bytes.predict(
+        demands_per_message
+    ) + bytes_per_running_request * (
+        running / coordinators - RUNNING_PER_DEMAND * demands_per_message
+    )
+    proposed_demands_per_message = engines / PROPOSED_COORDINATORS
+    proposed_message_bytes = (
+        exchange_bytes.intercept
+        + proposed_demands_per_message
+        * (
+            exchange_bytes.slope
+            - (RUNNING_PER_DEMAND + 1) * bytes_per_running_request
+        )
     )
-    asks = engines / NEW_HOMES
-    new = size.fixed + asks * (size.each - (ASK_RUNNING + 1) * customers)
     return [
-        Row(
-            role="entry+dispatch",
-            what="slot asks, today: one home an engine, each second",
-            rate_per_s=homes * ENTRIES_PER_NODE * RENEWALS_PER_S,
-            bytes_each=2 * today,
-            cpu_us_each=spent.at(per_ask),
+        ControlCost(
+            process="entry+dispatch",
+            activity="slot asks, today: one home an engine, each second",
+            rate_per_s=coordinators
+            * ENTRY_PROCESSES_PER_VM
+            * LEASE_RENEWALS_PER_S,
+            bytes_per_event=2 * current_message_bytes,
+            cpu_us_per_event=exchange_cpu_us.predict(demands_per_message),
         ),
-        Row(
-            role="entry+dispatch",
-            what=f"slot asks, proposed: {NEW_HOMES} homes, each"
-            f" {NEW_RENEWAL_S:.0f} s, customers only when scarce",
-            rate_per_s=NEW_HOMES * ENTRIES_PER_NODE / NEW_RENEWAL_S,
-            bytes_each=2 * new,
-            cpu_us_each=spent.at(asks),
+        ControlCost(
+            process="entry+dispatch",
+            activity=f"slot asks, proposed: {PROPOSED_COORDINATORS} homes, each"
+            f" {PROPOSED_RENEWAL_INTERVAL_S:.0f} s, customers only when scarce",
+            rate_per_s=PROPOSED_COORDINATORS
+            * ENTRY_PROCESSES_PER_VM
+            / PROPOSED_RENEWAL_INTERVAL_S,
+            bytes_per_event=2 * proposed_message_bytes,
+            cpu_us_per_event=exchange_cpu_us.predict(
+                proposed_demands_per_message
+            ),
         ),
-        Row(
-            role="entry",
-            what="placement of a request",
-            rate_per_s=fleet.requests_per_node,
-            bytes_each=0.0,
-            cpu_us_each=slopes_by_name["request_cpu"].at(fleet.engines),
+        ControlCost(
+            process="entry",
+            activity="placement of a request",
+            rate_per_s=fleet.requests_per_vm_s,
+            bytes_per_event=0.0,
+            cpu_us_per_event=fits_by_name["request_cpu"].predict(fleet.engines),
         ),
     ]
 
 
-def _home_rows(
-    slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
-) -> list[Row]:
-    homed = fleet.engines_per_home
-    running = running_per_node(fleet)
-    lists = slopes_by_name["running_bytes"]
-    order_bytes = lists.fixed + lists.each
-    blocks_per_s = KV_BYTES_PER_S / KV_BYTES_PER_TOKEN / BLOCK_TOKENS
+def _coordinator_costs(
+    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+) -> list[ControlCost]:
+    coordinated_engines = fleet.engines_per_coordinator
+    running = running_requests_per_vm(fleet)
+    running_list_bytes = fits_by_name["running_bytes"]
+    order_bytes = running_list_bytes.intercept + running_list_bytes.slope
+    blocks_per_s = (
+        FLEET_KV_BYTES_PER_S / KV_BYTES_PER_TOKEN / TOKENS_PER_CACHE_BLOCK
+    )
     return [
-        Row(
-            role="dispatch",
-            what="running lists for the sweep",
-            rate_per_s=homed / SWEEP_S,
-            bytes_each=lists.at(running / homed),
-            cpu_us_each=slopes_by_name["running_cpu"].at(running / homed),
+        ControlCost(
+            process="dispatch",
+            activity="running lists for the sweep",
+            rate_per_s=coordinated_engines / RUNNING_LIST_INTERVAL_S,
+            bytes_per_event=running_list_bytes.predict(
+                running / coordinated_engines
+            ),
+            cpu_us_per_event=fits_by_name["running_cpu"].predict(
+                running / coordinated_engines
+            ),
         ),
-        Row(
-            role="dispatch",
-            what="judging what runs",
+        ControlCost(
+            process="dispatch",
+            activity="judging what runs",
             rate_per_s=1.0,
-            bytes_each=0.0,
-            cpu_us_each=slopes_by_name["sweep_cpu"].at(running),
+            bytes_per_event=0.0,
+            cpu_us_per_event=fits_by_name["sweep_cpu"].predict(running),
         ),
-        Row(
-            role="dispatch",
-            what="orders read back",
-            rate_per_s=homed / fencing.READ_S,
-            bytes_each=order_bytes,
-            cpu_us_each=slopes_by_name["running_cpu"].at(1),
+        ControlCost(
+            process="dispatch",
+            activity="orders read back",
+            rate_per_s=coordinated_engines / fencing.READ_S,
+            bytes_per_event=order_bytes,
+            cpu_us_per_event=fits_by_name["running_cpu"].predict(1),
         ),
-        Row(
-            role="dispatch",
-            what="load reports, paced",
-            rate_per_s=REPORT_BYTES_PER_S / REPORT_BYTES,
-            bytes_each=REPORT_BYTES,
-            cpu_us_each=slopes_by_name["running_cpu"].at(1),
+        ControlCost(
+            process="dispatch",
+            activity="load reports, paced",
+            rate_per_s=LOAD_REPORT_BYTES_PER_S / LOAD_REPORT_BYTES,
+            bytes_per_event=LOAD_REPORT_BYTES,
+            cpu_us_per_event=fits_by_name["running_cpu"].predict(1),
         ),
-        Row(
-            role="dispatch",
-            what="cache events, all of them",
-            rate_per_s=blocks_per_s / fleet.nodes,
-            bytes_each=CACHE_EVENT_BYTES,
-            cpu_us_each=0.0,
+        ControlCost(
+            process="dispatch",
+            activity="cache events, all of them",
+            rate_per_s=blocks_per_s / fleet.entry_vms,
+            bytes_per_event=CACHE_EVENT_BYTES,
+            cpu_us_per_event=0.0,
         ),
-        Row(
-            role="dispatch",
-            what="homes after a change of one VM",
-            rate_per_s=fleet.vm_changes_per_s,
-            bytes_each=0.0,
-            cpu_us_each=slopes_by_name["homes_change_cpu"].at(fleet.engines)
+        ControlCost(
+            process="dispatch",
+            activity="homes after a change of one VM",
+            rate_per_s=fleet.vm_list_changes_per_s,
+            bytes_per_event=0.0,
+            cpu_us_per_event=fits_by_name["homes_change_cpu"].predict(
+                fleet.engines
+            )
             / 2,
         ),
     ]
 
 
-def _settings_rows(
-    slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
-) -> list[Row]:
-    list_bytes = slopes_by_name["list_bytes"]
-    list_cpu = slopes_by_name["list_cpu"]
-    peer = slopes_by_name["peer_bytes"].at(EXCHANGE_BODY_BYTES)
-    told = FAN_OUT * fleet.changes_per_s + 1 / EXCHANGE_INTERVAL_S
-    everything = fleet.nodes + fleet.engines
+def _settings_costs(
+    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+) -> list[ControlCost]:
+    list_bytes = fits_by_name["list_bytes"]
+    list_cpu = fits_by_name["list_cpu"]
+    exchange_bytes = fits_by_name["peer_bytes"].predict(
+        PEER_EXCHANGE_BODY_BYTES
+    )
+    exchanges_per_s = (
+        UPDATE_FAN_OUT * fleet.settings_changes_per_s
+        + 1 / PEER_EXCHANGE_INTERVAL_S
+    )
+    entry_and_engine_vms = fleet.entry_vms + fleet.engines
     return [
-        Row(
-            role="settings",
-            what="VM list, entry VMs only",
-            rate_per_s=1 / LIST_INTERVAL_S,
-            bytes_each=list_bytes.at(fleet.nodes),
-            cpu_us_each=list_cpu.at(fleet.nodes),
+        ControlCost(
+            process="settings",
+            activity="VM list, entry VMs only",
+            rate_per_s=1 / VM_LIST_INTERVAL_S,
+            bytes_per_event=list_bytes.predict(fleet.entry_vms),
+            cpu_us_per_event=list_cpu.predict(fleet.entry_vms),
         ),
-        Row(
-            role="settings",
-            what="VM list, with a VM an engine",
-            rate_per_s=1 / LIST_INTERVAL_S,
-            bytes_each=list_bytes.at(everything),
-            cpu_us_each=list_cpu.at(everything),
+        ControlCost(
+            process="settings",
+            activity="VM list, with a VM an engine",
+            rate_per_s=1 / VM_LIST_INTERVAL_S,
+            bytes_per_event=list_bytes.predict(entry_and_engine_vms),
+            cpu_us_per_event=list_cpu.predict(entry_and_engine_vms),
         ),
-        Row(
-            role="settings",
-            what="exchanges with peers",
-            rate_per_s=told,
-            bytes_each=2 * peer,
-            cpu_us_each=slopes_by_name["peer_cpu"].at(EXCHANGE_BODY_BYTES),
+        ControlCost(
+            process="settings",
+            activity="exchanges with peers",
+            rate_per_s=exchanges_per_s,
+            bytes_per_event=2 * exchange_bytes,
+            cpu_us_per_event=fits_by_name["peer_cpu"].predict(
+                PEER_EXCHANGE_BODY_BYTES
+            ),
         ),
     ]
 
 
-def _change_rows(
-    slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
-) -> list[Row]:
-    moved = slopes_by_name["change_bytes"].at(fleet.customers)
-    part = slopes_by_name["engine_change_bytes"].at(fleet.engines / POOLS)
-    resolving = slopes_by_name["change_cpu"].at(fleet.customers)
-    schedulers = (
-        slopes_by_name["world_cpu"].at(fleet.engines)
-        + slopes_by_name["world_users_cpu"].each * fleet.customers
+def _settings_change_costs(
+    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+) -> list[ControlCost]:
+    customer_change_bytes = fits_by_name["change_bytes"].predict(
+        fleet.customers
+    )
+    engine_change_bytes = fits_by_name["engine_change_bytes"].predict(
+        fleet.engines / POOLS
+    )
+    resolve_cpu_us = fits_by_name["change_cpu"].predict(fleet.customers)
+    scheduler_cpu_us = (
+        fits_by_name["world_cpu"].predict(fleet.engines)
+        + fits_by_name["world_users_cpu"].slope * fleet.customers
     )
     return [
-        Row(
-            role="settings",
-            what="changes of a customer: head and part",
-            rate_per_s=fleet.changes_per_s,
-            bytes_each=moved,
-            cpu_us_each=resolving,
+        ControlCost(
+            process="settings",
+            activity="changes of a customer: head and part",
+            rate_per_s=fleet.settings_changes_per_s,
+            bytes_per_event=customer_change_bytes,
+            cpu_us_per_event=resolve_cpu_us,
         ),
-        Row(
-            role="settings",
-            what="changes of an engine, if 1 of 10 changes is one",
-            rate_per_s=fleet.changes_per_s / 10,
-            bytes_each=part,
-            cpu_us_each=0.0,
+        ControlCost(
+            process="settings",
+            activity="changes of an engine, if 1 of 10 changes is one",
+            rate_per_s=fleet.settings_changes_per_s / 10,
+            bytes_per_event=engine_change_bytes,
+            cpu_us_per_event=0.0,
         ),
-        Row(
-            role="dispatch",
-            what="changes: resolving them again in this process",
-            rate_per_s=fleet.changes_per_s,
-            bytes_each=0.0,
-            cpu_us_each=resolving,
+        ControlCost(
+            process="dispatch",
+            activity="changes: resolving them again in this process",
+            rate_per_s=fleet.settings_changes_per_s,
+            bytes_per_event=0.0,
+            cpu_us_per_event=resolve_cpu_us,
         ),
-        Row(
-            role="entry",
-            what="changes: resolving and scheduler, each entry process",
-            rate_per_s=fleet.changes_per_s * ENTRIES_PER_NODE,
-            bytes_each=0.0,
-            cpu_us_each=resolving + schedulers,
+        ControlCost(
+            process="entry",
+            activity="changes: resolving and scheduler, each entry process",
+            rate_per_s=fleet.settings_changes_per_s * ENTRY_PROCESSES_PER_VM,
+            bytes_per_event=0.0,
+            cpu_us_per_event=resolve_cpu_us + scheduler_cpu_us,
         ),
     ]
 
 
-def memory_bytes(
-    slopes_by_name: Mapping[str, fit.Slope], fleet: fleet_lib.FleetSize
+def memory_bytes_by_state(
+    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> dict[str, float]:
-    """Works out the state of one process, beside Python itself.
+    """Estimates the memory of one process, without the Python runtime.
 
     Args:
-      slopes_by_name: The measured slopes.
-      fleet: The size.
+      fits_by_name: Measured cost fits by name.
+      fleet: Sizes and rates of the fleet.
 
     Returns:
-      Bytes by state.
+      Bytes by kind of state.
     """
-    customers = slopes_by_name["settings_memory_customer"].each
-    engines = slopes_by_name["settings_memory_engine"].each
-    customers_of_engine = (
-        ENTRIES_PER_NODE
-        * fleet.nodes
+    bytes_per_customer = fits_by_name["settings_memory_customer"].slope
+    bytes_per_engine = fits_by_name["settings_memory_engine"].slope
+    entry_processes_per_engine = (
+        ENTRY_PROCESSES_PER_VM
+        * fleet.entry_vms
         * (subset.PREFILLS_MAX + subset.DECODES_MAX)
         / fleet.engines
     )
-    ledger = slopes_by_name["ledger_memory"].at(customers_of_engine)
+    bytes_per_ledger = fits_by_name["ledger_memory"].predict(
+        entry_processes_per_engine
+    )
     return {
-        "settings of customers": customers * fleet.customers,
-        "settings of engines": engines * fleet.engines,
-        "VM list": slopes_by_name["list_memory"].at(fleet.nodes),
-        "slot ledgers (dispatch)": ledger * fleet.engines_per_home,
+        "settings of customers": bytes_per_customer * fleet.customers,
+        "settings of engines": bytes_per_engine * fleet.engines,
+        "VM list": fits_by_name["list_memory"].predict(fleet.entry_vms),
+        "slot ledgers (dispatch)": bytes_per_ledger
+        * fleet.engines_per_coordinator,
     }
--- a/src/cowsliprill/capacity/synthetic.py
+++ b/src/cowsliprill/capacity/synthetic.py
@@ -1,4 +1,4 @@
-"""Made-up settings, VMs and asks of any size."""
+"""Generates settings, VM lists and slot demands of a given size."""
 
 import hashlib
 import json
@@ -13,15 +13,15 @@
 
 
 def document(customers: int, services: int, engines: int) -> dict[str, Any]:
-    """Makes a settings document.
+    """Returns a settings document with one pool and one parent customer.
 
     Args:
-      customers: Child customers, each with one API key.
-      services: Services of their parent.
-      engines: Engines of one pool, one of six a prefill engine.
+      customers: Number of child customers, each with one API key.
+      services: Number of services of the parent customer.
+      engines: Number of engines in the pool; every sixth is a prefill engine.
 
     Returns:
-      The tree; `revision` is 1.
+      The document as a JSON-compatible dict with `revision` 1.
     """
     customers = {f"customer-{n:05d}": customer(n) for n in range(customers)}
     service = {"kind": "model", "pool": POOL, "model": "standin"}
@@ -54,7 +54,7 @@
 
 
 def customer(number: int) -> dict[str, Any]:
-    """Makes one customer's node."""
+    """Returns the settings of one child customer."""
     digest = hashlib.sha256(f"key-{number}".encode()).hexdigest()
     return {"key_hashes": [digest], "share": 1.0}
 
@@ -70,12 +70,12 @@
 
 
 def text(customers: int, services: int, engines: int) -> str:
-    """Returns `document` as JSON."""
+    """Returns the result of `document` as JSON text."""
     return json.dumps(document(customers, services, engines))
 
 
 def vms(count: int) -> list[model.Vm]:
-    """Makes entry VMs."""
+    """Returns a list of entry VMs, spread over `ZONES` availability zones."""
     return [
         model.Vm(
             id=f"vm-{number:04d}",
@@ -90,8 +90,17 @@
     ]
 
 
-def ask(endpoint_id: str, in_use: int, sequence: int) -> messages.SlotAsk:
-    """Makes an ask of an entry with some running requests and one waiting."""
+def slot_demand(
+    endpoint_id: str, in_use: int, sequence: int
+) -> messages.SlotAsk:
+    """Returns an entry process's slot demand for one endpoint.
+
+    Args:
+      endpoint_id: The endpoint.
+      in_use: Running requests, each of its own customer; one more request
+        waits.
+      sequence: Sequence number of the demand.
+    """
     customers = [f"{PARENT}/customer-{n:05d}" for n in range(in_use + 1)]
     return messages.SlotAsk(
         endpoint_id=endpoint_id,
--- a/src/cowsliprill/capacity/wire.py
+++ b/src/cowsliprill/capacity/wire.py
@@ -1,4 +1,4 @@
-"""Messages on a real socket: bytes both ways, processor time of both ends."""
+"""Measures bytes and CPU time of HTTP exchanges over a local socket."""
 
 import asyncio
 import dataclasses
@@ -26,17 +26,18 @@
 from cowsliprill.engines import protocol
 
 _ENTRY = "vm-0001.e0.0123456789abcdef"
-_TIMES = 60
+_CPU_ITERATIONS = 60
 _HOST = "127.0.0.1"
 
 
 @dataclasses.dataclass(slots=True)
-class Cost:
-    """What one exchange costs.
+class ExchangeCost:
+    """Cost of one HTTP exchange.
 
     Attributes:
-      bytes: Bytes both ways, headers included, without those of TCP and IP.
-      cpu_s: Processor time of both ends.
+      bytes: Bytes in both directions, with HTTP headers but without TCP and
+        IP headers.
+      cpu_s: CPU time of client and server together.
     """
 
     bytes: float = 0.0
@@ -44,21 +45,25 @@
 
 
 class _CountingProxy:
-    """Passes bytes on and counts them."""
+    """TCP proxy that counts the bytes forwarded in both directions.
+
+    Attributes:
+      byte_count: Forwarded bytes.
+    """
 
     def __init__(self, port: int) -> None:
         self._port = port
-        self.count = 0
+        self.byte_count = 0
         self._tasks: set[asyncio.Task] = set()
 
     def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Takes a connection."""
+        """Starts forwarding an accepted connection."""
         self._tasks.add(asyncio.create_task(self._serve(reader, writer)))
 
     async def close(self) -> None:
-        """Ends all connections."""
+        """Cancels all connections and waits for their end."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -66,17 +71,18 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        there = await asyncio.open_connection(_HOST, self._port)
+        upstream = await asyncio.open_connection(_HOST, self._port)
         await asyncio.gather(
-            self._pass_on(reader, there[1]), self._pass_on(there[0], writer)
+            self._forward(reader, upstream[1]),
+            self._forward(upstream[0], writer),
         )
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
             while chunk := await reader.read(65_536):
-                self.count += len(chunk)
+                self.byte_count += len(chunk)
                 writer.write(chunk)
         finally:
             writer.close()
@@ -88,47 +94,47 @@
 
 async def _measure(
     routes: list[tuple], exchange: Callable[[int], Awaitable[object]]
-) -> Cost:
+) -> ExchangeCost:
     application = web.Application(routes, log_function=_ignore)
     server = httpserver.HTTPServer(application)
     sockets = netutil.bind_sockets(0, _HOST)
     server.add_sockets(sockets)
     port = sockets[0].getsockname()[1]
     proxy = _CountingProxy(port)
-    counted = await asyncio.start_server(proxy.accept, _HOST, 0)
-    counted_port = counted.sockets[0].getsockname()[1]
+    proxy_server = await asyncio.start_server(proxy.accept, _HOST, 0)
+    proxy_port = proxy_server.sockets[0].getsockname()[1]
     try:
-        await exchange(counted_port)
-        before = proxy.count
-        await exchange(counted_port)
-        size = proxy.count - before
+        await exchange(proxy_port)
+        bytes_before = proxy.byte_count
+        await exchange(proxy_port)
+        exchanged_bytes = proxy.byte_count - bytes_before
         await exchange(port)
         start = time.process_time()
-        for _ in range(_TIMES):
+        for _ in range(_CPU_ITERATIONS):
             await exchange(port)
-        spent = (time.process_time() - start) / _TIMES
+        cpu_s_per_exchange = (time.process_time() - start) / _CPU_ITERATIONS
     finally:
-        counted.close()
+        proxy_server.close()
         await proxy.close()
         server.stop()
         await server.close_all_connections()
-    return Cost(float(size), spent)
+    return ExchangeCost(float(exchanged_bytes), cpu_s_per_exchange)
 
 
-def slots_exchange(asks: int, running: int = 3) -> Cost:
-    """Measures one `POST /v1/slots` and its answer.
+def slots_exchange(demands: int, running: int = 3) -> ExchangeCost:
+    """Measures one `POST /v1/slots` request and its response.
 
     Args:
-      asks: Endpoints in one message.
-      running: Requests that the entry runs on each.
+      demands: Slot demands in the request, one per endpoint.
+      running: Requests that the entry process runs on each endpoint.
 
     Returns:
-      The cost.
+      Bytes and CPU time of the exchange.
     """
-    return asyncio.run(_slots_exchange(asks, running))
+    return asyncio.run(_slots_exchange(demands, running))
 
 
-async def _slots_exchange(asks: int, running: int) -> Cost:
+async def _slots_exchange(demands: int, running: int) -> ExchangeCost:
     endpoints = [
         model.Endpoint(
             id=f"engine-{n:04d}",
@@ -139,19 +145,21 @@
             pool=synthetic.POOL,
             slots=20,
         )
-        for n in range(asks)
+        for n in range(demands)
     ]
-    homes = homes_lib.Homes("vm-0000")
+    coordinated_endpoints = homes_lib.Homes("vm-0000")
     by_id = {endpoint.id: endpoint for endpoint in endpoints}
     snapshot = model.Snapshot(revision=1, endpoints_by_id=by_id)
-    own = synthetic.vms(1)[0]
-    homes.update(snapshot, model.Fleet(vms_by_id={own.id: own}), -1e9)
-    desk = slot_desk.SlotDesk(homes, clock.now, _ignore)
+    local_vm = synthetic.vms(1)[0]
+    coordinated_endpoints.update(
+        snapshot, model.Fleet(vms_by_id={local_vm.id: local_vm}), -1e9
+    )
+    lease_server = slot_desk.SlotDesk(coordinated_endpoints, clock.now, _ignore)
     auth = peer_auth.PeerAuth("secret")
     route = (
         peers.SLOTS_PATH,
         handlers.SlotsHandler,
-        {"auth": auth, "desk": desk},
+        {"auth": auth, "desk": lease_server},
     )
     client = http_client.HttpClient()
     sequence = 0
@@ -162,7 +170,8 @@
         request = messages.SlotsRequest(
             entry=_ENTRY,
             asks=tuple(
-                synthetic.ask(each, running, sequence) for each in by_id
+                synthetic.slot_demand(endpoint_id, running, sequence)
+                for endpoint_id in by_id
             ),
             wait_s=0.5,
         )
@@ -187,19 +196,19 @@
         self.write({"requests": self._requests})
 
 
-def running_list(requests: int) -> Cost:
-    """Measures reading what an engine runs.
+def running_list(requests: int) -> ExchangeCost:
+    """Measures fetching an engine's list of running requests.
 
     Args:
-      requests: Requests that it runs.
+      requests: Number of requests in the list.
 
     Returns:
-      The cost.
+      Bytes and CPU time of the exchange.
     """
     return asyncio.run(_running_list(requests))
 
 
-async def _running_list(requests: int) -> Cost:
+async def _running_list(requests: int) -> ExchangeCost:
     entries = [
         {
             "request_id": f"vm-{n:04d}.e0.0123456789abcdef.{10_000 + n}.0",
@@ -210,7 +219,7 @@
     ]
     route = (protocol.RUNNING_PATH, _RunningHandler, {"requests": entries})
     client = http_client.HttpClient()
-    engines = engine_client.EngineClient(client)
+    engine_api = engine_client.EngineClient(client)
 
     async def exchange(port: int) -> None:
         endpoint = model.Endpoint(
@@ -222,7 +231,7 @@
             pool=synthetic.POOL,
             slots=20,
         )
-        await engines.running(endpoint)
+        await engine_api.running(endpoint)
 
     try:
         return await _measure([route], exchange)
@@ -238,19 +247,21 @@
         self.write(self._body)
 
 
-def peer_exchange(body_bytes: int) -> Cost:
-    """Measures one call between settings processes, the same size both ways.
+def peer_exchange(body_bytes: int) -> ExchangeCost:
+    """Measures one call between settings processes.
+
+    Request and response body have the same size.
 
     Args:
-      body_bytes: Bytes of each body.
+      body_bytes: Size of each body.
 
     Returns:
-      The cost.
+      Bytes and CPU time of the exchange.
     """
     return asyncio.run(_peer_exchange(b"x" * body_bytes))
 
 
-async def _peer_exchange(body: bytes) -> Cost:
+async def _peer_exchange(body: bytes) -> ExchangeCost:
     route = (peers.EXCHANGE_PATH, _BodyHandler, {"body": body})
     client = peer_client.PeerClient()
     auth = peer_auth.PeerAuth("secret")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of the arithmetic behind docs/CAPACITY.md."""
+"""Tests of the cost measurements and estimates for docs/CAPACITY.md."""
 
 import dataclasses
 import re
@@ -14,61 +14,63 @@
 
 
 class TestFit:
-    """Lines by least squares."""
+    """Least-squares line fits."""
 
-    def test_points_on_a_line_are_found_again(self) -> None:
+    def test_exact_line_is_recovered(self) -> None:
         points = [(1, 5.0), (10, 23.0), (100, 203.0)]
-        slope = fit.fit("name", "size", "B", points)
-        assert slope.fixed == pytest.approx(3.0)
-        assert slope.each == pytest.approx(2.0)
-        assert slope.residual == pytest.approx(0.0, abs=1e-9)
+        line = fit.fit("name", "size", "B", points)
+        assert line.intercept == pytest.approx(3.0)
+        assert line.slope == pytest.approx(2.0)
+        assert line.max_relative_residual == pytest.approx(0.0, abs=1e-9)
 
-    def test_the_residual_tells_that_points_are_no_line(self) -> None:
-        slope = fit.fit("name", "size", "B", [(1, 0.0), (2, 9.0), (3, 0.0)])
-        assert slope.residual > 0.5
+    def test_nonlinear_points_have_a_large_residual(self) -> None:
+        line = fit.fit("name", "size", "B", [(1, 0.0), (2, 9.0), (3, 0.0)])
+        assert line.max_relative_residual > 0.5
 
 
-class _AnySlopes(dict):
-    """Gives a line of known height for each name that is asked for."""
+class _ConstantFits(dict):
+    """Maps every name to a fit with intercept 100 and slope 1."""
 
-    def __missing__(self, name: str) -> fit.Slope:
+    def __missing__(self, name: str) -> fit.LinearFit:
         points = [(0, 100.0), (1, 101.0), (2, 102.0)]
         return fit.fit(name, "size", "B", points)
 
 
-class TestRoles:
-    """Rates and sizes at the letter's size."""
+class TestControlCosts:
+    """Control-plane cost estimates for the target fleet."""
 
-    def test_more_nodes_mean_fewer_engines_a_home(self) -> None:
-        small = fleet.LETTER
-        large = dataclasses.replace(small, nodes=2 * small.nodes)
+    def test_doubling_vms_halves_order_checks_per_vm(self) -> None:
+        small = fleet.TARGET_FLEET
+        large = dataclasses.replace(small, entry_vms=2 * small.entry_vms)
 
         def read_backs(size: fleet.FleetSize) -> float:
-            found = roles.rows(_AnySlopes(), size)
-            row = next(r for r in found if r.what == "orders read back")
+            found = roles.control_costs(_ConstantFits(), size)
+            row = next(r for r in found if r.activity == "orders read back")
             return row.bytes_per_s
 
         assert read_backs(large) == pytest.approx(read_backs(small) / 2)
 
-    def test_a_row_over_a_limit_says_by_how_much(self) -> None:
-        limits = dataclasses.replace(fleet.LIMITS, bytes_per_s=1.0)
-        table = report.roles_table(_AnySlopes(), fleet.LETTER, limits)
+    def test_row_above_a_limit_shows_the_factor(self) -> None:
+        limits = dataclasses.replace(fleet.TARGET_LIMITS, bytes_per_s=1.0)
+        table = report.control_cost_table(
+            _ConstantFits(), fleet.TARGET_FLEET, limits
+        )
         assert re.search(r"\| bytes [\d.]+x", table)
 
 
-class TestWire:
-    """Bytes on a real socket."""
+class TestHttpExchanges:
+    """Byte counts of HTTP exchanges over a local socket."""
 
-    def test_an_exchange_has_more_bytes_than_both_bodies(self) -> None:
+    def test_exchange_size_includes_headers(self) -> None:
         body = 1_000
         assert wire.peer_exchange(body).bytes > 2 * body + 200
 
 
-class TestChangeOf:
-    """The settings are measured as they are published and resolved today."""
+class TestMeasureCustomerChange:
+    """Measurements of published and resolved settings changes."""
 
-    def test_a_change_moves_far_less_than_all_customers(self) -> None:
-        change = measure.change_of(300, 13)
+    def test_change_transfers_less_than_half_of_all_customers(self) -> None:
+        change = measure.measure_customer_change(300, 13)
         customers_bytes = 300 * 64
-        assert 0 < change.moved_bytes < customers_bytes / 2
+        assert 0 < change.transferred_bytes < customers_bytes / 2
         assert change.cpu_s > 0
