--- a/src/cowsliprill/capacity/fleet.py
+++ b/src/cowsliprill/capacity/fleet.py
@@ -37,7 +37,7 @@
         return self.engines / self.entry_vms
 
     @property
-    def requests_per_vm_s(self) -> float:
+    def requests_per_s_per_vm(self) -> float:
         """Returns the requests per second through one VM at peak load."""
         return self.requests_per_s / self.entry_vms
 
@@ -49,7 +49,7 @@
     Attributes:
       core_fraction: CPU time per VM, as a fraction of one core.
       memory_bytes: Resident memory per VM.
-      bytes_per_s: Network traffic per VM.
+      bytes_per_s: Network traffic per VM, bytes per second.
       settings_propagation_s: Time until a settings change is in force on all
         VMs.
       platform_calls_per_s: Platform API calls per second by all VMs together.
--- a/src/cowsliprill/capacity/measure.py
+++ b/src/cowsliprill/capacity/measure.py
@@ -28,7 +28,7 @@
 def measure_all() -> list[fit.LinearFit]:
     """Runs all measurements; takes about one minute."""
     return [
-        *_wire_fits(),
+        *_http_exchange_fits(),
         *_ledger_fits(),
         *_settings_fits(),
         *_change_fits(),
@@ -38,7 +38,7 @@
     ]
 
 
-def _wire_fits() -> list[fit.LinearFit]:
+def _http_exchange_fits() -> list[fit.LinearFit]:
     by_demands = {n: wire.slots_exchange(n) for n in (1, 4, 8, 16)}
     by_running = {n: wire.slots_exchange(1, n) for n in (0, 5, 10, 19)}
     by_list_length = {n: wire.running_list(n) for n in (1, 10, 20, 40)}
@@ -57,17 +57,17 @@
 
 
 def _fit_bytes(
-    name: str, per: str, costs: dict[int, wire.ExchangeCost]
+    name: str, size_label: str, costs: dict[int, wire.ExchangeCost]
 ) -> fit.LinearFit:
     points = [(size, cost.bytes) for size, cost in costs.items()]
-    return fit.fit(name, per, "B", points)
+    return fit.fit(name, size_label, "B", points)
 
 
 def _fit_cpu(
-    name: str, per: str, costs: dict[int, wire.ExchangeCost]
+    name: str, size_label: str, costs: dict[int, wire.ExchangeCost]
 ) -> fit.LinearFit:
     points = [(size, cost.cpu_s * 1e6) for size, cost in costs.items()]
-    return fit.fit(name, per, "µs", points)
+    return fit.fit(name, size_label, "µs", points)
 
 
 def _ledger(entry_processes: int) -> slots.SlotLedger:
@@ -101,8 +101,9 @@
     return gauge.cpu_s(lambda: ledger.ask(entry_id, demand, 0.1), 2_000)
 
 
-def _resolved(customers: int, services: int, engines: int) -> tuple:
-    texts = publish.split(synthetic.text(customers, services, engines))
+def _resolve_synthetic(customers: int, services: int, engines: int) -> tuple:
+    """Returns a resolver, its part store and the resolved snapshot."""
+    texts = publish.split(synthetic.document_text(customers, services, engines))
     store = _part_store(texts)
     resolver = resolve.Resolver()
     index, _ = parts.index_of(texts)
@@ -119,15 +120,15 @@
 
 def _settings_fits() -> list[fit.LinearFit]:
     customers = [
-        (n, gauge.memory_bytes(lambda n=n: _resolved(n, 3, 13)))
+        (n, gauge.memory_bytes(lambda n=n: _resolve_synthetic(n, 3, 13)))
         for n in (2_000, 10_000, 42_000)
     ]
     services = [
-        (n, gauge.memory_bytes(lambda n=n: _resolved(10, n, 13)))
+        (n, gauge.memory_bytes(lambda n=n: _resolve_synthetic(10, n, 13)))
         for n in (10, 100, 400)
     ]
     engines = [
-        (n, gauge.memory_bytes(lambda n=n: _resolved(10, 3, n)))
+        (n, gauge.memory_bytes(lambda n=n: _resolve_synthetic(10, 3, n)))
         for n in _ENGINE_COUNTS
     ]
     return [
@@ -281,6 +282,13 @@
 
 
 def _coordinator_map_cpu(*, from_empty: bool) -> list[tuple[float, float]]:
+    """Returns pairs of engine count and CPU time in microseconds.
+
+    Args:
+      from_empty: True measures the first lookup of all engines' coordinators;
+        False measures removing one VM and adding it again, with a lookup of
+        all engines after each.
+    """
     vms = synthetic.vms(690)
     points = []
     for engines in _ENGINE_COUNTS:
@@ -343,18 +351,20 @@
 def _scheduler_fits() -> list[fit.LinearFit]:
     request_points, state_change_points = [], []
     for engines in _ENGINE_COUNTS:
-        snapshot = resolve.resolve(synthetic.text(500, 3, engines))
+        snapshot = resolve.resolve(synthetic.document_text(500, 3, engines))
         vms = {vm.id: vm for vm in synthetic.vms(690)}
         cluster_state = messages.WorldChanged(
             snapshot, model.Fleet(version=1, vms_by_id=vms)
         )
         request_points.append((engines, _request_cpu_s(cluster_state) * 1e6))
-        zone_scheduler = scheduler.Scheduler("zone-0", 1)
+        request_scheduler = scheduler.Scheduler("zone-0", 1)
         state_change_points.append(
             (
                 engines,
                 gauge.cpu_s(
-                    lambda s=zone_scheduler, c=cluster_state: s.handle(c, 0.0)
+                    lambda s=request_scheduler, c=cluster_state: s.handle(
+                        c, 0.0
+                    )
                 )
                 * 1e6,
             )
@@ -369,13 +379,17 @@
 
 
 def _customer_change_cpu() -> list[tuple[float, float]]:
+    """Returns pairs of customer count and CPU time in microseconds.
+
+    The CPU time is that of a scheduler to apply a cluster state change.
+    """
     points = []
     for customers in (500, 2_000, 8_000):
-        snapshot = resolve.resolve(synthetic.text(customers, 3, 13))
+        snapshot = resolve.resolve(synthetic.document_text(customers, 3, 13))
         cluster_state = messages.WorldChanged(snapshot, model.Fleet(version=1))
-        zone_scheduler = scheduler.Scheduler("zone-0", 1)
+        request_scheduler = scheduler.Scheduler("zone-0", 1)
         cpu_s = gauge.cpu_s(
-            lambda s=zone_scheduler, c=cluster_state: s.handle(c, 0.0)
+            lambda s=request_scheduler, c=cluster_state: s.handle(c, 0.0)
         )
         points.append((customers, cpu_s * 1e6))
     return points
@@ -386,8 +400,8 @@
 
     Every slot demand is granted at once, as by a coordinator with free slots.
     """
-    zone_scheduler = scheduler.Scheduler("zone-0", 1)
-    zone_scheduler.handle(cluster_state, 0.0)
+    request_scheduler = scheduler.Scheduler("zone-0", 1)
+    request_scheduler.handle(cluster_state, 0.0)
     service = next(iter(cluster_state.snapshot.services_by_id.values()))
     numbers = itertools.count(1)
     rng = random.Random(1)
@@ -403,17 +417,17 @@
             deadline=number + 2.0,
         )
         _grant_until_started(
-            zone_scheduler, zone_scheduler.handle(submit, number), number
+            request_scheduler, request_scheduler.handle(submit, number), number
         )
-        zone_scheduler.handle(messages.PrefillFinished(number), number + 0.1)
-        zone_scheduler.handle(messages.FirstToken(number), number + 0.2)
-        zone_scheduler.handle(messages.Finished(number, 100), number + 0.9)
+        request_scheduler.handle(messages.PrefillFinished(number), number + 0.1)
+        request_scheduler.handle(messages.FirstToken(number), number + 0.2)
+        request_scheduler.handle(messages.Finished(number, 100), number + 0.9)
 
     return gauge.cpu_s(step, 100)
 
 
 def _grant_until_started(
-    zone_scheduler: scheduler.Scheduler,
+    request_scheduler: scheduler.Scheduler,
     actions: list[messages.Action],
     now: float,
 ) -> None:
@@ -423,7 +437,8 @@
     slots does.
 
     Raises:
-      RuntimeError: The request has no open slot demand and has not started.
+      RuntimeError: All slot demands are granted and the request has not
+        started.
     """
     demands_by_endpoint: dict[str, messages.SlotAsk] = {}
     while not any(isinstance(action, messages.Start) for action in actions):
@@ -432,7 +447,7 @@
                 demands_by_endpoint[action.endpoint_id] = action
         if not demands_by_endpoint:
             raise RuntimeError(
-                "measured request neither started nor demanded a slot"
+                "measured request did not start after all grants"
             )
         _, demand = demands_by_endpoint.popitem()
         grant = messages.SlotGrant(
@@ -441,4 +456,4 @@
             expires_at=1e9,
             sequence=demand.sequence,
         )
-        actions = zone_scheduler.handle(grant, now)
+        actions = request_scheduler.handle(grant, now)
--- a/src/cowsliprill/capacity/report.py
+++ b/src/cowsliprill/capacity/report.py
@@ -54,7 +54,7 @@
         "| process | what | a second | bytes each | bytes/s | core | over |",
         "|---|---|---:|---:|---:|---:|---|",
     ]
-    for cost in roles.control_costs(fits_by_name, fleet):
+    for cost in roles.estimate_costs(fits_by_name, fleet):
         exceeded = []
         if cost.bytes_per_s > limits.bytes_per_s:
             exceeded.append(
--- a/src/cowsliprill/capacity/roles.py
+++ b/src/cowsliprill/capacity/roles.py
@@ -41,7 +41,7 @@
       activity: Description, the row's label in the table.
       rate_per_s: Events per second.
       bytes_per_event: Bytes per event, both directions.
-      cpu_us_per_event: CPU time per event in microseconds; 0 if unknown.
+      cpu_us_per_event: CPU time per event in microseconds; 0 if not measured.
     """
 
     process: str
@@ -64,10 +64,10 @@
 def running_requests_per_vm(fleet: fleet_lib.FleetSize) -> float:
     """Returns the mean number of concurrent response streams through one VM."""
     tokens = fleet.tokens_per_s / fleet.requests_per_s
-    return fleet.requests_per_vm_s * tokens * DECODE_S_PER_TOKEN
+    return fleet.requests_per_s_per_vm * tokens * DECODE_S_PER_TOKEN
 
 
-def control_costs(
+def estimate_costs(
     fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> list[ControlCost]:
     """Estimates the cost of every control-plane activity on one VM.
@@ -94,19 +94,21 @@
 def _slot_costs(
     fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> list[ControlCost]:
-    engines = subset.PREFILLS_MAX + subset.DECODES_MAX
-    coordinators = fleet.entry_vms * (1 - (1 - 1 / fleet.entry_vms) ** engines)
+    engines_per_entry = subset.PREFILLS_MAX + subset.DECODES_MAX
+    coordinators = fleet.entry_vms * (
+        1 - (1 - 1 / fleet.entry_vms) ** engines_per_entry
+    )
     bytes_per_running_request = fits_by_name["slots_user_bytes"].slope
     running = running_requests_per_vm(fleet) / ENTRY_PROCESSES_PER_VM
     exchange_bytes = fits_by_name["slots_bytes"]
     exchange_cpu_us = fits_by_name["slots_cpu"]
-    demands_per_message = engines / coordinators
+    demands_per_message = engines_per_entry / coordinators
     current_message_bytes = exchange_bytes.predict(
         demands_per_message
     ) + bytes_per_running_request * (
         running / coordinators - RUNNING_PER_DEMAND * demands_per_message
     )
-    proposed_demands_per_message = engines / PROPOSED_COORDINATORS
+    proposed_demands_per_message = engines_per_entry / PROPOSED_COORDINATORS
     proposed_message_bytes = (
         exchange_bytes.intercept
         + proposed_demands_per_message
@@ -140,7 +142,7 @@
         ControlCost(
             process="entry",
             activity="placement of a request",
-            rate_per_s=fleet.requests_per_vm_s,
+            rate_per_s=fleet.requests_per_s_per_vm,
             bytes_per_event=0.0,
             cpu_us_per_event=fits_by_name["request_cpu"].predict(fleet.engines),
         ),
--- a/src/cowsliprill/capacity/synthetic.py
+++ b/src/cowsliprill/capacity/synthetic.py
@@ -69,7 +69,7 @@
     }
 
 
-def text(customers: int, services: int, engines: int) -> str:
+def document_text(customers: int, services: int, engines: int) -> str:
     """Returns the result of `document` as JSON text."""
     return json.dumps(document(customers, services, engines))
 
--- a/src/cowsliprill/capacity/wire.py
+++ b/src/cowsliprill/capacity/wire.py
@@ -95,6 +95,18 @@
 async def _measure(
     routes: list[tuple], exchange: Callable[[int], Awaitable[object]]
 ) -> ExchangeCost:
+    """Measures one exchange with a local server of the given routes.
+
+    Bytes are counted in a proxy, on a connection that is already open; CPU
+    time is the mean of `_CPU_ITERATIONS` exchanges without the proxy.
+
+    Args:
+      routes: Tornado routes of the server.
+      exchange: Performs one exchange with the server at a port.
+
+    Returns:
+      Bytes and CPU time of the exchange.
+    """
     application = web.Application(routes, log_function=_ignore)
     server = httpserver.HTTPServer(application)
     sockets = netutil.bind_sockets(0, _HOST)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -43,12 +43,14 @@
         small = fleet.TARGET_FLEET
         large = dataclasses.replace(small, entry_vms=2 * small.entry_vms)
 
-        def read_backs(size: fleet.FleetSize) -> float:
-            found = roles.control_costs(_ConstantFits(), size)
-            row = next(r for r in found if r.activity == "orders read back")
+        def order_check_bytes_per_s(size: fleet.FleetSize) -> float:
+            costs = roles.estimate_costs(_ConstantFits(), size)
+            row = next(r for r in costs if r.activity == "orders read back")
             return row.bytes_per_s
 
-        assert read_backs(large) == pytest.approx(read_backs(small) / 2)
+        assert order_check_bytes_per_s(large) == pytest.approx(
+            order_check_bytes_per_s(small) / 2
+        )
 
     def test_row_above_a_limit_shows_the_factor(self) -> None:
         limits = dataclasses.replace(fleet.TARGET_LIMITS, bytes_per_s=1.0)
