--- a/src/cowsliprill/capacity/__main__.py
+++ b/src/cowsliprill/capacity/__main__.py
@@ -8,7 +8,7 @@
 import cappa
 
 from cowsliprill.capacity import fleet
-from cowsliprill.capacity import measure
+from cowsliprill.capacity import measurements
 from cowsliprill.capacity import plot
 from cowsliprill.capacity import report
 
@@ -34,7 +34,7 @@
       The exit code, always 0.
     """
     arguments = cappa.parse(_Command)
-    fits = measure.measure_all()
+    fits = measurements.measure_all()
     fits_by_name = {line.name: line for line in fits}
     print(report.fits_table(fits))
     print()
--- a/src/cowsliprill/capacity/roles.py
+++ b/src/cowsliprill/capacity/control_costs.py
@@ -3,8 +3,8 @@
 import dataclasses
 from collections.abc import Mapping
 
-from cowsliprill.capacity import fit
 from cowsliprill.capacity import fleet as fleet_lib
+from cowsliprill.capacity import linear_fit
 from cowsliprill.decisions import engine_subset
 from cowsliprill.decisions import fencing
 
@@ -68,7 +68,7 @@
 
 
 def estimate_costs(
-    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, linear_fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> list[ControlCost]:
     """Estimates the cost of every control-plane activity on one VM.
 
@@ -92,7 +92,7 @@
 
 
 def _slot_costs(
-    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, linear_fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> list[ControlCost]:
     engines_per_entry = (
         engine_subset.MAX_PREFILL_ENGINES + engine_subset.MAX_DECODE_ENGINES
@@ -152,7 +152,7 @@
 
 
 def _coordinator_costs(
-    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, linear_fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> list[ControlCost]:
     coordinated_engines = fleet.engines_per_coordinator
     running = running_requests_per_vm(fleet)
@@ -215,7 +215,7 @@
 
 
 def _settings_costs(
-    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, linear_fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> list[ControlCost]:
     list_bytes = fits_by_name["list_bytes"]
     list_cpu = fits_by_name["list_cpu"]
@@ -255,7 +255,7 @@
 
 
 def _settings_change_costs(
-    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, linear_fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> list[ControlCost]:
     customer_change_bytes = fits_by_name["change_bytes"].predict(
         fleet.customers
@@ -301,7 +301,7 @@
 
 
 def memory_bytes_by_state(
-    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, linear_fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> dict[str, float]:
     """Estimates the memory of one process, without the Python runtime.
 
--- a/src/cowsliprill/capacity/measure.py
+++ b/src/cowsliprill/capacity/measurements.py
@@ -6,10 +6,10 @@
 import random
 
 from cowsliprill import codec
-from cowsliprill.capacity import fit
-from cowsliprill.capacity import gauge
+from cowsliprill.capacity import http_exchanges
+from cowsliprill.capacity import linear_fit
+from cowsliprill.capacity import profiling
 from cowsliprill.capacity import synthetic
-from cowsliprill.capacity import wire
 from cowsliprill.decisions import coordinator_map
 from cowsliprill.decisions import identity
 from cowsliprill.decisions import messages
@@ -25,7 +25,7 @@
 _ENGINE_COUNTS = (13, 130, 1_300, 5_900)
 
 
-def measure_all() -> list[fit.LinearFit]:
+def measure_all() -> list[linear_fit.LinearFit]:
     """Runs all measurements; takes about one minute."""
     return [
         *_http_exchange_fits(),
@@ -38,11 +38,17 @@
     ]
 
 
-def _http_exchange_fits() -> list[fit.LinearFit]:
-    by_demands = {n: wire.slots_exchange(n) for n in (1, 4, 8, 16)}
-    by_running = {n: wire.slots_exchange(1, n) for n in (0, 5, 10, 19)}
-    by_list_length = {n: wire.running_list(n) for n in (1, 10, 20, 40)}
-    by_body_bytes = {n: wire.peer_exchange(n) for n in (100, 1_000, 4_000)}
+def _http_exchange_fits() -> list[linear_fit.LinearFit]:
+    by_demands = {n: http_exchanges.slots_exchange(n) for n in (1, 4, 8, 16)}
+    by_running = {
+        n: http_exchanges.slots_exchange(1, n) for n in (0, 5, 10, 19)
+    }
+    by_list_length = {
+        n: http_exchanges.running_list(n) for n in (1, 10, 20, 40)
+    }
+    by_body_bytes = {
+        n: http_exchanges.peer_exchange(n) for n in (100, 1_000, 4_000)
+    }
     return [
         _fit_bytes("slots_bytes", "asks in a message", by_demands),
         _fit_cpu("slots_cpu", "asks in a message", by_demands),
@@ -57,17 +63,17 @@
 
 
 def _fit_bytes(
-    name: str, size_label: str, costs: dict[int, wire.ExchangeCost]
-) -> fit.LinearFit:
+    name: str, size_label: str, costs: dict[int, http_exchanges.ExchangeCost]
+) -> linear_fit.LinearFit:
     points = [(size, cost.bytes) for size, cost in costs.items()]
-    return fit.fit(name, size_label, "B", points)
+    return linear_fit.fit(name, size_label, "B", points)
 
 
 def _fit_cpu(
-    name: str, size_label: str, costs: dict[int, wire.ExchangeCost]
-) -> fit.LinearFit:
+    name: str, size_label: str, costs: dict[int, http_exchanges.ExchangeCost]
+) -> linear_fit.LinearFit:
     points = [(size, cost.cpu_s * 1e6) for size, cost in costs.items()]
-    return fit.fit(name, size_label, "µs", points)
+    return linear_fit.fit(name, size_label, "µs", points)
 
 
 def _ledger(entry_processes: int) -> slot_ledger.SlotLedger:
@@ -78,19 +84,19 @@
     return ledger
 
 
-def _ledger_fits() -> list[fit.LinearFit]:
+def _ledger_fits() -> list[linear_fit.LinearFit]:
     memory, cpu = [], []
     for entry_processes in (1, 7, 14, 20):
         memory.append(
             (
                 entry_processes,
-                gauge.memory_bytes(lambda n=entry_processes: _ledger(n)),
+                profiling.memory_bytes(lambda n=entry_processes: _ledger(n)),
             )
         )
         cpu.append((entry_processes, _demand_cpu_s(entry_processes) * 1e6))
     return [
-        fit.fit("ledger_memory", "entries with a lease", "B", memory),
-        fit.fit("ledger_cpu", "entries with a lease", "µs", cpu),
+        linear_fit.fit("ledger_memory", "entries with a lease", "B", memory),
+        linear_fit.fit("ledger_cpu", "entries with a lease", "µs", cpu),
     ]
 
 
@@ -98,7 +104,7 @@
     ledger = _ledger(entry_processes)
     demand = dataclasses.replace(synthetic.slot_demand("engine-0000", 1, 0))
     entry_id = "vm-0000.e0.0123456789abcdef"
-    return gauge.cpu_s(lambda: ledger.ask(entry_id, demand, 0.1), 2_000)
+    return profiling.cpu_s(lambda: ledger.ask(entry_id, demand, 0.1), 2_000)
 
 
 def _resolve_synthetic(customers: int, services: int, engines: int) -> tuple:
@@ -118,27 +124,27 @@
     return store
 
 
-def _settings_fits() -> list[fit.LinearFit]:
+def _settings_fits() -> list[linear_fit.LinearFit]:
     customers = [
-        (n, gauge.memory_bytes(lambda n=n: _resolve_synthetic(n, 3, 13)))
+        (n, profiling.memory_bytes(lambda n=n: _resolve_synthetic(n, 3, 13)))
         for n in (2_000, 10_000, 42_000)
     ]
     services = [
-        (n, gauge.memory_bytes(lambda n=n: _resolve_synthetic(10, n, 13)))
+        (n, profiling.memory_bytes(lambda n=n: _resolve_synthetic(10, n, 13)))
         for n in (10, 100, 400)
     ]
     engines = [
-        (n, gauge.memory_bytes(lambda n=n: _resolve_synthetic(10, 3, n)))
+        (n, profiling.memory_bytes(lambda n=n: _resolve_synthetic(10, 3, n)))
         for n in _ENGINE_COUNTS
     ]
     return [
-        fit.fit("settings_memory_customer", "customers", "B", customers),
-        fit.fit("settings_memory_service", "services", "B", services),
-        fit.fit("settings_memory_engine", "engines", "B", engines),
+        linear_fit.fit("settings_memory_customer", "customers", "B", customers),
+        linear_fit.fit("settings_memory_service", "services", "B", services),
+        linear_fit.fit("settings_memory_engine", "engines", "B", engines),
     ]
 
 
-def _change_fits() -> list[fit.LinearFit]:
+def _change_fits() -> list[linear_fit.LinearFit]:
     sizes = [(2_000, 300), (10_000, 1_500), (42_000, 5_900)]
     transferred, index, cpu = [], [], []
     for customers, engines in sizes:
@@ -147,10 +153,10 @@
         index.append((customers, change.index_bytes))
         cpu.append((customers, change.cpu_s * 1e6))
     return [
-        fit.fit("change_bytes", "customers", "B", transferred),
-        fit.fit("index_bytes", "customers", "B", index),
-        fit.fit("change_cpu", "customers (with engines)", "µs", cpu),
-        fit.fit(
+        linear_fit.fit("change_bytes", "customers", "B", transferred),
+        linear_fit.fit("index_bytes", "customers", "B", index),
+        linear_fit.fit("change_cpu", "customers (with engines)", "µs", cpu),
+        linear_fit.fit(
             "engine_change_bytes",
             "engines of one pool",
             "B",
@@ -242,37 +248,37 @@
         resolver.resolve(number, indexes[number % 2], store.packed_text)
 
     step()
-    return gauge.cpu_s(step, 4)
+    return profiling.cpu_s(step, 4)
 
 
-def _vm_list_fits() -> list[fit.LinearFit]:
+def _vm_list_fits() -> list[linear_fit.LinearFit]:
     sizes = (69, 230, 690, 2_000)
     texts = {n: codec.encode(synthetic.vms(n)) for n in sizes}
     kind = list[model.Vm]
     memory = [
-        (n, gauge.memory_bytes(lambda t=t: codec.decode(kind, t)))
+        (n, profiling.memory_bytes(lambda t=t: codec.decode(kind, t)))
         for n, t in texts.items()
     ]
     cpu = [
-        (n, gauge.cpu_s(lambda t=t: codec.decode(kind, t), 5) * 1e6)
+        (n, profiling.cpu_s(lambda t=t: codec.decode(kind, t), 5) * 1e6)
         for n, t in texts.items()
     ]
     return [
-        fit.fit(
+        linear_fit.fit(
             "list_bytes",
             "VMs in the list",
             "B",
             [(n, float(len(t))) for n, t in texts.items()],
         ),
-        fit.fit("list_memory", "VMs in the list", "B", memory),
-        fit.fit("list_cpu", "VMs in the list", "µs", cpu),
-        fit.fit(
+        linear_fit.fit("list_memory", "VMs in the list", "B", memory),
+        linear_fit.fit("list_cpu", "VMs in the list", "µs", cpu),
+        linear_fit.fit(
             "homes_start_cpu",
             "engines",
             "µs",
             _coordinator_map_cpu(from_empty=True),
         ),
-        fit.fit(
+        linear_fit.fit(
             "homes_change_cpu",
             "engines",
             "µs",
@@ -316,11 +322,11 @@
 
         start_empty()
         step = start_empty if from_empty else change_vms
-        points.append((engines, gauge.cpu_s(step) * 1e6))
+        points.append((engines, profiling.cpu_s(step) * 1e6))
     return points
 
 
-def _orphan_detection_fits() -> list[fit.LinearFit]:
+def _orphan_detection_fits() -> list[linear_fit.LinearFit]:
     points = []
     for count in (20, 80, 170, 340):
         detector = orphans.OrphanDetector(0.0)
@@ -339,8 +345,10 @@
                 now=1.0,
             )
 
-        points.append((count, gauge.cpu_s(find_orphans, 20) * 1e6))
-    return [fit.fit("sweep_cpu", "running requests of a home", "µs", points)]
+        points.append((count, profiling.cpu_s(find_orphans, 20) * 1e6))
+    return [
+        linear_fit.fit("sweep_cpu", "running requests of a home", "µs", points)
+    ]
 
 
 def _running_request(number: int) -> orphans.ObservedRequest:
@@ -351,7 +359,7 @@
     )
 
 
-def _scheduler_fits() -> list[fit.LinearFit]:
+def _scheduler_fits() -> list[linear_fit.LinearFit]:
     request_points, state_change_points = [], []
     for engines in _ENGINE_COUNTS:
         snapshot = resolve.resolve(synthetic.document_text(500, 3, engines))
@@ -364,7 +372,7 @@
         state_change_points.append(
             (
                 engines,
-                gauge.cpu_s(
+                profiling.cpu_s(
                     lambda s=request_scheduler, c=cluster_state: s.handle(
                         c, 0.0
                     )
@@ -373,11 +381,15 @@
             )
         )
     return [
-        fit.fit("request_cpu", "engines in the settings", "µs", request_points),
-        fit.fit(
+        linear_fit.fit(
+            "request_cpu", "engines in the settings", "µs", request_points
+        ),
+        linear_fit.fit(
             "world_cpu", "engines in the settings", "µs", state_change_points
         ),
-        fit.fit("world_users_cpu", "customers", "µs", _customer_change_cpu()),
+        linear_fit.fit(
+            "world_users_cpu", "customers", "µs", _customer_change_cpu()
+        ),
     ]
 
 
@@ -393,7 +405,7 @@
             snapshot, model.Fleet(version=1)
         )
         request_scheduler = scheduler.Scheduler("zone-0", 1)
-        cpu_s = gauge.cpu_s(
+        cpu_s = profiling.cpu_s(
             lambda s=request_scheduler, c=cluster_state: s.handle(c, 0.0)
         )
         points.append((customers, cpu_s * 1e6))
@@ -428,7 +440,7 @@
         request_scheduler.handle(messages.FirstToken(number), number + 0.2)
         request_scheduler.handle(messages.Finished(number, 100), number + 0.9)
 
-    return gauge.cpu_s(step, 100)
+    return profiling.cpu_s(step, 100)
 
 
 def _grant_until_started(
--- a/src/cowsliprill/capacity/plot.py
+++ b/src/cowsliprill/capacity/plot.py
@@ -6,14 +6,14 @@
 import numpy
 from matplotlib import figure
 
-from cowsliprill.capacity import fit
+from cowsliprill.capacity import linear_fit
 
 _COLUMNS = 5
 _PANEL_INCHES = (3.2, 2.4)
 _DPI = 70
 
 
-def save(fits: Sequence[fit.LinearFit], path: pathlib.Path) -> None:
+def save(fits: Sequence[linear_fit.LinearFit], path: pathlib.Path) -> None:
     """Draws the points and the line of each fit in a panel of its own.
 
     Args:
--- a/src/cowsliprill/capacity/report.py
+++ b/src/cowsliprill/capacity/report.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from collections.abc import Mapping
 
-from cowsliprill.capacity import fit
+from cowsliprill.capacity import control_costs
 from cowsliprill.capacity import fleet as fleet_lib
-from cowsliprill.capacity import roles
+from cowsliprill.capacity import linear_fit
 
 
-def fits_table(fits: Iterable[fit.LinearFit]) -> str:
+def fits_table(fits: Iterable[linear_fit.LinearFit]) -> str:
     """Formats the fits of all measured costs.
 
     Args:
@@ -35,7 +35,7 @@
 
 
 def control_cost_table(
-    fits_by_name: Mapping[str, fit.LinearFit],
+    fits_by_name: Mapping[str, linear_fit.LinearFit],
     fleet: fleet_lib.FleetSize,
     limits: fleet_lib.ResourceLimits,
 ) -> str:
@@ -54,7 +54,7 @@
         "| process | what | a second | bytes each | bytes/s | core | over |",
         "|---|---|---:|---:|---:|---:|---|",
     ]
-    for cost in roles.estimate_costs(fits_by_name, fleet):
+    for cost in control_costs.estimate_costs(fits_by_name, fleet):
         exceeded = []
         if cost.bytes_per_s > limits.bytes_per_s:
             exceeded.append(
@@ -73,7 +73,7 @@
 
 
 def memory_table(
-    fits_by_name: Mapping[str, fit.LinearFit], fleet: fleet_lib.FleetSize
+    fits_by_name: Mapping[str, linear_fit.LinearFit], fleet: fleet_lib.FleetSize
 ) -> str:
     """Formats the estimated memory of each kind of state in one process.
 
@@ -85,6 +85,8 @@
       A Markdown table.
     """
     lines = ["| state | MB |", "|---|---:|"]
-    for state, size in roles.memory_bytes_by_state(fits_by_name, fleet).items():
+    for state, size in control_costs.memory_bytes_by_state(
+        fits_by_name, fleet
+    ).items():
         lines.append(f"| {state} | {size / 1e6:,.2f} |")
     return "\n".join(lines)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from cowsliprill.capacity import fit
+from cowsliprill.capacity import control_costs
 from cowsliprill.capacity import fleet
-from cowsliprill.capacity import measure
+from cowsliprill.capacity import http_exchanges
+from cowsliprill.capacity import linear_fit
+from cowsliprill.capacity import measurements
 from cowsliprill.capacity import report
-from cowsliprill.capacity import roles
-from cowsliprill.capacity import wire
 
 
 class TestFit:
@@ -18,22 +18,24 @@
 
     def test_exact_line_is_recovered(self) -> None:
         points = [(1, 5.0), (10, 23.0), (100, 203.0)]
-        line = fit.fit("name", "size", "B", points)
+        line = linear_fit.fit("name", "size", "B", points)
         assert line.intercept == pytest.approx(3.0)
         assert line.slope == pytest.approx(2.0)
         assert line.max_relative_residual == pytest.approx(0.0, abs=1e-9)
 
     def test_nonlinear_points_have_a_large_residual(self) -> None:
-        line = fit.fit("name", "size", "B", [(1, 0.0), (2, 9.0), (3, 0.0)])
+        line = linear_fit.fit(
+            "name", "size", "B", [(1, 0.0), (2, 9.0), (3, 0.0)]
+        )
         assert line.max_relative_residual > 0.5
 
 
 class _ConstantFits(dict):
     """Maps every name to a fit with intercept 100 and slope 1."""
 
-    def __missing__(self, name: str) -> fit.LinearFit:
+    def __missing__(self, name: str) -> linear_fit.LinearFit:
         points = [(0, 100.0), (1, 101.0), (2, 102.0)]
-        return fit.fit(name, "size", "B", points)
+        return linear_fit.fit(name, "size", "B", points)
 
 
 class TestControlCosts:
@@ -44,7 +46,7 @@
         large = dataclasses.replace(small, entry_vms=2 * small.entry_vms)
 
         def order_check_bytes_per_s(size: fleet.FleetSize) -> float:
-            costs = roles.estimate_costs(_ConstantFits(), size)
+            costs = control_costs.estimate_costs(_ConstantFits(), size)
             row = next(r for r in costs if r.activity == "orders read back")
             return row.bytes_per_s
 
@@ -65,14 +67,14 @@
 
     def test_exchange_size_includes_headers(self) -> None:
         body = 1_000
-        assert wire.peer_exchange(body).bytes > 2 * body + 200
+        assert http_exchanges.peer_exchange(body).bytes > 2 * body + 200
 
 
 class TestMeasureCustomerChange:
     """Measurements of published and resolved settings changes."""
 
     def test_change_transfers_less_than_half_of_all_customers(self) -> None:
-        change = measure.measure_customer_change(300, 13)
+        change = measurements.measure_customer_change(300, 13)
         customers_bytes = 300 * 64
         assert 0 < change.transferred_bytes < customers_bytes / 2
         assert change.cpu_s > 0
