--- a/src/cowsliprill/platform/__init__.py
+++ b/src/cowsliprill/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its names on the wire, and nothing else.
+"""Adapters for the hosting platform's wire protocol.
 
-This folder translates between the platform's protocol and the product's
-types. It decides nothing and keeps no state.
+The modules of this package translate between the platform's messages and the
+router's types. They make no decisions and keep no state.
 """
--- a/src/cowsliprill/platform/callers.py
+++ b/src/cowsliprill/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers on the platform: what their headers say, and how errors read."""
+"""Parses callers' request headers and formats their error responses."""
 
 import http
 
@@ -14,43 +14,44 @@
 
 
 async def read_call(ctx: context.Context, proceed: context.Handle) -> None:
-    """Reads the headers of a call whose service is known.
+    """Copies the request headers into the context once the service is known.
 
     Args:
-      ctx: The request.
-      proceed: The next filter.
+      ctx: Context of the request; its service and customer are set.
+      proceed: Next filter of the chain.
 
     Raises:
-      errors.EntryError: A header can't be read.
+      errors.EntryError: A header's value is invalid.
     """
-    ctx.caller_id = ctx.call.headers.get(headers_lib.ATTEMPT, "")
+    ctx.caller_id = ctx.call.headers.get(headers_lib.ATTEMPT_ID, "")
     ctx.service_path = ctx.call.uri
     ctx.priority = ctx.service.priority
     if ctx.customer.priority is not None:
         ctx.priority = ctx.customer.priority
-    ctx.time_given_s = _time_given_s(ctx.call.headers)
-    prompt_tokens, output_tokens = _tokens(ctx.call.headers)
+    ctx.time_given_s = _remaining_time_s(ctx.call.headers)
+    prompt_tokens, output_tokens = _token_counts(ctx.call.headers)
     ctx.stated_tokens = prompt_tokens + output_tokens
     if ctx.service.kind is model.ServiceKind.MODEL:
         ctx.generation = _generation(
             ctx.call.headers, prompt_tokens, output_tokens
         )
-        last_event = ctx.call.headers.get(headers_lib.LAST_EVENT, "")
+        last_event = ctx.call.headers.get(headers_lib.LAST_EVENT_ID, "")
         ctx.progress.last_event_id = last_event
     await proceed(ctx)
 
 
 def error_answer(error: errors.EntryError) -> errors.ErrorAnswer:
-    """Writes an error as the platform's clients understand it.
+    """Returns the response to a caller for an error.
 
-    Their status alone says whether a request may be sent again: 503 promises
-    that it has not run and never will, 502 and 504 promise nothing.
+    Clients decide by the status alone whether to send a request again: 503
+    guarantees that the request was not and will not be executed, 502 and 504
+    guarantee nothing.
 
     Args:
-      error: The error.
+      error: Error that ended the request.
 
     Returns:
-      The answer.
+      Status and headers of the response.
     """
     if error.status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
         return errors.ErrorAnswer(
@@ -72,16 +73,22 @@
     return ((headers_lib.RETRY_AFTER, f"{error.retry_after_s:.3f}"),)
 
 
-def _time_given_s(headers: httputil.HTTPHeaders) -> float:
-    text = headers.get(headers_lib.DEADLINE, "")
-    return _number(text, headers_lib.DEADLINE) / _MS_PER_S if text else 0.0
+def _remaining_time_s(headers: httputil.HTTPHeaders) -> float:
+    text = headers.get(headers_lib.DEADLINE_MS, "")
+    return (
+        _parse_number(text, headers_lib.DEADLINE_MS) / _MS_PER_S
+        if text
+        else 0.0
+    )
 
 
-def _tokens(headers: httputil.HTTPHeaders) -> tuple[int, int]:
-    """Returns the tokens of the prompt and of the longest answer."""
-    name = headers_lib.TOKENS
+def _token_counts(headers: httputil.HTTPHeaders) -> tuple[int, int]:
+    """Returns the prompt tokens and the maximum of output tokens."""
+    name = headers_lib.TOKEN_USAGE
     prompt, _, output = headers.get(name, "0,0").partition(",")
-    return int(_number(prompt, name)), int(_number(output or "0", name))
+    return int(_parse_number(prompt, name)), int(
+        _parse_number(output or "0", name)
+    )
 
 
 def _generation(
@@ -91,11 +98,11 @@
     return context.Generation(
         prompt_tokens=prompt_tokens,
         output_tokens=output_tokens,
-        expected_tokens=int(_number(hint, headers_lib.LENGTH_HINT)),
+        expected_tokens=int(_parse_number(hint, headers_lib.LENGTH_HINT)),
     )
 
 
-def _number(text: str, name: str) -> float:
+def _parse_number(text: str, name: str) -> float:
     try:
         value = float(text)
     except ValueError:
--- a/src/cowsliprill/platform/catalog.py
+++ b/src/cowsliprill/platform/catalog.py
@@ -1,4 +1,4 @@
-"""Entries of the store as the product's settings and endpoints."""
+"""Parses entries of the metadata store into settings and endpoints."""
 
 import asyncio
 import json
@@ -21,30 +21,31 @@
 _ENDPOINTS_PREFIX = "servers/"
 _MS_PER_S = 1_000
 _BITS_PER_BYTE = 8
-_MEGA = 1_000_000
+_BITS_PER_MEGABIT = 1_000_000
 
-# Routes that are read in one go. A configuration may have tens of thousands,
-# and reading them all at once would hold up every stream for a second.
-_ROUTES_A_STEP = 200
+# Routes parsed before yielding to the event loop. A configuration may have tens
+# of thousands; parsing all in one step would block every stream for a second.
+_ROUTES_PER_YIELD = 200
 
-# First guesses at engines' speeds, which no entry states: 33.3 tokens of a
-# prompt in a millisecond; a step of 5 to 8 ms when full.
+# Initial estimates of engine speeds, which no entry states: prefill at 33.3
+# tokens per ms, and decode steps of 5 to 8 ms at full load.
 _PREFILL_TOKENS_PER_S = 33_333.0
 _SECONDS_PER_TOKEN = 0.008
 
-# Of the speed of a prefill engine, what a decode engine has.
-_OWN_PREFILL_PART = 0.5
+# Speed of a decode engine's local prefill, relative to a prefill engine's.
+_LOCAL_PREFILL_SPEED_FRACTION = 0.5
 
-# Prompts that a prefill engine is sent at once. It reads them in pieces by
-# turns, so more would make all late; fewer would leave it idle between two.
-_PREFILLS_AT_ONCE = 3
+# Concurrent prefills per prefill engine. The engine interleaves chunks of all
+# prompts, so more would delay each of them; fewer would leave the engine idle
+# between prompts.
+_MAX_CONCURRENT_PREFILLS = 3
 
-# Part of the customers' bounds on repeats that is used. Processes that are not
-# known of use up the rest.
-_BUDGET_CAUTION = 0.8
+# Fraction of the customers' retry budgets that is used. The rest is left to
+# processes that this VM doesn't know of.
+_RETRY_BUDGET_FRACTION = 0.8
 
-# Memory goes by blocks of so many tokens.
-_BLOCK_TOKENS = 16
+# Engines allocate KV cache in blocks of this many tokens.
+_KV_BLOCK_TOKENS = 16
 
 _KIND_BY_STAGE = {
     None: model.EndpointKind.PLAIN,
@@ -52,22 +53,23 @@
     "decode": model.EndpointKind.DECODE,
 }
 
-# Unit of quotas that counts tokens; any other counts requests.
-_UNIT_TOKENS = "generation"
+# Quotas in this unit count tokens; quotas in any other unit count requests.
+_TOKEN_QUOTA_UNIT = "generation"
 
-# Of the worth of an answer, the part that goes by its size.
-_WORTH_BY_SIZE = 0.7
+# Fraction of a response's value that is proportional to its size.
+_VALUE_FRACTION_BY_SIZE = 0.7
 
-# Clients leave a stream that shows nothing for the longest of these.
-_PATIENCE_MIN_S = 2.0
-_PATIENCE_TARGETS = 4.0
-_PATIENCE_PAUSES = 8.0
+# Clients abandon a stream that has sent no event for the longest of: a fixed
+# minimum, a multiple of the TTFT target, a multiple of the ITL target.
+_MIN_ABANDONMENT_TIMEOUT_S = 2.0
+_ABANDONMENT_TIMEOUT_TTFT_TARGETS = 4.0
+_ABANDONMENT_TIMEOUT_ITL_TARGETS = 8.0
 
-Number = Annotated[float, pydantic.Field(allow_inf_nan=False, ge=0)]
+NonNegativeNumber = Annotated[float, pydantic.Field(allow_inf_nan=False, ge=0)]
 
 
 class _Model(pydantic.BaseModel):
-    """Fields as on the wire, where their names are in camel case."""
+    """Base of the store's JSON objects, whose keys are in camel case."""
 
     model_config = pydantic.ConfigDict(
         alias_generator=alias_generators.to_camel, extra="ignore", frozen=True
@@ -76,41 +78,45 @@
 
 class _Split(_Model):
     service: str
-    weight: Number
+    weight: NonNegativeNumber
 
 
 class _Route(_Model):
-    """A route; `slo_ms` counts to a stream's first event, else to the end."""
+    """A route.
+
+    `slo_ms` is the target for a stream's first event, or for the whole response
+    of a plain service. A lower `priority` is more urgent.
+    """
 
     name: str
     host: str
     path_prefix: str
     type: Literal["idempotent", "non_idempotent", "streaming"]
-    timeout_ms: Number
-    slo_ms: Number = 1_000
+    timeout_ms: NonNegativeNumber
+    slo_ms: NonNegativeNumber = 1_000
     priority: int = 5
     service: str = ""
     split: tuple[_Split, ...] = ()
     max_attempts: int = 1
     resumable: bool = False
-    itl_target_ms: Number = 0
+    itl_target_ms: NonNegativeNumber = 0
     public: bool = False
 
 
 class _Engine(_Model):
-    """Of a service's engines; `stride` is tokens in one event."""
+    """Properties of a service's engines; `stride` is tokens per event."""
 
     slots: int = 1
     kv_capacity: int = 0
     kv_token_bytes: int = 0
-    link_mbps: Number = 0
+    link_mbps: NonNegativeNumber = 0
     stride: int = 1
-    kv_hold_s: Number = 0.5
-    switch_s: Number = 6.0
+    kv_hold_s: NonNegativeNumber = 0.5
+    switch_s: NonNegativeNumber = 6.0
 
 
 class _Service(_Model):
-    """A service; `max_conns` counts connections from all callers."""
+    """A service; `max_conns` limits the connections of all callers."""
 
     name: str
     max_conns: int = 0
@@ -120,20 +126,20 @@
 class _Limits(_Model):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 8_388_608
-    header_timeout_ms: Number = 3_000
-    idle_timeout_ms: Number = 15_000
+    header_timeout_ms: NonNegativeNumber = 3_000
+    idle_timeout_ms: NonNegativeNumber = 15_000
 
 
 class _Tenant(_Model):
-    """A customer; a rate of 0 is no limit, priority 0 the most urgent."""
+    """A customer; rate 0 means no limit, priority 0 is the most urgent."""
 
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     unit: str = ""
-    uncached_tokens: Number = 1
-    rate_per_s: Number = 0
-    burst: Number = 0
+    uncached_tokens: NonNegativeNumber = 1
+    rate_per_s: NonNegativeNumber = 0
+    burst: NonNegativeNumber = 0
 
 
 class _Config(_Model):
@@ -145,7 +151,7 @@
 
 
 class _Server(_Model):
-    """An engine's own entry; `born` is when it started, Unix milliseconds."""
+    """An endpoint's entry; `born` is its start time in Unix milliseconds."""
 
     service: str
     address: str
@@ -160,39 +166,39 @@
 
 
 class Catalog:
-    """`registry.source.Translator` of the platform.
+    """Implements `registry.source.Translator` for the platform's entries.
 
     Args:
-      budget_ratio: Repeats that the customers allow for each request.
-      budget_slack: Repeats that they allow beyond, for all VMs together.
+      budget_ratio: Retries per request that the customers allow.
+      budget_slack: Further retries that they allow, for all VMs together.
     """
 
     settings_key = _SETTINGS_KEY
     endpoints_prefix = _ENDPOINTS_PREFIX
 
     def __init__(self, budget_ratio: float, budget_slack: float) -> None:
-        self._ratio = budget_ratio * _BUDGET_CAUTION
-        self._slack = budget_slack * _BUDGET_CAUTION
+        self._retry_ratio = budget_ratio * _RETRY_BUDGET_FRACTION
+        self._total_retry_burst = budget_slack * _RETRY_BUDGET_FRACTION
 
     async def settings(self, value: bytes, members: int) -> source.Settings:
-        """Reads the operator's entry.
+        """Parses the operator's configuration.
 
         Args:
-          value: Its bytes.
-          members: Processes that share the budgets of repeats.
+          value: JSON text of the entry.
+          members: Number of processes that share the retry budgets.
 
         Returns:
           The settings.
 
         Raises:
-          ValueError: It can't be read.
+          ValueError: The entry is malformed.
         """
         config = _Config.model_validate_json(value)
         services_by_name = {item.name: item for item in config.services}
         services_by_id: dict[str, model.Service] = {}
         routes: list[model.Route] = []
         for number, fields in enumerate(config.routes):
-            if number % _ROUTES_A_STEP == _ROUTES_A_STEP - 1:
+            if number % _ROUTES_PER_YIELD == _ROUTES_PER_YIELD - 1:
                 await asyncio.sleep(0)
             route = _ROUTE.validate_python(fields)
             for service in self._services(route, services_by_name, members):
@@ -210,7 +216,7 @@
             services_by_id=services_by_id,
             routes_by_prefix_by_host=routing.index(routes),
             engines_by_pool={
-                item.name: _facts(item.engine)
+                item.name: _engine_spec(item.engine)
                 for item in config.services
                 if item.engine is not None
             },
@@ -221,22 +227,22 @@
         )
 
     def listed(self, key: str, value: bytes) -> endpoints.Listed:
-        """Reads an endpoint's entry.
+        """Parses the entry of an endpoint.
 
         Args:
-          key: Its key.
-          value: Its bytes.
+          key: Key of the entry; the part after the prefix is the endpoint's id.
+          value: JSON text of the entry.
 
         Returns:
-          The endpoint.
+          The endpoint, its start time and whether it is draining.
 
         Raises:
-          ValueError: It can't be read.
+          ValueError: The entry is malformed.
         """
         server = _Server.model_validate(json.loads(value), strict=True)
         host, _, port = server.address.rpartition(":")
         if not (host and port.isdigit()):
-            raise ValueError(f"address {server.address!r}")
+            raise ValueError(f"malformed address {server.address!r}")
         endpoint = model.Endpoint(
             id=key.removeprefix(_ENDPOINTS_PREFIX),
             kind=_KIND_BY_STAGE[server.stage],
@@ -260,19 +266,19 @@
         members: int,
     ) -> list[model.Service]:
         retries = model.RetryRules(
-            ratio=self._ratio,
-            burst=max(int(self._slack / members), 1),
+            ratio=self._retry_ratio,
+            burst=max(int(self._total_retry_burst / members), 1),
             attempts=route.max_attempts,
             failed_answers=True,
         )
         return [
             _service(route, services_by_name[name], retries)
-            for name, _ in _choices(route)
+            for name, _ in _weighted_services(route)
             if name in services_by_name
         ]
 
 
-def _choices(route: _Route) -> tuple[tuple[str, float], ...]:
+def _weighted_services(route: _Route) -> tuple[tuple[str, float], ...]:
     if route.service:
         return ((route.service, 1.0),)
     return tuple((item.service, item.weight) for item in route.split)
@@ -289,14 +295,14 @@
         path_prefix=route.path_prefix,
         services=tuple(
             (_service_id(route, name), weight)
-            for name, weight in _choices(route)
+            for name, weight in _weighted_services(route)
         ),
         public=route.public,
     )
 
 
 def _customers(tenants: Iterable[_Tenant]) -> list[model.Customer]:
-    """Reads the customers; what they may ask for is their share under load."""
+    """Returns the customers; fair shares are proportional to their rates."""
     rates = [tenant.rate_per_s for tenant in tenants if tenant.rate_per_s]
     mean_rate = statistics.fmean(rates) if rates else 1.0
     return [
@@ -304,7 +310,7 @@
             id=tenant.name,
             key_hashes=frozenset(map(api_keys.digest, tenant.api_keys)),
             share=(tenant.rate_per_s or mean_rate) / mean_rate,
-            # Theirs counts from 0, the most urgent; ours is larger for those.
+            # In the store 0 is the most urgent; in the router, the largest.
             priority=None if tenant.priority is None else -tenant.priority,
             quota=_quota(tenant),
         )
@@ -318,7 +324,7 @@
     return model.Quota(
         per_s=tenant.rate_per_s,
         burst=tenant.burst,
-        by_tokens=tenant.unit == _UNIT_TOKENS,
+        by_tokens=tenant.unit == _TOKEN_QUOTA_UNIT,
         plain_cost=tenant.uncached_tokens,
     )
 
@@ -326,55 +332,56 @@
 def _service(
     route: _Route, service: _Service, retries: model.RetryRules
 ) -> model.Service:
-    streams = route.type == "streaming"
-    repeatable = route.resumable if streams else route.type == "idempotent"
+    is_stream = route.type == "streaming"
+    idempotent = route.resumable if is_stream else route.type == "idempotent"
     stride = service.engine.stride if service.engine else 1
     target_s = route.slo_ms / _MS_PER_S
     return model.Service(
         id=_service_id(route, service.name),
         customer="",
         name=service.name,
-        kind=model.ServiceKind.MODEL if streams else model.ServiceKind.PLAIN,
+        kind=model.ServiceKind.MODEL if is_stream else model.ServiceKind.PLAIN,
         pool=service.name,
         ttft_target_s=target_s,
         tpot_target_s=route.itl_target_ms / _MS_PER_S / stride,
-        # Theirs counts from 0, the most urgent; ours is larger for those.
+        # In the store 0 is the most urgent; in the router, the largest.
         priority=-route.priority,
         idempotency=(
             model.Idempotency.REPEATABLE
-            if repeatable
+            if idempotent
             else model.Idempotency.UNREPEATABLE
         ),
         retries=retries,
         may_wait_s=target_s,
         timeout_s=route.timeout_ms / _MS_PER_S,
-        resume=streams and route.resumable,
-        worth_by_size=_WORTH_BY_SIZE if streams else 0.0,
+        resume=is_stream and route.resumable,
+        worth_by_size=_VALUE_FRACTION_BY_SIZE if is_stream else 0.0,
         tokens_per_event=stride,
-        patience_s=_patience_s(route) if streams else 0.0,
+        patience_s=_abandonment_timeout_s(route) if is_stream else 0.0,
         retry_group=service.name,
     )
 
 
-def _patience_s(route: _Route) -> float:
-    """Returns how long clients wait for a stream's first event."""
+def _abandonment_timeout_s(route: _Route) -> float:
+    """Returns the seconds that clients wait for a stream's first event."""
     return max(
-        _PATIENCE_MIN_S,
-        _PATIENCE_TARGETS * route.slo_ms / _MS_PER_S,
-        _PATIENCE_PAUSES * route.itl_target_ms / _MS_PER_S,
+        _MIN_ABANDONMENT_TIMEOUT_S,
+        _ABANDONMENT_TIMEOUT_TTFT_TARGETS * route.slo_ms / _MS_PER_S,
+        _ABANDONMENT_TIMEOUT_ITL_TARGETS * route.itl_target_ms / _MS_PER_S,
     )
 
 
-def _facts(engine: _Engine) -> model.EngineFacts:
+def _engine_spec(engine: _Engine) -> model.EngineFacts:
     return model.EngineFacts(
         places=engine.slots,
         memory_tokens=engine.kv_capacity,
-        block_tokens=_BLOCK_TOKENS,
-        prefills_at_once=_PREFILLS_AT_ONCE,
+        block_tokens=_KV_BLOCK_TOKENS,
+        prefills_at_once=_MAX_CONCURRENT_PREFILLS,
         prefill_tokens_per_s=_PREFILL_TOKENS_PER_S,
-        own_prefill_tokens_per_s=_PREFILL_TOKENS_PER_S * _OWN_PREFILL_PART,
+        own_prefill_tokens_per_s=_PREFILL_TOKENS_PER_S
+        * _LOCAL_PREFILL_SPEED_FRACTION,
         seconds_per_token=_SECONDS_PER_TOKEN,
-        link_bytes_per_s=engine.link_mbps * _MEGA / _BITS_PER_BYTE,
+        link_bytes_per_s=engine.link_mbps * _BITS_PER_MEGABIT / _BITS_PER_BYTE,
         kv_bytes_per_token=engine.kv_token_bytes,
         export_ttl_s=engine.kv_hold_s,
         role_change_s=engine.switch_s,
--- a/src/cowsliprill/platform/dialect.py
+++ b/src/cowsliprill/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's way of speaking as a `dialect.Dialect`."""
+"""Implements `entry.dialect.Dialect` with the platform's protocol."""
 
 from tornado import web
 
@@ -11,15 +11,15 @@
 
 
 class PlatformDialect:
-    """Speaks the platform's protocol to callers, engines and services.
+    """Protocol adapter for callers, engines and plain services.
 
     Args:
-      tools: What the process has.
+      tools: HTTP client and log of the process.
 
     Attributes:
-      engines: Calls to engines.
-      services: Calls to plain services.
-      resumer: None; engines drop what they have lost the connection of.
+      engines: Client for engines.
+      services: Client for plain services.
+      resumer: None, as engines abort a request when its connection is lost.
     """
 
     resumer = None
@@ -31,14 +31,14 @@
     def application(
         self, gate: gate_lib.Gate, parts: routes.Parts
     ) -> web.Application:
-        """Returns what callers reach."""
+        """Returns the web application that serves callers."""
         return routes.routed_application(gate, parts, callers.read_call)
 
     def error_answer(self, error: errors.EntryError) -> errors.ErrorAnswer:
-        """Returns what a caller gets for an error."""
+        """Returns the response to a caller for an error."""
         return callers.error_answer(error)
 
     def error_event(self, error: errors.EntryError) -> bytes:
-        """Returns nothing: a cut alone tells clients that a stream broke."""
+        """Returns no bytes; clients detect a broken stream by truncation."""
         del error
         return b""
--- a/src/cowsliprill/platform/engines.py
+++ b/src/cowsliprill/platform/engines.py
@@ -1,4 +1,4 @@
-"""Engines and plain services on the platform."""
+"""HTTP clients for the platform's engines and plain services."""
 
 import asyncio
 import dataclasses
@@ -22,16 +22,17 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.platform import headers as headers_lib
 
-_MAX_ANSWER_BYTES = 16_777_216
+_MAX_RESPONSE_BYTES = 16_777_216
 _MS_PER_S = 1_000
-_FREE_S = 1.0
-# A port answers within some milliseconds. A lost packet is sent again after a
-# second, by which time another engine would have answered.
-_CONNECT_S = 0.15
-_HOST = "Host"
-# These promise to clients that a request has not run. An engine that says so
-# without the header for it may have run it.
-_PROMISES = frozenset(
+_RELEASE_TIMEOUT_S = 1.0
+# Connecting takes a few ms. TCP retransmits a lost SYN only after a second, by
+# which time another engine would have responded.
+_CONNECT_TIMEOUT_S = 0.15
+_HOST_HEADER = "Host"
+# Clients read these statuses as a guarantee that a request was not executed. An
+# engine that sends one without the `Not-Executed` header may have executed it,
+# so they are not passed on.
+_NOT_EXECUTED_STATUSES = frozenset(
     {
         http.HTTPStatus.REQUEST_TIMEOUT,
         http.HTTPStatus.MISDIRECTED_REQUEST,
@@ -43,11 +44,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Prefilled:
-    """A finished prefill.
+    """A finished prefill whose KV cache waits to be fetched.
 
     Attributes:
-      endpoint: The engine that keeps it.
-      handle: The engine's name for it; good for one fetch.
+      endpoint: Engine that holds the KV cache.
+      handle: Engine's id of the KV cache, valid for one fetch.
     """
 
     endpoint: model.Endpoint
@@ -55,11 +56,11 @@
 
 
 class Engines:
-    """`calls.EngineCalls` of the platform.
+    """Implements `calls.EngineCalls` for the platform's engines.
 
     Args:
       client: HTTP client.
-      log: The process's log.
+      log: Log of the process.
     """
 
     prefill_runs = False
@@ -71,30 +72,33 @@
     ) -> None:
         self._http = client
         self._log = log
-        self._frees: set[asyncio.Task] = set()
+        self._release_tasks: set[asyncio.Task] = set()
 
     def attempt_id(self, ctx: context.Context) -> str:
-        """Returns the client's id, which engines echo."""
-        return ctx.call.headers.get(headers_lib.ATTEMPT, "")
+        """Returns the client's id of its attempt, which engines echo."""
+        return ctx.call.headers.get(headers_lib.ATTEMPT_ID, "")
 
     async def prepare(
         self, ctx: context.Context, endpoint: model.Endpoint
     ) -> None:
-        """Opens the connection by which the decode will be asked for."""
+        """Opens the connection for the later decode request."""
         ctx.connection = await self._http.connect(
-            endpoint.host, endpoint.port, _CONNECT_S
+            endpoint.host, endpoint.port, _CONNECT_TIMEOUT_S
         )
 
     async def prefill(
         self, ctx: context.Context, endpoint: model.Endpoint, timeout_s: float
     ) -> Prefilled:
-        """Has the prompt read and kept; the request doesn't run by that."""
-        extra = {headers_lib.STAGE: headers_lib.STAGE_PREFILL}
+        """Prefills the prompt and exports its KV cache.
+
+        A prefill doesn't count as an execution of the request.
+        """
+        extra_headers = {headers_lib.STAGE: headers_lib.STAGE_PREFILL}
         response = await _send(
-            self._http, ctx, endpoint, extra, timeout_s=timeout_s
+            self._http, ctx, endpoint, extra_headers, timeout_s=timeout_s
         )
-        body = await response.read(_MAX_ANSWER_BYTES)
-        _check(ctx, response, signed=False)
+        body = await response.read(_MAX_RESPONSE_BYTES)
+        _check_response(ctx, response, require_signature=False)
         try:
             handle = json.loads(body)["kvHandle"]
         except (ValueError, TypeError, KeyError) as error:
@@ -108,25 +112,29 @@
         prefilled: Prefilled | None,
         timeout_s: float,
     ) -> event_stream.EventStream:
-        """Opens the stream of a request."""
-        extra = {}
+        """Starts decoding and returns the stream of events."""
+        extra_headers = {}
         if prefilled is not None:
             source = prefilled.endpoint
             address = f"{source.host}:{source.port}"
-            extra[headers_lib.KV_SOURCE] = f"{address}/{prefilled.handle}"
+            extra_headers[headers_lib.KV_SOURCE] = (
+                f"{address}/{prefilled.handle}"
+            )
         if ctx.progress.last_event_id:
-            extra[headers_lib.LAST_EVENT] = ctx.progress.last_event_id
+            extra_headers[headers_lib.LAST_EVENT_ID] = (
+                ctx.progress.last_event_id
+            )
         connection, ctx.connection = ctx.connection, None
         response = await _send(
             self._http,
             ctx,
             endpoint,
-            extra,
+            extra_headers,
             timeout_s=timeout_s,
             connection=connection,
         )
         try:
-            _check(ctx, response)
+            _check_response(ctx, response)
         except errors.CallError:
             response.close()
             raise
@@ -137,18 +145,18 @@
         )
 
     def discard(self, prefilled: Prefilled) -> None:
-        """Has the memory of a prefill freed that no decode will fetch."""
-        task = asyncio.create_task(self._free(prefilled))
-        self._frees.add(task)
-        task.add_done_callback(self._frees.discard)
+        """Releases a KV cache that no decode will fetch, in the background."""
+        task = asyncio.create_task(self._release(prefilled))
+        self._release_tasks.add(task)
+        task.add_done_callback(self._release_tasks.discard)
 
     def sink(
         self, ctx: context.Context, stream: event_stream.EventStream
     ) -> sinks.Sink:
-        """Passes events on unchanged, under the engine's own headers."""
+        """Returns a sink that relays events and engine headers unchanged."""
         return sinks.EventSink(ctx, stream)
 
-    async def _free(self, prefilled: Prefilled) -> None:
+    async def _release(self, prefilled: Prefilled) -> None:
         endpoint = prefilled.endpoint
         try:
             response = await self._http.call(
@@ -156,20 +164,20 @@
                 endpoint.port,
                 "DELETE",
                 f"/kv-handle/{prefilled.handle}",
-                {headers_lib.EXPECTED_ENGINE: endpoint.id},
-                connect_timeout_s=_CONNECT_S,
-                timeout_s=_FREE_S,
+                {headers_lib.EXPECTED_INSTANCE: endpoint.id},
+                connect_timeout_s=_CONNECT_TIMEOUT_S,
+                timeout_s=_RELEASE_TIMEOUT_S,
             )
-            await response.read(_MAX_ANSWER_BYTES)
+            await response.read(_MAX_RESPONSE_BYTES)
         except errors.CallError as error:
-            # It expires by itself within its engine's time for handles.
+            # The engine drops the KV cache when the TTL of its handle ends.
             self._log.event(
                 "prefill_unfreed", endpoint=endpoint.id, reason=error.message
             )
 
 
 class Services:
-    """`calls.PlainCalls` of the platform.
+    """Implements `calls.PlainCalls` for the platform's plain services.
 
     Args:
       client: HTTP client.
@@ -181,7 +189,7 @@
     async def call(
         self, ctx: context.Context, progress: call_lib.Progress
     ) -> service_client.ServiceAnswer:
-        """Calls `ctx.endpoint` once."""
+        """Sends the request to `ctx.endpoint` once, without a retry."""
         timeout_s = max(ctx.ends_at - clock.now(), 1 / _MS_PER_S)
         response = await _send(
             self._http,
@@ -191,9 +199,9 @@
             timeout_s=timeout_s,
             progress=progress,
         )
-        body = await response.read(_MAX_ANSWER_BYTES)
+        body = await response.read(_MAX_RESPONSE_BYTES)
         try:
-            _check(ctx, response, failures=True)
+            _check_response(ctx, response, accept_failures=True)
         except errors.EngineRefused:
             progress.refused()
             raise
@@ -208,27 +216,27 @@
     client: http_client.HttpClient,
     ctx: context.Context,
     endpoint: model.Endpoint,
-    extra: dict[str, str],
+    extra_headers: dict[str, str],
     *,
     timeout_s: float,
     progress: call_lib.Progress | None = None,
     connection: http_client.Connection | None = None,
 ) -> exchange.Response:
-    unrepeatable = ctx.service.idempotency is model.Idempotency.UNREPEATABLE
-    prefills = headers_lib.STAGE in extra
+    non_idempotent = ctx.service.idempotency is model.Idempotency.UNREPEATABLE
+    is_prefill = headers_lib.STAGE in extra_headers
     return await client.call(
         endpoint.host,
         endpoint.port,
         ctx.call.method,
         ctx.call.uri,
-        _headers(ctx, endpoint, extra),
+        _headers(ctx, endpoint, extra_headers),
         ctx.call.body,
-        connect_timeout_s=_CONNECT_S,
+        connect_timeout_s=_CONNECT_TIMEOUT_S,
         timeout_s=timeout_s,
         stall_s=ctx.stall_s,
-        # An engine may close a kept connection just as a request goes out on
-        # it, and then nobody could say whether that was run.
-        fresh=unrepeatable and not prefills,
+        # An engine may close an idle connection just as a request is sent on
+        # it; whether that request was executed would be unknown.
+        fresh=non_idempotent and not is_prefill,
         allow_unframed=True,
         connection=connection,
         progress=progress,
@@ -236,63 +244,70 @@
 
 
 def _headers(
-    ctx: context.Context, endpoint: model.Endpoint, extra: dict[str, str]
+    ctx: context.Context,
+    endpoint: model.Endpoint,
+    extra_headers: dict[str, str],
 ) -> httputil.HTTPHeaders:
-    headers = hop_headers.end_to_end(ctx.call.headers, headers_lib.OURS)
-    left_ms = int((ctx.ends_at - clock.now()) * _MS_PER_S)
-    headers[_HOST] = ctx.call.headers.get(_HOST, "")
-    headers[headers_lib.DEADLINE] = str(max(left_ms, 1))
-    headers[headers_lib.EXPECTED_ENGINE] = endpoint.id
+    headers = hop_headers.end_to_end(
+        ctx.call.headers, headers_lib.ROUTER_ONLY_HEADERS
+    )
+    remaining_ms = int((ctx.ends_at - clock.now()) * _MS_PER_S)
+    headers[_HOST_HEADER] = ctx.call.headers.get(_HOST_HEADER, "")
+    headers[headers_lib.DEADLINE_MS] = str(max(remaining_ms, 1))
+    headers[headers_lib.EXPECTED_INSTANCE] = endpoint.id
     if ctx.snapshot.keys_required:
-        # An engine that got the key could call in the customer's name.
+        # An engine that received the API key could impersonate the customer.
         headers.pop(headers_lib.AUTHORIZATION, None)
     if ctx.customer.id:
         headers[headers_lib.CUSTOMER] = ctx.customer.id
-    headers.update(extra)
+    headers.update(extra_headers)
     return headers
 
 
-def _check(
+def _check_response(
     ctx: context.Context,
     response: exchange.Response,
     *,
-    failures: bool = False,
-    signed: bool = True,
+    accept_failures: bool = False,
+    require_signature: bool = True,
 ) -> None:
-    """Checks that an answer is an engine's own answer to this request.
+    """Checks that a response comes from the engine and is for this request.
 
     Args:
-      ctx: The request.
-      response: The answer.
-      failures: Whether an engine's own failure is an answer.
-      signed: Whether a success must bear the engine's signature.
+      ctx: Context of the request.
+      response: Response with its headers read.
+      accept_failures: Whether an error status that doesn't claim that the
+        request was not executed is a valid response.
+      require_signature: Whether a success must have a signature header.
 
     Raises:
-      errors.EngineRefused: The engine has not run the request.
-      errors.CallError: It isn't an answer to this request.
+      errors.EngineRefused: The engine has not executed the request.
+      errors.CallError: The response is invalid or for another request.
     """
     headers = response.headers
-    attempt = ctx.call.headers.get(headers_lib.ATTEMPT, "")
-    if headers.get(headers_lib.ATTEMPT, attempt) != attempt:
+    attempt_id = ctx.call.headers.get(headers_lib.ATTEMPT_ID, "")
+    if headers.get(headers_lib.ATTEMPT_ID, attempt_id) != attempt_id:
         raise errors.ForeignAnswer("the answer carries another request's id")
     status = response.status
-    if headers_lib.NOT_RUN in headers:
+    if headers_lib.NOT_EXECUTED in headers:
         raise errors.EngineRefused(f"status {status}", code=protocol.CODE_FULL)
     if status == http.HTTPStatus.MISDIRECTED_REQUEST:
         raise errors.EngineRefused(
             "another engine has this address", code=protocol.CODE_MISDIRECTED
         )
     if status < http.HTTPStatus.MULTIPLE_CHOICES:
-        _check_success(headers, signed=signed)
+        _check_success(headers, require_signature=require_signature)
         return
-    if not failures or status in _PROMISES:
+    if not accept_failures or status in _NOT_EXECUTED_STATUSES:
         raise errors.EngineFailed(f"status {status}")
 
 
-def _check_success(headers: httputil.HTTPHeaders, *, signed: bool) -> None:
-    if headers_lib.ATTEMPT not in headers:
+def _check_success(
+    headers: httputil.HTTPHeaders, *, require_signature: bool
+) -> None:
+    if headers_lib.ATTEMPT_ID not in headers:
         raise errors.ForeignAnswer("the answer carries no id")
-    if signed and headers_lib.SIGNATURE not in headers:
+    if require_signature and headers_lib.SIGNATURE not in headers:
         raise errors.EngineFailed("the answer bears no signature")
     if headers_lib.CONTENT_ENCODING in headers:
         raise errors.EngineFailed("the answer is encoded")
--- a/src/cowsliprill/platform/headers.py
+++ b/src/cowsliprill/platform/headers.py
@@ -1,38 +1,39 @@
-"""Names of headers on the platform's wire."""
+"""Names of HTTP headers in the platform's protocol."""
 
-# Chosen by the client, one for each of its attempts; engines echo it.
-ATTEMPT = "Attempt-Id"
-# Milliseconds that the sender will still wait.
-DEADLINE = "Deadline-Ms"
-# Tokens of the prompt, comma, most tokens of the answer.
-TOKENS = "Token-Usage"
-# The client's guess of the answer's length, in tokens.
+# Client-chosen id, unique per attempt; engines echo it.
+ATTEMPT_ID = "Attempt-Id"
+# Remaining time in milliseconds until the sender times out.
+DEADLINE_MS = "Deadline-Ms"
+# Prompt tokens and maximum output tokens, separated by a comma.
+TOKEN_USAGE = "Token-Usage"
+# Output length that the client expects, in tokens.
 LENGTH_HINT = "Length-Hint"
-# Event after which a stream goes on.
-LAST_EVENT = "Last-Event-Id"
-# The engine's signature under its answer.
+# Id of the last event received; a stream resumes after it.
+LAST_EVENT_ID = "Last-Event-Id"
+# Engine's signature of its response.
 SIGNATURE = "Instance-Signature"
-# Id of the engine that a request is meant for.
-EXPECTED_ENGINE = "Expected-Instance"
-# Present on answers of engines that have not run the request.
-NOT_RUN = "Not-Executed"
-# Which half of the work an engine shall do.
+# Id of the engine that a request is addressed to.
+EXPECTED_INSTANCE = "Expected-Instance"
+# Set on a response when the engine has not executed the request.
+NOT_EXECUTED = "Not-Executed"
+# Phase that an engine runs, prefill or decode.
 STAGE = "Stage"
-# Where a decode engine fetches the KV cache.
+# Address and handle by which a decode engine fetches the KV cache.
 KV_SOURCE = "Kv-Source"
-# From 0, the most urgent, to 9.
+# Priority from 0 (the most urgent) to 9.
 PRIORITY = "Request-Priority"
 RETRY_AFTER = "Retry-After"
-# The customer that the system has found by the client's API key.
+# Id of the customer that the client's API key belongs to.
 CUSTOMER = "Tenant"
 AUTHORIZATION = "Authorization"
 CONTENT_ENCODING = "Content-Encoding"
 
 STAGE_PREFILL = "prefill"
 
-# Set by this system alone. A client that sends them could use another's KV
-# cache, or hold engine memory without a request.
-OURS = frozenset(
+# Set only by the router and removed from callers' requests. A client that sends
+# them could use another client's KV cache, or hold engine memory without a
+# request.
+ROUTER_ONLY_HEADERS = frozenset(
     {
         "stage",
         "kv-hold",
--- a/src/cowsliprill/platform/orders.py
+++ b/src/cowsliprill/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's engines."""
+"""Client that sends role changes to the platform's engines."""
 
 import http
 import json
@@ -7,9 +7,9 @@
 from cowsliprill.engines import http_client
 from cowsliprill.platform import headers as headers_lib
 
-_CONNECT_S = 0.15
-_ANSWER_S = 0.5
-_MAX_ANSWER_BYTES = 65_536
+_CONNECT_TIMEOUT_S = 0.15
+_RESPONSE_TIMEOUT_S = 0.5
+_MAX_RESPONSE_BYTES = 65_536
 
 _OUTCOME_BY_STATUS = {
     http.HTTPStatus.ACCEPTED: "accepted",
@@ -20,7 +20,7 @@
 
 
 class Orders:
-    """`router.roles.Orders` of the platform.
+    """Implements `router.roles.Orders` over HTTP.
 
     Args:
       client: HTTP client.
@@ -36,19 +36,20 @@
         holder: str,
         fencing_token: int,
     ) -> str:
-        """Orders an engine to another stage.
+        """Orders an engine to switch between prefill and decode.
 
         Args:
-          endpoint: The engine.
-          kind: What it should be.
+          endpoint: Engine that receives the order.
+          kind: Role that the engine takes.
           holder: Id of this VM.
-          fencing_token: Number that rises from order to order.
+          fencing_token: Number that increases with each order.
 
         Returns:
-          What the engine said.
+          Outcome that the engine reports, or its HTTP status if unknown.
 
         Raises:
-          errors.CallError: It said nothing; the order may have arrived.
+          errors.CallError: There was no response; the engine may have received
+            the order.
         """
         order = {
             "op": "stage",
@@ -63,12 +64,12 @@
             "/order",
             {
                 "Content-Type": "application/json",
-                headers_lib.EXPECTED_ENGINE: endpoint.id,
+                headers_lib.EXPECTED_INSTANCE: endpoint.id,
             },
             json.dumps(order).encode(),
-            connect_timeout_s=_CONNECT_S,
-            timeout_s=_ANSWER_S,
+            connect_timeout_s=_CONNECT_TIMEOUT_S,
+            timeout_s=_RESPONSE_TIMEOUT_S,
             fresh=True,
         )
-        await response.read(_MAX_ANSWER_BYTES)
+        await response.read(_MAX_RESPONSE_BYTES)
         return _OUTCOME_BY_STATUS.get(response.status, str(response.status))
--- a/src/cowsliprill/platform/store.py
+++ b/src/cowsliprill/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as a `registry.store.Store`."""
+"""Client for the platform's metadata store."""
 
 import base64
 import json
@@ -10,17 +10,17 @@
 from cowsliprill.engines import http_client
 from cowsliprill.registry import store as store_lib
 
-_MAX_ANSWER_BYTES = 16_777_216
-_CONNECT_S = 0.5
+_MAX_RESPONSE_BYTES = 16_777_216
+_CONNECT_TIMEOUT_S = 0.5
 _MS_PER_S = 1_000
 
 
 class MetadataStore:
-    """Reads the platform's store.
+    """Implements `registry.store.Store` over HTTP.
 
     Args:
-      http: The HTTP client.
-      host: IP number of the store.
+      http: HTTP client.
+      host: IP address of the store.
       port: TCP port of the store.
     """
 
@@ -33,35 +33,35 @@
     async def page(
         self, prefix: str, after: str, timeout_s: float
     ) -> store_lib.Page:
-        """Reads a part of the entries; see `registry.store.Store`."""
+        """Returns one page of entries; see `registry.store.Store`."""
         query = {"pathPrefix": prefix}
         if after:
             query["after"] = after
-        answer = await self._get("/kv-range", query, timeout_s)
-        items = answer.get("items")
+        payload = await self._get("/kv-range", query, timeout_s)
+        items = payload.get("items")
         return store_lib.Page(
             entries=tuple(
                 change
-                for change in map(_change, items)
+                for change in map(_parse_change, items)
                 if isinstance(change, registry.Entry)
             ),
-            truncated=bool(answer.get("truncated")),
-            as_of=_revision(answer, "asOf"),
+            truncated=bool(payload.get("truncated")),
+            as_of=_read_revision(payload, "asOf"),
         )
 
     async def watch(
         self, prefix: str, after: int, wait_s: float, timeout_s: float
     ) -> store_lib.Watched:
-        """Waits for changes; see `registry.store.Store`."""
+        """Long-polls for changes; see `registry.store.Store`."""
         query = {
             "pathPrefix": prefix,
             "after": str(after),
             "waitMs": str(int(wait_s * _MS_PER_S)),
         }
-        answer = await self._get("/kv-watch", query, timeout_s)
+        payload = await self._get("/kv-watch", query, timeout_s)
         return store_lib.Watched(
-            changes=tuple(map(_change, answer.get("events"))),
-            as_of=_revision(answer, "asOf"),
+            changes=tuple(map(_parse_change, payload.get("events"))),
+            as_of=_read_revision(payload, "asOf"),
         )
 
     async def _get(
@@ -76,15 +76,15 @@
                 "GET",
                 target,
                 {},
-                connect_timeout_s=_CONNECT_S,
+                connect_timeout_s=_CONNECT_TIMEOUT_S,
                 timeout_s=timeout_s,
                 fresh=True,
             )
-            body = await response.read(_MAX_ANSWER_BYTES)
+            body = await response.read(_MAX_RESPONSE_BYTES)
         except engine_errors.CallError as error:
             raise store_lib.StoreError(f"{path}: {error.message}") from error
         _check_status(path, response.status)
-        return _parse(path, body)
+        return _parse_payload(path, body)
 
 
 def _check_status(path: str, status: int) -> None:
@@ -99,25 +99,31 @@
             raise store_lib.StoreError(f"{path}: status {status}")
 
 
-def _parse(path: str, body: bytes) -> dict[str, Any]:
+def _parse_payload(path: str, body: bytes) -> dict[str, Any]:
     try:
-        answer = json.loads(body)
+        payload = json.loads(body)
     except ValueError as error:
-        raise store_lib.StoreError(f"{path}: not JSON: {error}") from error
-    listed = answer.get("items", answer.get("events")) if answer else None
-    if not isinstance(listed, list):
-        raise store_lib.StoreError(f"{path}: neither items nor events")
-    return answer
+        raise store_lib.StoreError(
+            f"{path}: response is not JSON: {error}"
+        ) from error
+    items_or_events = (
+        payload.get("items", payload.get("events")) if payload else None
+    )
+    if not isinstance(items_or_events, list):
+        raise store_lib.StoreError(
+            f"{path}: response has neither items nor events"
+        )
+    return payload
 
 
-def _revision(answer: dict[str, Any], name: str) -> int:
-    value = answer.get(name)
+def _read_revision(payload: dict[str, Any], name: str) -> int:
+    value = payload.get(name)
     if not isinstance(value, int):
-        raise store_lib.StoreError(f"{name} is {value!r}")
+        raise store_lib.StoreError(f"{name} is not an integer: {value!r}")
     return value
 
 
-def _change(item: Any) -> registry.Change:
+def _parse_change(item: Any) -> registry.Change:
     try:
         if item.get("removed"):
             return registry.Removal(key=item["key"], revision=item["revision"])
@@ -127,4 +133,4 @@
             revision=item["revision"],
         )
     except (AttributeError, KeyError, TypeError, ValueError) as error:
-        raise store_lib.StoreError(f"item unreadable: {error!r}") from error
+        raise store_lib.StoreError(f"malformed item: {error!r}") from error
