--- a/src/cowsliprill/__init__.py
+++ b/src/cowsliprill/__init__.py
@@ -1,1 +1,1 @@
-"""A router for separate prefill and decode pools."""
+"""A router for language-model services with prefill and decode pools."""
--- a/src/cowsliprill/api_keys.py
+++ b/src/cowsliprill/api_keys.py
@@ -1,4 +1,4 @@
-"""Digests of API keys, by which the settings name them."""
+"""Digests of API keys, which identify the keys in the settings."""
 
 import hashlib
 
--- a/src/cowsliprill/arguments.py
+++ b/src/cowsliprill/arguments.py
@@ -1,4 +1,4 @@
-"""The processes' command line, where it isn't simply the file."""
+"""Command-line parser for all forms other than a single file name."""
 
 import dataclasses
 import pathlib
@@ -9,23 +9,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Command:
-    """The command line of a process.
+    """Command-line arguments of a process.
 
     Attributes:
-      file: The process's own JSON file.
+      file: JSON file with the environment of the process.
     """
 
     file: Annotated[pathlib.Path, cappa.Arg(help="This process's JSON file.")]
 
 
 def parse(name: str, description: str) -> Command:
-    """Reads the command line; ends the process if it is wrong or asks for help.
+    """Parses the command line; exits on invalid arguments and after `--help`.
 
     Args:
       name: Name of the binary.
-      description: One sentence for its help.
+      description: One sentence for the help text.
 
     Returns:
-      What it says.
+      The parsed arguments.
     """
     return cappa.parse(cappa.command(name=name, help=description)(Command))
--- a/src/cowsliprill/clock.py
+++ b/src/cowsliprill/clock.py
@@ -1,13 +1,13 @@
-"""Clocks."""
+"""Monotonic clock that includes time in suspension."""
 
 import time
 
 
 def now() -> float:
-    """Returns seconds since boot, the time the VM was suspended included.
+    """Returns seconds since boot, including the time the VM was suspended.
 
-    A lease must run out while its holder sleeps. CLOCK_MONOTONIC stands still
-    during suspension, so a holder that wakes would believe in a lease which
-    its grantor has long given to another.
+    A lease has to expire while its holder is suspended. CLOCK_MONOTONIC stops
+    during suspension, so a resumed holder would still use a lease that its
+    grantor has meanwhile given to another holder.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/cowsliprill/codec.py
+++ b/src/cowsliprill/codec.py
@@ -1,8 +1,7 @@
-"""JSON of data classes at the border between processes.
+"""Encodes and decodes data classes as JSON messages between processes.
 
-pydantic checks what comes in and builds the data class. A wrong type is an
-error; an unknown field is passed over, since peers of two versions talk to
-each other while a new one is rolled out.
+pydantic validates incoming messages. A wrong type is an error; an unknown field
+is ignored, since peers of two versions exchange messages during a rollout.
 """
 
 import functools
@@ -17,58 +16,60 @@
 
 
 class CodecError(errors.CowsliprillError):
-    """Raised for JSON that is not of the expected type."""
+    """Raised for a message that doesn't match the expected type."""
 
     code = "invalid_message"
 
 
 @functools.cache
-def _adapter(kind: Any) -> pydantic.TypeAdapter:
-    return pydantic.TypeAdapter(kind)
+def _type_adapter(message_type: Any) -> pydantic.TypeAdapter:
+    return pydantic.TypeAdapter(message_type)
 
 
 def encode(value: Any) -> bytes:
-    """Writes a data class, or a container of them, as JSON.
+    """Encodes a data class, or a container of data classes, as JSON.
 
     Args:
-      value: The value.
+      value: Value to encode.
 
     Returns:
       UTF-8 JSON.
     """
-    return _adapter(type(value)).dump_json(value)
+    return _type_adapter(type(value)).dump_json(value)
 
 
 def encode_short(value: Any) -> bytes:
-    """Writes JSON as `encode`, without fields that have their default value.
+    """Encodes as JSON without the fields that have their default value.
 
-    For messages that are sent often: the receiver fills the defaults in.
+    Used for frequent messages; the receiver fills in the defaults.
 
     Args:
-      value: The value.
+      value: Value to encode.
 
     Returns:
       UTF-8 JSON.
     """
-    return _adapter(type(value)).dump_json(value, exclude_defaults=True)
+    return _type_adapter(type(value)).dump_json(value, exclude_defaults=True)
 
 
-def decode(kind: type[_T], text: bytes | str) -> _T:
-    """Reads JSON as a data class.
+def decode(message_type: type[_T], text: bytes | str) -> _T:
+    """Decodes JSON into a data class.
 
     Args:
-      kind: The data class, or a type made of them.
+      message_type: Data class, or a container type of data classes.
       text: UTF-8 JSON.
 
     Returns:
-      The value.
+      The decoded value.
 
     Raises:
-      CodecError: The text isn't JSON or doesn't fit the type.
+      CodecError: The text is not JSON or doesn't match the type.
     """
     try:
-        return _adapter(kind).validate_json(text)
+        return _type_adapter(message_type).validate_json(text)
     except pydantic.ValidationError as error:
-        first = error.errors()[0]
-        path = ".".join(str(part) for part in first["loc"])
-        raise CodecError(f"{path or 'message'}: {first['msg']}") from error
+        first_error = error.errors()[0]
+        path = ".".join(str(part) for part in first_error["loc"])
+        raise CodecError(
+            f"{path or 'message'}: {first_error['msg']}"
+        ) from error
--- a/src/cowsliprill/environment.py
+++ b/src/cowsliprill/environment.py
@@ -1,8 +1,8 @@
-"""What a process is told about itself, passed explicitly and never global.
+"""Start-up configuration of a process, passed explicitly and never global.
 
-The platform starts each process with a small JSON file: its own addresses and
-availability zone and where to find the platform. Everything else comes from
-the settings.
+The platform starts each process with a small JSON file that holds the addresses
+of the process, its availability zone and the address of the platform. All other
+configuration comes from the settings.
 """
 
 import json
@@ -15,36 +15,37 @@
 
 
 class EnvironmentFileError(errors.CowsliprillError):
-    """Raised when a process's own JSON file can't be used."""
+    """Raised when a process's JSON file is missing or invalid."""
 
     code = "environment_invalid"
     exit_code = errors.ExitCode.USAGE
 
 
 class Environment(pydantic.BaseModel):
-    """A process's own file.
+    """Contents of a process's JSON file.
 
     Attributes:
       vm: Id of this VM.
-      availability_zone: Where it is.
+      availability_zone: Availability zone of this VM.
       process: Name of the process on its VM, for example `e0`.
-      host: IP number to listen on.
-      public_port: Port for callers, shared by a VM's entry processes; 0 where
-        not an entry.
-      port: Port for peers, operators and metrics; 0 lets the kernel pick.
+      host: IP address to listen on.
+      public_port: Port for callers, shared by a VM's entry processes; 0 in
+        other processes.
+      port: Port for peers, operators and metrics; 0 lets the kernel choose.
       settings_url: URL of the VM's settings process.
       platform_url: URL of the platform, settings process only.
       vm_list_url: URL of the VM list, settings process only.
-      boot_peers: URLs of settings processes to ask before the list is known.
-      drain_notice_s: How long the balancer may need to see that a process
-        isn't ready; it serves on for this long before it takes no more.
-      drain_limit_s: How long after the order to stop the process may still be
-        there; what runs then is cut.
-      peer_secret: Secret that our processes share, by which they tell each
-        other from strangers; empty accepts all.
-      seed: Seed of the process's random numbers; None draws one.
-      mechanisms_off: Parts of the decisions that are switched off for an
-        experiment.
+      boot_peers: URLs of settings processes to query until the VM list is
+        known.
+      drain_notice_s: Time in seconds that the load balancer may need to notice
+        that a process is not ready. While draining, the process accepts new
+        requests for this long.
+      drain_limit_s: Time in seconds from the stop signal after which requests
+        in progress are aborted and the process exits.
+      peer_secret: Shared secret that authenticates the processes of this
+        system to each other; if empty, every message is accepted.
+      seed: Seed of the process's random numbers; None chooses one at random.
+      mechanisms_off: Mechanisms that are disabled for an experiment.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
@@ -67,17 +68,17 @@
 
 
 def load(path: pathlib.Path) -> Environment:
-    """Reads a process's own file.
+    """Loads the environment of a process.
 
     Args:
-      path: The JSON file.
+      path: JSON file of the process.
 
     Returns:
-      The environment.
+      The validated environment.
 
     Raises:
-      EnvironmentFileError: The file can't be read, isn't JSON, or has wrong or
-        unknown fields.
+      EnvironmentFileError: The file can't be read, is not JSON, or has invalid
+        or unknown fields.
     """
     try:
         fields = json.loads(path.read_text(encoding="utf-8"))
--- a/src/cowsliprill/errors.py
+++ b/src/cowsliprill/errors.py
@@ -1,14 +1,14 @@
-"""Errors with codes, as callers and operators see them.
+"""Base class of errors, error codes and process exit codes.
 
-Each package derives its own errors from `CowsliprillError` and turns errors of
-the layer below into them at its border.
+Each package derives its errors from `CowsliprillError` and converts errors of
+the layer below at its boundary.
 """
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes of every binary."""
+    """Exit codes of all binaries."""
 
     OK = 0
     ERROR = 1
@@ -19,12 +19,12 @@
 
 
 class CowsliprillError(Exception):
-    """Base of all errors of this project.
+    """Base class of all errors of this project.
 
     Attributes:
       code: Stable machine-readable code in snake_case.
-      message: One sentence for a person.
-      exit_code: Exit code of a binary that ends with this error.
+      message: Human-readable description.
+      exit_code: Exit code of a process that terminates with this error.
     """
 
     code = "internal_error"
--- a/src/cowsliprill/launcher.py
+++ b/src/cowsliprill/launcher.py
@@ -1,4 +1,4 @@
-"""Command line of the processes: each takes its own JSON file."""
+"""Starts a process from the JSON file named on its command line."""
 
 import asyncio
 import importlib
@@ -20,18 +20,18 @@
     serve: Callable[[_Environment], Awaitable[None]],
     load: Callable[[pathlib.Path], _Environment] = environment_lib.load,
 ) -> int:
-    """Reads the command line and the file, and runs the process.
+    """Parses the command line, loads the JSON file and runs the process.
 
     Args:
       name: Name of the binary.
-      description: One sentence for its help.
-      serve: Runs the process until it is told to stop.
-      load: Reads the file.
+      description: One sentence for the help text.
+      serve: Runs the process until a stop signal.
+      load: Loads the environment from the JSON file.
 
     Returns:
       The exit code.
     """
-    file = _file(sys.argv[1:], name, description)
+    file = _configuration_path(sys.argv[1:], name, description)
     try:
         environment = load(file)
         asyncio.run(serve(environment))
@@ -41,12 +41,14 @@
     return errors.ExitCode.OK
 
 
-def _file(arguments: list[str], name: str, description: str) -> pathlib.Path:
-    """Returns the process's own file.
+def _configuration_path(
+    arguments: list[str], name: str, description: str
+) -> pathlib.Path:
+    """Returns the path of the process's JSON file.
 
-    Loading the parser takes a quarter of a process's start and a tenth of its
-    memory. Where a whole fleet starts again, callers wait for just that, so it
-    is loaded only for a command line that needs it.
+    Importing the parser takes a quarter of a process's start-up time and a
+    tenth of its memory. Callers wait for start-up when a whole fleet restarts,
+    so the parser is imported only for command lines other than a single path.
     """
     match arguments:
         case [file] if not file.startswith("-"):
--- a/src/cowsliprill/observability/__init__.py
+++ b/src/cowsliprill/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics and the audit trail."""
+"""Structured logs, Prometheus metrics and the audit trail."""
--- a/src/cowsliprill/observability/audit.py
+++ b/src/cowsliprill/observability/audit.py
@@ -1,7 +1,7 @@
-"""The audit trail: who changed what, and when it came into force here.
+"""Audit trail: who changed the settings, and when this VM applied the change.
 
-VMs have no disks, so entries go to standard output, which the platform keeps,
-and the last ones stay in memory for `cowsliprill audit`.
+VMs have no disks, so entries are written to standard output, which the platform
+stores, and the most recent ones are kept in memory for `cowsliprill audit`.
 """
 
 import collections
@@ -13,39 +13,39 @@
 
 from cowsliprill.observability import log
 
-_KEPT = 500
+_MAX_ENTRIES = 500
 _MAX_VALUE_CHARACTERS = 2_000
 
 
 class AuditTrail:
-    """Entries of one VM.
+    """Writes the audit entries of one VM and keeps the most recent ones.
 
     Args:
       vm: Id of the VM.
-      stream: Where lines go; standard output if None.
+      stream: Output of the entries; standard output if None.
     """
 
     def __init__(self, vm: str, stream: TextIO | None = None) -> None:
         self._vm = vm
         self._stream = stream or sys.stdout
         self._entries: collections.deque[dict[str, Any]] = collections.deque(
-            maxlen=_KEPT
+            maxlen=_MAX_ENTRIES
         )
 
     def record(self, action: str, **fields: Any) -> None:
-        """Writes one entry.
+        """Records one action.
 
         Args:
-          action: What happened, in snake_case.
-          **fields: Further pairs.
+          action: Name of the action in snake_case.
+          **fields: Further fields of the entry.
         """
         self.take({"action": action, **fields})
 
     def take(self, fields: dict[str, Any]) -> None:
-        """Writes an entry that a local process sent, as `record`.
+        """Records an action that a process of this VM has sent.
 
         Args:
-          fields: The pairs, `action` among them.
+          fields: Fields of the entry, including `action`.
         """
         now = datetime.datetime.now(datetime.UTC)
         entry = {
@@ -55,18 +55,18 @@
         }
         for key, value in fields.items():
             if key not in {"time", "audit", "vm", "action"}:
-                entry[key] = _bounded(value)
+                entry[key] = _truncated(value)
         self._entries.append(entry)
         print(log.serialize(entry), file=self._stream, flush=True)
 
     def entries(self) -> list[dict[str, Any]]:
-        """Returns the entries kept, oldest first."""
+        """Returns the entries in memory, oldest first."""
         return list(self._entries)
 
 
-def _bounded(value: Any) -> Any:
-    # One huge value (a whole engine order, say) must not fill the memory of a
-    # process that keeps hundreds of entries.
+def _truncated(value: Any) -> Any:
+    # Hundreds of entries are kept, so the memory used by a large value, such as
+    # a whole engine order, has to be limited.
     if isinstance(value, int | float | bool) or value is None:
         return value
     text = value if isinstance(value, str) else json.dumps(value, default=str)
--- a/src/cowsliprill/observability/log.py
+++ b/src/cowsliprill/observability/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event."""
+"""Structured logging with one line of key=value pairs per event."""
 
 import json
 import logging
@@ -12,44 +12,47 @@
 from cowsliprill.observability import writer
 
 _LOGGER_NAME = "cowsliprill"
-_PLAIN = frozenset(
+_UNQUOTED_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+@"
 )
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = value if isinstance(value, str) else json.dumps(value, default=str)
-    if text and all(character in _PLAIN for character in text):
+    if text and all(character in _UNQUOTED_CHARACTERS for character in text):
         return text
     return json.dumps(text)
 
 
 def serialize(record: dict[str, Any]) -> str:
-    """Writes one record as key=value pairs.
+    """Formats one record as key=value pairs.
 
     Args:
       record: Values by key.
 
     Returns:
-      One line; a value with other than plain characters is quoted as JSON.
+      One line. Values that are empty or have characters other than ASCII
+      letters, digits and `-_.:/+@` are quoted as JSON strings.
     """
-    return " ".join(f"{key}={_value(value)}" for key, value in record.items())
+    return " ".join(
+        f"{key}={_format_value(value)}" for key, value in record.items()
+    )
 
 
 class KeyValueFormatter(core.BaseJsonFormatter):
-    """python-json-logger's base formatter with a key=value serializer."""
+    """Formatter of python-json-logger that writes key=value pairs."""
 
     def jsonify_log_record(self, log_data: core.LogData) -> str:
-        """Returns the line of a record."""
+        """Returns the formatted line of a record."""
         return serialize(dict(log_data))
 
 
 class Log:
-    """Writes events of one process.
+    """Logs the events of one process.
 
     Args:
-      process: Name that stands in every line, for example `entry.e0`.
-      logger: Logger to write to.
+      process: Process name that each line has, for example `entry.e0`.
+      logger: Logger that the events are written to.
     """
 
     def __init__(self, process: str, logger: logging.Logger) -> None:
@@ -57,20 +60,20 @@
         self._logger = logger
 
     def event(self, name: str, **fields: Any) -> None:
-        """Writes one event at level INFO.
+        """Logs an event at level INFO.
 
         Args:
-          name: Event's name in snake_case; listed in docs/OPERATIONS.md.
-          **fields: Further pairs.
+          name: Event name in snake_case; listed in docs/OPERATIONS.md.
+          **fields: Further key=value pairs of the line.
         """
         self._write(logging.INFO, name, fields)
 
     def warning(self, name: str, **fields: Any) -> None:
-        """Writes one event at level WARNING; arguments as for `event`."""
+        """Logs an event at level WARNING; takes the arguments of `event`."""
         self._write(logging.WARNING, name, fields)
 
     def error(self, name: str, **fields: Any) -> None:
-        """Writes one event at level ERROR; arguments as for `event`."""
+        """Logs an event at level ERROR; takes the arguments of `event`."""
         self._write(logging.ERROR, name, fields)
 
     def _write(self, level: int, name: str, fields: dict[str, Any]) -> None:
@@ -88,17 +91,17 @@
 
 
 def open_output(process: str, target: TextIO) -> tuple[Log, writer.Writer]:
-    """Opens the log of a process whose reader may stop reading.
+    """Opens a log whose writes don't block when its reader stops reading.
 
     Args:
-      process: Name that stands in every line.
-      target: Where to write, for example standard output.
+      process: Process name that each line has.
+      target: Stream to write to, for example standard output.
 
     Returns:
-      The log, and what writes it.
+      The log and the non-blocking writer of its lines.
     """
 
-    def note_dropped(lines: int) -> str:
+    def format_drop_notice(lines: int) -> str:
         pairs = {
             "time": time.strftime("%Y-%m-%d %H:%M:%S"),
             "level": "WARNING",
@@ -108,16 +111,16 @@
         }
         return serialize(pairs) + "\n"
 
-    output = writer.Writer(target, note_dropped)
+    output = writer.Writer(target, format_drop_notice)
     return open_log(process, output), output
 
 
 def open_log(process: str, stream: Any = None) -> Log:
-    """Opens the log of this process on standard error.
+    """Opens the log of this process.
 
     Args:
-      process: Name that stands in every line.
-      stream: Where to write instead, for tests.
+      process: Process name that each line has.
+      stream: Stream to write to; standard error if None.
 
     Returns:
       The log.
--- a/src/cowsliprill/observability/metrics.py
+++ b/src/cowsliprill/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one process, by aioprometheus, under standard names."""
+"""Prometheus metrics of one process."""
 
 import aioprometheus
 from aioprometheus import renderer
@@ -8,30 +8,32 @@
 
 
 class Metrics:
-    """The metrics of one process.
+    """Collectors of one process, all in one registry.
 
     Attributes:
-      registry: aioprometheus's registry.
-      requests: Requests by `service` and `outcome`.
-      ttft_s: Time to first token by `service`.
-      tpot_s: Time per output token by `service`.
-      goodput: Requests within both targets, by `service`.
+      registry: Registry that holds all collectors below.
+      requests: Completed requests by `service` and `outcome`.
+      ttft_s: Time to first token in seconds by `service`.
+      tpot_s: Time per output token in seconds by `service`.
+      goodput: Requests that met both latency targets, by `service`.
       wasted_prefills: Prefills whose result was not used, by `service`.
       slots: Slots by `endpoint` and `state` (granted, in_use).
       revision: Revision of the settings in force.
-      pending_cancels: Cancel orders that are not yet acknowledged.
+      pending_cancels: Cancellations that are not yet acknowledged.
       events: Other counted events by `event`.
-      members: VMs that are heard, this one included.
-      registry_position: Newest change known, by `prefix`.
-      registry_away_s: For how long the store has given no answer, by `prefix`.
-      registry_view_age_s: Time since the store was known to hold nothing newer,
-        by `prefix`, at VMs that watch it.
+      members: Reachable VMs, including this one.
+      registry_position: Revision of the newest known change, by `prefix`.
+      registry_away_s: Seconds since the store stopped responding, 0 while the
+        store responds, by `prefix`.
+      registry_view_age_s: Seconds since the store last confirmed that this VM's
+        view is up to date, by `prefix`; set at VMs that watch the store.
       registry_reads: Calls to the store by `prefix` and `result` (answered,
         failed).
-      log_lines_dropped: Lines that the log's reader was too slow for.
-      pool_slots: Decode slots of the pools homed here by `pool` and `state`
-        (promised, all).
-      pool_waiting: Requests that wait for one, by `pool`.
+      log_lines_dropped: Log lines dropped because the reader was too slow.
+      pool_slots: Decode slots of the pools that this VM coordinates, by `pool`
+        and `state` (promised: reserved; all: total).
+      pool_waiting: Requests queued for a decode slot, by `pool`, at the pool's
+        coordinator.
     """
 
     def __init__(self) -> None:
@@ -115,6 +117,6 @@
         )
 
     def render(self) -> tuple[bytes, dict[str, str]]:
-        """Returns the Prometheus text and its HTTP headers."""
+        """Returns the exposition text and its HTTP headers."""
         content, headers = renderer.render(self.registry, [])
         return content, headers
--- a/src/cowsliprill/observability/writer.py
+++ b/src/cowsliprill/observability/writer.py
@@ -1,9 +1,9 @@
-"""Writes log lines without ever making the process wait.
+"""Non-blocking writer of log lines.
 
-Whoever reads a process's output may stop reading; the pipe fills up, and the
-next write would block the event loop and with it all requests. Lines go
-through a bounded queue to a thread of their own. What doesn't fit is dropped
-and counted, and the count is written once there is room again.
+If the reader of a process's output stops reading, the pipe fills up and the
+next write would block the event loop and all requests. Lines therefore pass
+through a bounded queue to a writer thread. Lines that don't fit are dropped and
+counted, and the count is logged with the next lines written.
 """
 
 import collections
@@ -12,84 +12,88 @@
 from collections.abc import Callable
 from typing import TextIO
 
-# Lines that wait for the reader: some seconds of a busy process, about 300 kB.
-LINES_MAX = 1_000
+# Several seconds of output of a busy process, about 300 kB.
+MAX_QUEUED_LINES = 1_000
 
 
 class Writer(io.TextIOBase):
-    """A stream that takes lines at once and writes them when it can.
+    """A text stream that queues lines and writes them from a thread.
 
     Args:
-      target: Where the lines go.
-      note_dropped: Writes a line that tells how many lines were dropped.
-      lines_max: Lines that may wait.
+      target: Stream that the lines are written to.
+      format_drop_notice: Returns the line that reports a number of dropped
+        lines.
+      max_queued_lines: Maximum number of lines in the queue.
 
     Attributes:
-      dropped: Lines dropped since the start.
+      dropped: Number of lines dropped since the start.
     """
 
     def __init__(
         self,
         target: TextIO,
-        note_dropped: Callable[[int], str],
-        lines_max: int = LINES_MAX,
+        format_drop_notice: Callable[[int], str],
+        max_queued_lines: int = MAX_QUEUED_LINES,
     ) -> None:
         self.dropped = 0
         self._target = target
-        self._note_dropped = note_dropped
-        self._lines_max = lines_max
+        self._format_drop_notice = format_drop_notice
+        self._max_queued_lines = max_queued_lines
         self._lines: collections.deque[str] = collections.deque()
-        self._dropped_unsaid = 0
+        self._unreported_drops = 0
         self._writing = False
-        self._news = threading.Condition()
+        self._state_changed = threading.Condition()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def write(self, text: str) -> int:
-        """Takes a line, or drops it."""
-        with self._news:
-            if len(self._lines) >= self._lines_max:
+        """Queues a line, or drops the line if the queue is full."""
+        with self._state_changed:
+            if len(self._lines) >= self._max_queued_lines:
                 self.dropped += 1
-                self._dropped_unsaid += 1
+                self._unreported_drops += 1
             else:
                 self._lines.append(text)
-                self._news.notify()
+                self._state_changed.notify()
         return len(text)
 
     def flush(self) -> None:
-        """Does nothing: whoever logs must not wait."""
+        """Does nothing, as logging must not block."""
 
     def drain(self, timeout_s: float) -> None:
-        """Waits until all is written, at the end of the process.
+        """Blocks until all queued lines are written; called at process exit.
 
         Args:
-          timeout_s: How long to wait for a reader that may not read.
+          timeout_s: Maximum time to wait, as the reader may have stopped.
         """
-        with self._news:
-            self._news.wait_for(self._is_written, timeout_s)
+        with self._state_changed:
+            self._state_changed.wait_for(self._is_drained, timeout_s)
 
-    def _is_written(self) -> bool:
+    def _is_drained(self) -> bool:
         return not self._lines and not self._writing
 
     def _run(self) -> None:
         while True:
-            with self._news:
-                self._news.wait_for(lambda: self._lines)
+            with self._state_changed:
+                self._state_changed.wait_for(lambda: self._lines)
                 text = "".join(self._lines)
                 self._lines.clear()
                 self._writing = True
-                said, self._dropped_unsaid = self._dropped_unsaid, 0
-            if said:
-                text += self._note_dropped(said)
+                unreported_drops, self._unreported_drops = (
+                    self._unreported_drops,
+                    0,
+                )
+            if unreported_drops:
+                text += self._format_drop_notice(unreported_drops)
             try:
                 self._target.write(text)
                 self._target.flush()
             except (OSError, ValueError):
-                # The reader is gone for good; there is nobody left to tell.
-                with self._news:
+                # The reader has closed the pipe: later lines can't be written.
+                with self._state_changed:
                     self._lines.clear()
                     self._writing = False
                 return
-            with self._news:
+            with self._state_changed:
                 self._writing = False
-                self._news.notify_all()
+                self._state_changed.notify_all()
--- a/src/cowsliprill/peer_auth.py
+++ b/src/cowsliprill/peer_auth.py
@@ -1,10 +1,11 @@
-"""How our processes tell each other from strangers.
-
-A body carries a keyed hash under a secret that all VMs get in their own file.
-Without it anyone who reaches a VM's port could announce a revision. What this
-doesn't protect: bodies can be read on the way, an old body can be sent again
-(harmless for settings, whose revision never falls, and for news, whose items
-are taken once), and who knows the secret can speak for every VM.
+"""Authenticates messages between the processes of this system.
+
+Each body is signed with an HMAC under a secret that all VMs have in their JSON
+files. Without a signature, anyone who can reach a VM's port could announce a
+settings revision. Not protected against: reading of bodies in transit, replay
+of old bodies (harmless for settings, whose revision never decreases, and for
+leaving notices, each of which is applied once), and impersonation of any VM by
+a holder of the secret.
 """
 
 import hashlib
@@ -14,10 +15,10 @@
 
 
 class PeerAuth:
-    """Signs and checks bodies.
+    """Signs and verifies message bodies.
 
     Args:
-      secret: The shared secret; with an empty one every body is taken.
+      secret: Shared secret; if empty, every body is accepted.
     """
 
     def __init__(self, secret: str) -> None:
@@ -25,17 +26,17 @@
 
     @property
     def checks(self) -> bool:
-        """Whether there is a secret to check with."""
+        """Whether signatures are verified, that is, a secret is set."""
         return bool(self._secret)
 
     def headers(self, body: bytes) -> dict[str, str]:
-        """Returns the headers to send with a body."""
+        """Returns the signature header of a body; empty without a secret."""
         if not self._secret:
             return {}
         return {HEADER: self._digest(body)}
 
     def accepts(self, body: bytes, signature: str | None) -> bool:
-        """Returns whether a body comes from one who knows the secret."""
+        """Returns whether the signature of a body is valid."""
         if not self._secret:
             return True
         return hmac.compare_digest(self._digest(body), signature or "")
--- a/src/cowsliprill/peer_client.py
+++ b/src/cowsliprill/peer_client.py
@@ -1,4 +1,4 @@
-"""Calls between our own processes and to the platform: HTTP with JSON."""
+"""HTTP client for JSON calls to peers and to the platform."""
 
 import dataclasses
 import json
@@ -15,19 +15,19 @@
 
 
 class PeerError(errors.CowsliprillError):
-    """Raised when a peer gives no usable answer."""
+    """Raised when a call fails or its response is invalid."""
 
     code = "peer_unavailable"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A peer's answer.
+    """Response of a peer.
 
     Attributes:
       status: HTTP status.
-      body: The body's bytes.
-      headers: The headers, by name in any case.
+      body: Response body.
+      headers: Response headers; names are case-insensitive.
     """
 
     status: int
@@ -35,24 +35,25 @@
     headers: Mapping[str, str] = dataclasses.field(default_factory=dict)
 
     def json(self) -> Any:
-        """Returns the body as JSON.
+        """Returns the body parsed as JSON.
 
         Raises:
-          PeerError: The body isn't JSON.
+          PeerError: The body is not JSON.
         """
         try:
             return json.loads(self.body)
         except ValueError as error:
-            raise PeerError(f"answer isn't JSON: {error}") from error
+            raise PeerError(f"response is not JSON: {error}") from error
 
 
 class PeerClient:
-    """Calls peers; an answer of any status is an answer.
+    """Client for peers; returns responses of any status without raising.
 
-    Idle connections aren't kept, so a peer that was replaced is met anew.
+    Each call opens a new connection, so calls reach a peer that has been
+    replaced at the same address.
 
     Args:
-      max_body_bytes: Longest answer that is read; a longer one is an error.
+      max_body_bytes: Maximum response size; a larger response is an error.
     """
 
     def __init__(self, max_body_bytes: int = _MAX_BODY_BYTES) -> None:
@@ -71,20 +72,20 @@
         timeout_s: float = 2.0,
         headers: Mapping[str, str] | None = None,
     ) -> Reply:
-        """Calls a URL.
+        """Sends a request and returns the response.
 
         Args:
           method: HTTP method.
-          url: Whole URL.
+          url: Absolute URL.
           body: JSON body, if any.
-          timeout_s: Time for the whole call.
-          headers: Further headers.
+          timeout_s: Timeout of the whole call in seconds.
+          headers: Further request headers.
 
         Returns:
-          The answer, whatever its status.
+          The response, whatever its status.
 
         Raises:
-          PeerError: There was no answer in time, or the connection failed.
+          PeerError: The call timed out or the connection failed.
         """
         request = httpclient.HTTPRequest(
             url,
--- a/src/cowsliprill/peer_handler.py
+++ b/src/cowsliprill/peer_handler.py
@@ -1,4 +1,4 @@
-"""Answers to signed messages between our own processes."""
+"""HTTP handlers for signed messages between the processes."""
 
 import inspect
 from collections.abc import Awaitable
@@ -15,24 +15,24 @@
 
 
 class PeerHandler(web.RequestHandler):
-    """Reads and writes signed messages.
+    """Base handler that verifies, decodes and signs messages.
 
     Attributes:
-      unsigned_code: Code of the error for a message that no peer has signed.
+      unsigned_code: Error code for a message without a valid signature.
     """
 
     unsigned_code = "not_a_peer"
 
     def initialize(self, auth: peer_auth.PeerAuth) -> None:
-        """Keeps what the handler needs.
+        """Stores the handler's dependencies.
 
         Args:
-          auth: Signs and checks bodies.
+          auth: Signs and verifies bodies.
         """
         self._auth = auth
 
     def read(self, kind: type[_T]) -> _T | None:
-        """Returns the message, None after an error was written.
+        """Returns the verified message, or None after writing an error.
 
         Args:
           kind: Data class of the message.
@@ -49,12 +49,12 @@
             return None
 
     def refuse(self, status: int, code: str, message: str) -> None:
-        """Writes an error."""
+        """Writes an error response."""
         self.set_status(status)
         self.write({"error": {"code": code, "message": message}})
 
     def answer(self, value: Any) -> None:
-        """Writes a data class as a signed message."""
+        """Writes a data class as a signed response."""
         body = codec.encode_short(value)
         self.set_header("Content-Type", "application/json")
         for name, text in self._auth.headers(body).items():
@@ -63,7 +63,7 @@
 
 
 class MessageHandler(PeerHandler):
-    """Takes one kind of message by POST and answers with another."""
+    """Serves one request type by POST."""
 
     def initialize(
         self,
@@ -71,19 +71,20 @@
         kind: type,
         respond: Callable[[Any], Any | Awaitable[Any]],
     ) -> None:
-        """Keeps what the handler needs.
+        """Stores the handler's dependencies.
 
         Args:
-          auth: Signs and checks bodies.
-          kind: Data class of the message.
-          respond: Returns the answer, a data class, at once or when awaited.
+          auth: Signs and verifies bodies.
+          kind: Data class of the request message.
+          respond: Returns the response message, a data class, or an awaitable
+            of one.
         """
         super().initialize(auth)
         self._kind = kind
         self._respond = respond
 
     async def post(self) -> None:
-        """Answers a peer."""
+        """Handles one request of a peer."""
         message = self.read(self._kind)
         if message is None:
             return
--- a/src/cowsliprill/peers.py
+++ b/src/cowsliprill/peers.py
@@ -1,40 +1,39 @@
-"""Paths and addresses of the interfaces between our own processes.
+"""URL paths of the HTTP interfaces between the processes.
 
-All are HTTP with JSON. Bodies are the data classes of
-`decisions.messages` and of the package that serves the path, as JSON objects
-with the same field names.
+Bodies are JSON objects with the field names of the data classes in
+`decisions.messages` and in the package that serves the path.
 
-Settings process (one a VM):
-  `GET /v1/settings?have=REVISION&index=HASH&wait_s=S` ->
-  `settings.parts.Head` as soon as another version is in force, else after
-  `wait_s` with 204. `GET /v1/settings/parts/HASH` -> one part's text;
+Settings process (one per VM):
+  `GET /v1/settings?have=REVISION&index=HASH&wait_s=S` -> long poll; returns
+  `settings.parts.Head` as soon as another version is in force, else 204 after
+  `wait_s`. `GET /v1/settings/parts/HASH` -> the text of one part;
   `POST /v1/settings/parts` `{"hashes"}` -> `{"texts"}` by hash.
-  `GET /v1/settings/document` -> the whole tree.
-  `GET /v1/fleet?have=VERSION&wait_s=S` -> the `model.Fleet` as JSON, likewise.
-  `POST /v1/fleet/leaving` `{"endpoint_id", "ttl_s"}`: an endpoint gave a
-  draining answer; passed on to peers with its own expiry.
-  `GET /v1/audit` -> the recent audit entries. `POST /v1/audit` takes entries
-  of the local processes.
-  `POST /v1/exchange` takes and answers `settings.exchange.Exchange`.
-Dispatch process (one a VM):
+  `GET /v1/settings/document` -> all settings as one document.
+  `GET /v1/fleet?have=VERSION&wait_s=S` -> long poll for `model.Fleet`.
+  `POST /v1/fleet/leaving` `{"endpoint_id", "ttl_s"}`: reports that an endpoint
+  has responded that it is draining; forwarded to peers with this TTL.
+  `GET /v1/audit` -> the recent audit entries. `POST /v1/audit` adds entries of
+  processes on the same VM.
+  `POST /v1/exchange`: request and response are `settings.exchange.Exchange`.
+Dispatch process (one per VM):
   `POST /v1/slots` `{"entry", "asks": [SlotAsk], "wait_s"}` ->
   `{"grants": [SlotGrant], "not_home": [endpoint id]}` with `expires_in_s` in
-  place of `expires_at`; the entry counts it from when it sent the ask. With
-  `wait_s` the answer is held back while there is nothing new to grant.
-  `POST /v1/cancels` `{"cancels": [{"endpoint_id", "request_id"}]}`: cancel
-  orders taken over from an entry that leaves.
-Entry process (several a VM; the peer port):
+  place of `expires_at`, in seconds since the entry process sent the request.
+  `wait_s` makes the call a long poll that waits for a new grant.
+  `POST /v1/cancels` `{"cancels": [{"endpoint_id", "request_id"}]}`: hands over
+  the cancellations of an entry process that shuts down.
+Entry process (several per VM; on the port for peers):
   `GET /v1/incarnation` -> `{"incarnation"}`.
   `POST /v1/forward`: a caller's request whose ticket names this incarnation.
-Bodies of POST, and answers that peers act on, carry `X-Peer-Signature` where
-the VMs share a secret (`peer_auth`).
-Router process (one a VM, all of the above in one):
-  `POST /v1/cells` `cells.wire.CellRequest` -> `cells.wire.CellAnswer`: an
-  entry's events for the home of a pool, and the home's decisions.
-  `GET /v1/registry?prefix=P&since=R` -> `registry.peers.WireNews`: what the
-  asker lacks of the registry, for VMs that the store turns away.
-  `POST /v1/quotas` `quotas.wire.Report` -> `quotas.wire.Answer`: what customers
-  use at a VM, for the owner of their quotas, and what may be admitted.
+Bodies of POST requests, and responses that peers act on, have the header
+`X-Peer-Signature` if the VMs share a secret (`peer_auth`).
+Router process (one per VM, serves all of the above in one process):
+  `POST /v1/cells` `cells.wire.CellRequest` -> `cells.wire.CellAnswer`: events
+  of an entry process for a pool's coordinator, and the coordinator's decisions.
+  `GET /v1/registry?prefix=P&since=R` -> `registry.peers.WireNews`: registry
+  changes after R, for VMs that the store rejects as overloaded.
+  `POST /v1/quotas` `quotas.wire.Report` -> `quotas.wire.Answer`: customers'
+  usage at a VM, for the VM that manages their quotas, and the admissible usage.
 All processes: `GET /healthz`, `GET /readyz`, `GET /metrics`, `GET /v1/status`.
 """
 
--- a/src/cowsliprill/process.py
+++ b/src/cowsliprill/process.py
@@ -1,4 +1,4 @@
-"""The shell of every process: servers, health, signals and shutdown."""
+"""Common runtime of all processes: servers, health, signals, shutdown."""
 
 import asyncio
 import dataclasses
@@ -17,17 +17,17 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 
-# How soon a change of readiness is logged; the handler itself always tells
-# the present state.
+# Interval at which changes of readiness are logged. The readiness handler
+# always returns the current state.
 _READINESS_CHECK_S = 0.05
 
 
 def block_stop_signals() -> None:
-    """Lets no further SIGTERM or SIGINT reach a process that has stopped.
+    """Blocks SIGTERM and SIGINT for the rest of the process's life.
 
-    The loop gives the signals back to their default when it closes. One more
-    SIGTERM just then would end a process that has drained well as if it had
-    been cut down; its exit code would say so.
+    The event loop restores the default signal handlers when it closes. Another
+    SIGTERM at that point would kill a process that has drained completely, and
+    its exit code would report a failure.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT})
 
@@ -39,20 +39,20 @@
 
 class _ReadyHandler(web.RequestHandler):
     def initialize(self, shell: "Process") -> None:
-        self._shell = shell
+        self._process = shell
 
     def get(self) -> None:
-        reason = self._shell.unready_reason()
+        reason = self._process.unready_reason()
         self.set_status(503 if reason else 200)
         self.write({"ready": not reason, "reason": reason})
 
 
 class _MetricsHandler(web.RequestHandler):
     def initialize(self, shell: "Process") -> None:
-        self._shell = shell
+        self._process = shell
 
     def get(self) -> None:
-        content, headers = self._shell.metrics.render()
+        content, headers = self._process.metrics.render()
         for name, value in headers.items():
             self.set_header(name, value)
         self.write(content)
@@ -60,30 +60,31 @@
 
 class _StatusHandler(web.RequestHandler):
     def initialize(self, shell: "Process") -> None:
-        self._shell = shell
+        self._process = shell
 
     def get(self) -> None:
         self.set_header("Content-Type", "application/json")
-        self.write(json.dumps(self._shell.status()))
+        self.write(json.dumps(self._process.status()))
 
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """What every process has in common.
+    """HTTP servers, signal handling and lifecycle of a process.
 
-    The process adds its routes and tasks, then awaits `run_until_stopped`.
+    The caller adds routes and starts tasks, then awaits `run_until_stopped`.
 
     Attributes:
-      environment: What the process was told about itself.
-      log: Its log.
-      metrics: Its metrics.
-      unready_reason: Returns why the process takes no work, empty if it does.
-      status: Returns what `GET /v1/status` answers.
-      port: Port for peers and operators, known after `listen`.
-      public_port: Port for callers, known after `listen_public`.
-      drain: Called once at the first SIGTERM or SIGINT; the process ends when
-        it returns. A second signal changes nothing: ending at once would cut
-        requests in progress.
+      environment: Start-up configuration of the process.
+      log: Log of the process.
+      metrics: Metrics that `GET /metrics` returns.
+      unready_reason: Returns why the process accepts no requests, empty if the
+        process is ready.
+      status: Returns the JSON object for `GET /v1/status`.
+      port: Port for peers and operators, set by `listen`.
+      public_port: Port for callers, set by `listen_public`.
+      drain: Called once after the first SIGTERM or SIGINT; the process exits
+        when `drain` returns. Further signals are ignored, as exiting at once
+        would abort requests in progress.
     """
 
     environment: environment_lib.Environment
@@ -97,13 +98,15 @@
     _servers: list[httpserver.HTTPServer] = dataclasses.field(
         default_factory=list
     )
-    _stopping: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    _stop_requested: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
     def listen(self, routes: list[tuple]) -> None:
         """Serves peers and operators on the environment's port.
 
         Args:
-          routes: tornado routes beside health, readiness, metrics and status.
+          routes: Tornado routes besides health, readiness, metrics and status.
         """
         arguments = {"shell": self}
         common = [
@@ -113,7 +116,7 @@
             (peers.STATUS_PATH, _StatusHandler, arguments),
         ]
         application = web.Application(
-            [*common, *routes], log_function=_log_nothing
+            [*common, *routes], log_function=_discard_access_log
         )
         host = self.environment.host
         sockets = netutil.bind_sockets(self.environment.port, host)
@@ -125,14 +128,14 @@
     def listen_public(
         self, application: web.Application, **options: Any
     ) -> httpserver.HTTPServer:
-        """Serves callers on the public port, shared with other processes.
+        """Serves callers on the public port, which processes share.
 
         Args:
-          application: tornado application.
+          application: Tornado application.
           **options: Options of `tornado.httpserver.HTTPServer`.
 
         Returns:
-          The server; `stop` makes it take no new connections.
+          The server; its `stop` method stops accepting connections.
         """
         sockets = netutil.bind_sockets(
             self.environment.public_port,
@@ -146,29 +149,29 @@
         return server
 
     def listen_ready(self, host: str, port: int) -> None:
-        """Tells a balancer on a port of its own whether to send work here.
+        """Serves the readiness check for load balancers on a separate port.
 
         Args:
-          host: IP number.
+          host: IP address.
           port: TCP port.
         """
         application = web.Application(
             [(peers.READY_PATH, _ReadyHandler, {"shell": self})],
-            log_function=_log_nothing,
+            log_function=_discard_access_log,
         )
         server = httpserver.HTTPServer(application)
         server.listen(port, host)
         self._servers.append(server)
 
     def stop(self) -> None:
-        """Begins to drain, as the first SIGTERM does."""
-        self._stopping.set()
+        """Starts draining, as the first SIGTERM does."""
+        self._stop_requested.set()
 
     async def run_until_stopped(self) -> None:
-        """Announces the port, waits for a signal, drains and stops."""
+        """Logs the ports, waits for a stop signal, drains and stops serving."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop)
         self.log.event(
             "started",
             port=self.port,
@@ -176,7 +179,7 @@
             availability_zone=self.environment.availability_zone,
         )
         readiness = asyncio.create_task(self._log_readiness())
-        await self._stopping.wait()
+        await self._stop_requested.wait()
         self.log.event("draining")
         await self.drain()
         readiness.cancel()
@@ -188,14 +191,14 @@
     async def _log_readiness(self) -> None:
         reason = None
         while True:
-            now = self.unready_reason()
-            if now != reason and now:
-                self.log.event("unready", reason=now)
-            elif now != reason:
+            current_reason = self.unready_reason()
+            if current_reason != reason and current_reason:
+                self.log.event("unready", reason=current_reason)
+            elif current_reason != reason:
                 self.log.event("ready")
-            reason = now
+            reason = current_reason
             await asyncio.sleep(_READINESS_CHECK_S)
 
 
-def _log_nothing(handler: web.RequestHandler) -> None:
+def _discard_access_log(handler: web.RequestHandler) -> None:
     del handler
