--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,4 +1,4 @@
-"""Routers among stand-ins of the platform, in one event loop."""
+"""Routers with a fake store and fake endpoints, in one event loop."""
 
 import asyncio
 import base64
@@ -28,24 +28,24 @@
 UNSAFE_PATH = "/pickup/"
 EVENTS = 6
 
-# Addresses that routers of one site have.
-_HOSTS = 8
+# Routers of a site listen on 127.0.0.1 and the following addresses.
+_MAX_ROUTERS = 8
 
 
 class Store:
-    """The platform's store: ranges, watches, and its own troubles.
+    """Fake metadata store with listings, watches and failures.
 
     Attributes:
-      status: What all calls are answered with, 0 to serve them.
+      status: HTTP status that all calls fail with, 0 to serve them.
       calls: Paths that were called.
-      lost_after: Revision up to which history is forgotten.
-      waiting: Watches that wait.
+      compacted_revision: Revision up to which the history is discarded.
+      waiting: Number of watches that wait for a change.
     """
 
     def __init__(self) -> None:
         self.status = 0
         self.calls: list[str] = []
-        self.lost_after = 0
+        self.compacted_revision = 0
         self.waiting = 0
         self._revision = 100
         self._items: dict[str, dict[str, Any]] = {}
@@ -66,24 +66,24 @@
             "lease": 0,
         }
         self._items[key] = item
-        await self._tell(item)
+        await self._append_event(item)
 
     async def remove(self, key: str) -> None:
         self._revision += 1
         del self._items[key]
         gone = {"key": key, "revision": self._revision, "removed": True}
-        await self._tell(gone)
+        await self._append_event(gone)
 
     async def fail(self, status: int) -> None:
-        """Answers all calls with a status, those that wait at once as well."""
+        """Makes all calls fail with a status, including pending watches."""
         self.status = status
         async with self._changed:
             self._changed.notify_all()
 
     def forget_history(self) -> None:
-        self.lost_after = self._revision
+        self.compacted_revision = self._revision
 
-    async def _tell(self, event: dict[str, Any]) -> None:
+    async def _append_event(self, event: dict[str, Any]) -> None:
         self._history.append(event)
         async with self._changed:
             self._changed.notify_all()
@@ -91,7 +91,7 @@
     def listing(self, prefix: str, after: str) -> dict[str, Any]:
         keys = [key for key in sorted(self._items) if key.startswith(prefix)]
         keys = [key for key in keys if key > after]
-        # Small pages, so that each listing needs some.
+        # Small pages, so that each listing takes several calls.
         items = [self._items[key] for key in keys[:3]]
         return {
             "items": items,
@@ -124,11 +124,12 @@
 
 
 class Door:
-    """An address of a store, by which it may treat some VMs otherwise.
+    """One address of a store, which can fail for some VMs only.
 
     Attributes:
-      status: What all calls by it are answered with, 0 to serve them.
-      calls: Paths that were called by it.
+      status: HTTP status that all calls to this address fail with, 0 to serve
+        them.
+      calls: Paths that were called at this address.
     """
 
     def __init__(self, store: Store) -> None:
@@ -167,7 +168,7 @@
 class _WatchHandler(_StoreHandler):
     async def get(self) -> None:
         after = int(self.get_query_argument("after"))
-        if after < self.store.lost_after:
+        if after < self.store.compacted_revision:
             self.set_status(410)
             return
         events = await self.store.events(
@@ -182,7 +183,7 @@
 
 
 class Served:
-    """A tornado application on a port that the kernel picks."""
+    """A Tornado application on a port that the kernel chooses."""
 
     def __init__(self, routes: list[tuple]) -> None:
         sockets = netutil.bind_sockets(0, HOST)
@@ -199,18 +200,21 @@
 
 @dataclasses.dataclass
 class Conduct:
-    """What an engine does wrong, until changed.
+    """Faults that an endpoint shows.
 
     Attributes:
-      refuse: Status of a refusal that says that nothing was run, 0 for none.
-      fail: Status of a failure, 0 for none.
-      hang: Whether it takes requests and never answers.
-      stop_after: Events after which it pauses, amid the next one, until it is
-        cut or its reader leaves; 0 for none.
-      foreign: Whether answers carry another request's id.
-      lose: Whether it runs requests and cuts the connection.
-      unsigned: Whether answers lack the signature.
-      times: Requests that are affected, -1 for all.
+      refuse: Status of responses that mark the request as not executed, 0 for
+        none.
+      fail: Status of failures after execution, 0 for none.
+      hang: Whether the endpoint accepts requests and never responds.
+      stop_after: Number of events after which a stream pauses in the middle of
+        the next event, until `cut` is set or the client disconnects; 0 for
+        none.
+      foreign: Whether responses have the id of another request.
+      lose: Whether the endpoint executes requests and closes the connection
+        without a response.
+      unsigned: Whether responses lack the signature.
+      times: Number of requests affected, -1 for all.
     """
 
     refuse: int = 0
@@ -224,12 +228,12 @@
 
 
 def entry(service: str, address: str, stage: str | None) -> dict[str, Any]:
-    """Writes what an engine or server says of itself in the store.
+    """Returns the store entry of an endpoint.
 
     Args:
-      service: Its service.
-      address: Its IP number and port.
-      stage: What it does as an engine, None for a server.
+      service: Name of the endpoint's service.
+      address: IP address and port.
+      stage: Role of an engine, None for a server of a plain service.
     """
     fields = {
         "service": service,
@@ -251,13 +255,13 @@
     """A prefill engine, a decode engine or a server of a plain service.
 
     Attributes:
-      requests: Requests that reached it.
-      runs: Ids of the requests that it ran.
-      handles: Prefills that it keeps.
-      freed: Handles that were freed.
-      orders: Orders that reached it, each with the engine that it names.
-      left: Connections that callers closed amid a request.
-      cut: Set to cut the streams that pause.
+      requests: Requests received.
+      runs: Ids of the requests executed.
+      handles: Handles of the KV caches that are held.
+      freed: Handles that were released.
+      orders: Orders received, each with the id of the engine that is addressed.
+      left: Number of connections that clients closed during a request.
+      cut: Set to cut the paused streams.
     """
 
     def __init__(self, name: str, service: str, stage: str | None) -> None:
@@ -389,7 +393,7 @@
 
 
 def config(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Writes the operator's configuration."""
+    """Returns the operator's configuration."""
 
     def route(path: str, kind: str, service: str, **more: Any) -> dict:
         return {
@@ -439,13 +443,13 @@
 
 
 class Site:
-    """A store, engines and routers.
+    """A fake store, fake endpoints and routers.
 
     Attributes:
-      store: The store.
-      engines: The engines by name.
-      routers: The routers, each on an address of its own.
-      logs: What they wrote.
+      store: Store of settings and endpoint entries.
+      engines: Engines and servers by name.
+      routers: Routers, each on a separate address.
+      logs: Log output of each router.
     """
 
     def __init__(self, drain_notice_s: float, **node_fields: Any) -> None:
@@ -457,9 +461,9 @@
         self.logs: list[io.StringIO] = []
         self.tasks: list[asyncio.Task] = []
         self.http = http_client.HttpClient()
-        # UDP and TCP of all routers share one number, as on the platform.
-        self._held_port = hold_port()
-        self._peer_port = self._held_port.getsockname()[1]
+        # All routers use one port number for UDP and TCP, as in production.
+        self._reserved_port = hold_port()
+        self._peer_port = self._reserved_port.getsockname()[1]
 
     async def start(self, routers: int, prefills: int = 2) -> None:
         for name in [f"p{number}" for number in range(prefills)]:
@@ -514,7 +518,7 @@
         for engine in self.engines.values():
             await engine.site.close()
         self.http.close()
-        self._held_port.close()
+        self._reserved_port.close()
 
     async def open(
         self,
@@ -526,7 +530,7 @@
         attempt: str = "a1",
         router: int = 0,
     ) -> exchange.Response:
-        """Sends a call and leaves its answer open."""
+        """Sends a request and returns the response before reading its body."""
         own = {
             "Host": CALLERS_HOST,
             "Attempt-Id": attempt,
@@ -547,52 +551,52 @@
     async def call(
         self, path: str, **named: Any
     ) -> tuple[int, dict[str, str], bytes]:
-        """Sends a call and reads its whole answer."""
+        """Sends a request and returns status, headers and body."""
         response = await self.open(path, **named)
         body = await response.read(1 << 20)
         return response.status, response.headers, body
 
     def runs(self) -> list[str]:
-        """Lists the runs of all engines."""
+        """Returns the ids of the requests executed by all endpoints."""
         return [run for item in self.engines.values() for run in item.runs]
 
 
 def hold_port() -> socket.socket:
-    """Holds a port for others to listen on, until it is closed.
+    """Reserves a port for routers to listen on, until the socket is closed.
 
-    Let go at once, a port was now and then given to a connection of the test
-    itself, and a router then couldn't listen. Held so, they can still bind it.
-    The number is free for UDP as well: another test's router, or another
-    program, may have it there.
+    If the port were released at once, the kernel could assign it to a
+    connection of the test, and a router couldn't listen. `SO_REUSEADDR` lets
+    routers bind the reserved port. The port is also free for UDP, where a
+    router of another test or another program may use it.
     """
     while True:
-        held = socket.socket()
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        held.bind(("127.0.0.1", 0))
-        if _is_free_for_udp(held.getsockname()[1]):
-            return held
-        held.close()
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind(("127.0.0.1", 0))
+        if _is_free_for_udp(reserved.getsockname()[1]):
+            return reserved
+        reserved.close()
 
 
 def _is_free_for_udp(port: int) -> bool:
-    for number in range(_HOSTS):
-        with socket.socket(type=socket.SOCK_DGRAM) as tried:
+    for number in range(_MAX_ROUTERS):
+        with socket.socket(type=socket.SOCK_DGRAM) as probe_socket:
             try:
-                tried.bind((f"127.0.0.{number + 1}", port))
+                probe_socket.bind((f"127.0.0.{number + 1}", port))
             except OSError:
                 return False
     return True
 
 
 async def until(condition: Any) -> None:
-    """Waits for a condition; fails after ten seconds."""
+    """Polls until a condition holds; fails after ten seconds."""
     async with asyncio.timeout(10):
-        while not condition():  # noqa: ASYNC110 stand-ins tell no events
+        while not condition():  # noqa: ASYNC110 fakes offer no events
             await asyncio.sleep(0.005)
 
 
 async def read_until(response: exchange.Response, end: bytes) -> bytes:
-    """Reads an answer until it has brought some bytes."""
+    """Reads a response until the received bytes end with `end`."""
     got = b""
     async for chunk in response.chunks():
         got += chunk
@@ -602,7 +606,7 @@
 
 
 def stream(first: int = 1, last: int = EVENTS) -> bytes:
-    """Returns the bytes of events as engines send them."""
+    """Returns the bytes of an event stream as engines send them."""
     return b"".join(
         f"id: {number}\ndata: t{number}\n\n".encode()
         for number in range(first, last + 1)
@@ -616,7 +620,7 @@
     prefills: int = 2,
     **node_fields: Any,
 ):
-    """Runs a site for one test."""
+    """Runs a site for the duration of one test."""
     site = Site(drain_notice_s, **node_fields)
     await site.start(routers, prefills)
     try:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the router on the platform, against stand-ins of it."""
+"""Tests of the router with fake engines, services and metadata store."""
 
 import asyncio
 import json
@@ -22,9 +22,9 @@
 
 
 class TestCalls:
-    """Calls pass unchanged, with the headers that are ours to set."""
+    """Requests are relayed unchanged, except for the router's own headers."""
 
-    def test_a_stream_goes_through_prefill_and_decode(self):
+    def test_stream_uses_prefill_and_decode_engines(self):
         async def scenario(site):
             status, headers, body = await site.call(_MODEL, body=b"a\0b")
             return status, headers, body, site.engines
@@ -48,8 +48,11 @@
             assert request.headers["Token-Usage"] == "3200,800"
             assert 0 < int(request.headers["Deadline-Ms"]) <= 8_000
 
-    def test_headers_that_are_ours_are_dropped(self):
-        """A client names another's memory, or a hold that it doesn't have."""
+    def test_router_only_headers_of_callers_are_removed(self):
+        """A client names another client's KV cache, or a hold it doesn't have.
+
+        If relayed, these headers would give access to the other KV cache.
+        """
         forged = {
             "Kv-Source": "10.0.0.1:80/h",
             "Kv-Hold": "h",
@@ -78,7 +81,7 @@
             assert name not in headers
 
     @pytest.mark.parametrize("method", ["GET", "PUT", "POST"])
-    def test_a_plain_call_passes_whole(self, method):
+    def test_plain_request_is_relayed_unchanged(self, method):
         async def scenario(site):
             path = _UNSAFE + "a%20b//c?d=%2F&"
             answer = await site.call(path, method=method, body=b"12")
@@ -94,13 +97,13 @@
         assert request.method == method
         assert request.uri == _UNSAFE + "a%20b//c?d=%2F&"
 
-    def test_no_route(self):
+    def test_unknown_path_returns_404(self):
         async def scenario(site):
             return await site.call("/nowhere/")
 
         assert _on_site(scenario)[0] == 404
 
-    def test_limits_of_the_configuration(self):
+    def test_requests_over_size_limits_are_rejected(self):
         async def scenario(site):
             large = await site.call(_SAFE, body=b"x" * 20_001)
             many = await site.call(_SAFE, headers={"X-Long": "x" * 5_000})
@@ -110,13 +113,13 @@
 
 
 class TestOnce:
-    """What may not be repeated runs at most once, and no refusal lies."""
+    """Non-idempotent requests run at most once; a 503 means not executed."""
 
-    def test_a_lost_answer_isnt_asked_for_again(self):
-        """The desk booked the pickup and its answer was lost.
+    def test_non_idempotent_request_is_not_retried_after_lost_response(self):
+        """A server executed a booking, but its response was lost.
 
-        Sent again, two vans would chase one bag; refused as not run, the
-        client would send it again itself.
+        A retry by the router would book twice. So would a 503, which lets the
+        client retry the request as not executed.
         """
 
         async def scenario(site):
@@ -129,7 +132,7 @@
         assert status == 502
         assert runs == ["a1"]
 
-    def test_a_lookup_is_asked_for_again(self):
+    def test_idempotent_request_is_retried_after_lost_response(self):
         async def scenario(site):
             once = platform_site.Conduct(lose=True, times=1)
             for name in ("s0", "s1"):
@@ -140,7 +143,7 @@
         assert (status, body) == (200, b"ask")
         assert len(runs) == 2
 
-    def test_a_refusal_of_the_server_is_tried_elsewhere(self):
+    def test_refused_request_is_retried_at_another_server(self):
         async def scenario(site):
             site.engines["s0"].conduct.refuse = 503
             answers = [
@@ -153,7 +156,7 @@
         assert statuses == [200] * 6
         assert sorted(runs) == [f"a{number}" for number in range(6)]
 
-    def test_refused_everywhere_says_not_run(self):
+    def test_request_refused_by_all_servers_returns_503(self):
         async def scenario(site):
             for name in ("s0", "s1"):
                 site.engines[name].conduct.refuse = 503
@@ -164,10 +167,11 @@
         assert float(headers["Retry-After"]) >= 0
         assert runs == []
 
-    def test_a_servers_own_503_is_no_promise(self):
-        """The server ran the request, failed, and answered 503 unmarked.
+    def test_503_without_not_executed_header_becomes_502(self):
+        """A server executed a request, failed and sent 503 without the header.
 
-        Passed on as it is, its client would take it for not run.
+        If the 503 were relayed, the client would take the request for not
+        executed and send it again.
         """
 
         async def scenario(site):
@@ -179,8 +183,8 @@
         assert status == 502
         assert len(runs) == 1
 
-    def test_another_engine_at_the_address(self):
-        """An engine has left and its address serves another service."""
+    def test_stale_entry_of_reused_address_causes_no_failures(self):
+        """An endpoint is gone and another endpoint serves at its address."""
 
         async def scenario(site):
             entry = site.engines["s0"].entry()
@@ -200,13 +204,13 @@
 
 
 class TestMetrics:
-    """What an engineer on call reads from a router."""
+    """Metrics from which an operator diagnoses rejected requests."""
 
-    def test_store_members_and_memory(self):
-        """Callers are refused, and the question is which part is to blame.
+    def test_gauges_of_store_members_and_kv_cache(self):
+        """Requests are rejected, and the gauges have to show the cause.
 
-        The gauges tell a store that is away, VMs that aren't heard, and a
-        pool whose memory is promised to the last block from each other.
+        They distinguish a store outage, unreachable VMs and a pool whose KV
+        cache blocks are all reserved.
         """
 
         async def scenario(site):
@@ -241,17 +245,17 @@
         assert float(values[answered]) >= 1
         slots = "cowsliprill_pool_slots"
         promised = slots + '{pool="llm",state="promised"}'
-        # 3,200 tokens of prompt and 0.7 of 300 expected, in blocks of 16.
+        # 3,200 prompt tokens and 0.7 of 300 expected tokens, in blocks of 16.
         assert float(values[promised]) == 214
         whole = slots + '{pool="llm",state="all"}'
         assert float(values[whole]) == 2 * 40_000 // 16
         assert float(values['cowsliprill_pool_waiting{pool="llm"}']) == 0
 
 
-class TestPrefillEnginesGone:
-    """No prefill engine is left."""
+class TestNoPrefillEngines:
+    """All prefill engines have been removed."""
 
-    def test_decode_engines_read_prompts_themselves(self):
+    def test_decode_engine_prefills_locally(self):
         async def scenario(site):
             for name in ("p0", "p1"):
                 await site.store.remove(f"servers/{name}")
@@ -274,11 +278,11 @@
         assert "Stage" not in request.headers
 
 
-class TestAnswers:
-    """Only whole answers of the engine to this very request are passed on."""
+class TestResponses:
+    """Only valid responses of the engine to this request are relayed."""
 
     @pytest.mark.parametrize("fault", ["foreign", "unsigned"])
-    def test_an_answer_that_isnt_this_requests(self, fault):
+    def test_foreign_or_unsigned_response_returns_502(self, fault):
         async def scenario(site):
             for name in ("s0", "s1", "d0", "d1"):
                 setattr(site.engines[name].conduct, fault, True)
@@ -288,7 +292,7 @@
 
         assert _on_site(scenario) == (502, 502)
 
-    def test_a_failure_is_passed_on_with_its_signature(self):
+    def test_failure_is_relayed_with_its_signature(self):
         async def scenario(site):
             for name in ("s0", "s1"):
                 site.engines[name].conduct.fail = 500
@@ -300,13 +304,13 @@
 
 
 class TestStreams:
-    """Streams that break."""
+    """Streams that are cut by an engine failure."""
 
-    def test_a_resumable_one_goes_on_elsewhere(self):
-        """The decode engine crashed in the middle of an event.
+    def test_resumable_stream_resumes_at_another_engine(self):
+        """The decode engine crashes in the middle of an event.
 
-        The reader sees one stream, each event once, under the first engine's
-        signature.
+        The client receives one stream with each event once and the signature
+        of the first engine.
         """
 
         async def scenario(site):
@@ -331,7 +335,7 @@
         resumed = [item.get("Last-Event-Id") for item in decodes]
         assert sorted(resumed, key=str) == ["3", None]
 
-    def test_another_one_ends_as_broken(self):
+    def test_non_resumable_stream_is_truncated(self):
         async def scenario(site):
             for name in ("d0", "d1"):
                 site.engines[name].conduct.stop_after = 3
@@ -349,15 +353,15 @@
         assert rest == (b"", False)
         assert runs == ["a1"]
 
-    def test_a_clients_own_resumption_is_passed_on(self):
+    def test_resumption_by_the_client_is_relayed(self):
         async def scenario(site):
             headers = {"Last-Event-Id": "4"}
             return await site.call(_RESUMABLE, headers=headers)
 
         assert _on_site(scenario)[2] == platform_site.stream(5)
 
-    def test_a_prefill_without_room_for_its_decode_isnt_read_again(self):
-        """One decode engine is full; the prompt is fetched by the other."""
+    def test_prefill_is_reused_when_a_decode_engine_refuses(self):
+        """One decode engine is full; the other fetches the same KV cache."""
 
         async def scenario(site):
             site.engines["d0"].conduct.refuse = 503
@@ -377,11 +381,11 @@
         assert prefills == 4
 
 
-class TestLeavingCallers:
-    """A client that leaves frees its engine at each stage."""
+class TestClientDisconnects:
+    """A client's disconnection ends the work of its engine at each stage."""
 
     @pytest.mark.parametrize("names", [("p0", "p1"), ("d0", "d1")])
-    def test_while_an_engine_is_silent(self, names):
+    def test_before_the_engine_responds(self, names):
         async def scenario(site):
             for name in names:
                 site.engines[name].conduct.hang = True
@@ -405,7 +409,7 @@
 
         _on_site(scenario)
 
-    def test_amid_its_stream(self):
+    def test_during_the_stream(self):
         async def scenario(site):
             for name in ("d0", "d1"):
                 site.engines[name].conduct.stop_after = 2
@@ -421,9 +425,9 @@
 
 
 class TestConfiguration:
-    """What the store says is in force, and never an older state again."""
+    """Settings and endpoints follow the store and never revert."""
 
-    def test_a_change_comes_by_the_watch(self):
+    def test_settings_change_is_received_by_the_watch(self):
         async def scenario(site):
             assert (await site.call("/new/"))[0] == 404
             config = platform_site.config(2)
@@ -436,7 +440,7 @@
 
         assert _on_site(scenario) == (200, 404)
 
-    def test_an_older_version_is_not_taken(self):
+    def test_older_settings_version_is_ignored(self):
         async def scenario(site):
             await site.store.put("op/config", platform_site.config(5))
             await platform_site.until(
@@ -451,7 +455,7 @@
 
         assert _on_site(scenario) == 200
 
-    def test_a_leaving_engine_gets_no_new_work(self):
+    def test_draining_endpoint_receives_no_new_requests(self):
         async def scenario(site):
             engine = site.engines["s0"]
             await site.store.put("servers/s0", engine.entry(state="draining"))
@@ -465,8 +469,11 @@
 
         assert _on_site(scenario) == 0
 
-    def test_after_the_history_is_lost_all_is_listed_anew(self):
-        """An engine left while the store had no history to tell of it."""
+    def test_all_entries_are_listed_again_after_history_is_lost(self):
+        """An endpoint is removed during an outage after which history is lost.
+
+        The watch can't report the removal, so only a new listing shows it.
+        """
 
         async def scenario(site):
             await platform_site.until(lambda: site.store.waiting == 2)
@@ -497,8 +504,8 @@
             json.dumps({"service": "desk", "address": 7}).encode(),
         ],
     )
-    def test_an_unreadable_entry_names_no_engine(self, value):
-        """Another writer has left something else; the others hold."""
+    def test_malformed_endpoint_entry_is_ignored(self, value):
+        """Another program writes a malformed entry; the others stay valid."""
 
         async def scenario(site):
             await site.store.put("servers/odd", value)
@@ -511,9 +518,11 @@
 
 
 class TestPeers:
-    """Several routers."""
+    """Several routers in one cluster."""
 
     def test_one_that_the_store_turns_away_hears_from_the_others(self):
+        """A router that can't reach the store gets the registry from peers."""
+
         async def scenario(site):
             closed = platform_site.Served([])
             address = closed.address
@@ -530,8 +539,8 @@
 
         assert _on_site(scenario, routers=2) == 200
 
-    def test_the_home_of_a_pool_is_lost(self):
-        """Its VM is gone without a word; callers of the others are served."""
+    def test_requests_succeed_after_the_coordinator_stops(self):
+        """A router stops, which may coordinate a pool; the others serve on."""
 
         async def scenario(site):
             statuses = []
@@ -549,9 +558,9 @@
 
 
 class TestDrain:
-    """SIGTERM."""
+    """Draining after a stop signal."""
 
-    def test_a_stream_is_finished_and_then_none_is_taken(self):
+    def test_request_during_the_drain_notice_is_completed(self):
         async def scenario(site):
             site.routers[0].stop()
             await platform_site.until(
