--- a/src/cowsliprill/peer_handler.py
+++ b/src/cowsliprill/peer_handler.py
@@ -88,7 +88,7 @@
         message = self.read(self._kind)
         if message is None:
             return
-        answer = self._respond(message)
-        if inspect.isawaitable(answer):
-            answer = await answer
-        self.answer(answer)
+        response = self._respond(message)
+        if inspect.isawaitable(response):
+            response = await response
+        self.answer(response)
--- a/src/cowsliprill/platform/dialect.py
+++ b/src/cowsliprill/platform/dialect.py
@@ -25,8 +25,8 @@
     resumer = None
 
     def __init__(self, tools: dialect.Tools) -> None:
-        self.engines = engines.Engines(tools.http, tools.log)
-        self.services = engines.Services(tools.http)
+        self.engines = engines.EngineClient(tools.http, tools.log)
+        self.services = engines.ServiceClient(tools.http)
 
     def application(
         self, gate: gate_lib.Gate, parts: routes.Parts
--- a/src/cowsliprill/platform/engines.py
+++ b/src/cowsliprill/platform/engines.py
@@ -55,7 +55,7 @@
     handle: str
 
 
-class Engines:
+class EngineClient:
     """Implements `calls.EngineCalls` for the platform's engines.
 
     Args:
@@ -176,7 +176,7 @@
             )
 
 
-class Services:
+class ServiceClient:
     """Implements `calls.PlainCalls` for the platform's plain services.
 
     Args:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -71,8 +71,8 @@
     async def remove(self, key: str) -> None:
         self._revision += 1
         del self._items[key]
-        gone = {"key": key, "revision": self._revision, "removed": True}
-        await self._append_event(gone)
+        removal = {"key": key, "revision": self._revision, "removed": True}
+        await self._append_event(removal)
 
     async def fail(self, status: int) -> None:
         """Makes all calls fail with a status, including pending watches."""
@@ -136,7 +136,7 @@
         self.status = 0
         self.calls: list[str] = []
         own = {"store": store, "door": self}
-        self.site = Served(
+        self.site = LocalServer(
             [
                 ("/kv-range", _RangeHandler, own),
                 ("/kv-watch", _WatchHandler, own),
@@ -182,7 +182,7 @@
         self.write({"events": events, "asOf": self.store.revision})
 
 
-class Served:
+class LocalServer:
     """A Tornado application on a port that the kernel chooses."""
 
     def __init__(self, routes: list[tuple]) -> None:
@@ -199,7 +199,7 @@
 
 
 @dataclasses.dataclass
-class Conduct:
+class Faults:
     """Faults that an endpoint shows.
 
     Attributes:
@@ -207,12 +207,12 @@
         none.
       fail: Status of failures after execution, 0 for none.
       hang: Whether the endpoint accepts requests and never responds.
-      stop_after: Number of events after which a stream pauses in the middle of
-        the next event, until `cut` is set or the client disconnects; 0 for
-        none.
+      pause_after_events: Number of events after which a stream pauses in the
+        middle of the next event, until `cut` is set or the client disconnects;
+        0 for none.
       foreign: Whether responses have the id of another request.
-      lose: Whether the endpoint executes requests and closes the connection
-        without a response.
+      lose_response: Whether the endpoint executes requests and closes the
+        connection without a response.
       unsigned: Whether responses lack the signature.
       times: Number of requests affected, -1 for all.
     """
@@ -220,9 +220,9 @@
     refuse: int = 0
     fail: int = 0
     hang: bool = False
-    stop_after: int = 0
+    pause_after_events: int = 0
     foreign: bool = False
-    lose: bool = False
+    lose_response: bool = False
     unsigned: bool = False
     times: int = -1
 
@@ -260,21 +260,21 @@
       handles: Handles of the KV caches that are held.
       freed: Handles that were released.
       orders: Orders received, each with the id of the engine that is addressed.
-      left: Number of connections that clients closed during a request.
+      disconnects: Number of connections that clients closed during a request.
       cut: Set to cut the paused streams.
     """
 
     def __init__(self, name: str, service: str, stage: str | None) -> None:
         self.name, self.service, self.stage = name, service, stage
-        self.conduct = Conduct()
+        self.faults = Faults()
         self.requests: list[Any] = []
         self.runs: list[str] = []
         self.handles: set[str] = set()
         self.freed: list[str] = []
         self.orders: list[tuple[str, dict[str, Any]]] = []
-        self.left = 0
+        self.disconnects = 0
         self.cut = asyncio.Event()
-        self.site = Served(
+        self.site = LocalServer(
             [
                 ("/kv-handle/(.*)", _HandleHandler, {"engine": self}),
                 ("/order", _OrderHandler, {"engine": self}),
@@ -286,12 +286,12 @@
         fields = entry(self.service, self.site.address, self.stage)
         return {**fields, **changes}
 
-    def next_conduct(self) -> Conduct:
-        conduct = self.conduct
-        if conduct.times == 0:
-            return Conduct()
-        conduct.times -= 1
-        return conduct
+    def next_faults(self) -> Faults:
+        faults = self.faults
+        if faults.times == 0:
+            return Faults()
+        faults.times -= 1
+        return faults
 
 
 class _HandleHandler(web.RequestHandler):
@@ -318,29 +318,29 @@
     def initialize(self, engine: Engine) -> None:
         self.engine = engine
         self._auto_finish = False
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def on_connection_close(self) -> None:
-        self.engine.left += 1
-        self.gone.set()
+        self.engine.disconnects += 1
+        self.disconnected.set()
 
     async def get(self) -> None:
         engine, request = self.engine, self.request
         engine.requests.append(request)
-        conduct = engine.next_conduct()
+        faults = engine.next_faults()
         attempt = request.headers["Attempt-Id"]
-        self.set_header("Attempt-Id", "other" if conduct.foreign else attempt)
+        self.set_header("Attempt-Id", "other" if faults.foreign else attempt)
         if request.headers.get("Expected-Instance") != engine.name:
             self.set_status(421)
             self.finish()
             return
-        if conduct.refuse:
+        if faults.refuse:
             self.set_header("Not-Executed", "1")
-            self.set_status(conduct.refuse)
+            self.set_status(faults.refuse)
             self.finish()
             return
-        if conduct.hang:
-            await self.gone.wait()
+        if faults.hang:
+            await self.disconnected.wait()
             return
         if request.headers.get("Stage") == "prefill":
             handle = f"h{len(engine.requests)}"
@@ -348,40 +348,40 @@
             self.finish({"kvHandle": handle, "tokens": 1, "version": 1})
             return
         engine.runs.append(attempt)
-        if conduct.lose:
+        if faults.lose_response:
             request.connection.stream.close()
             return
         self.clear_header("Content-Type")
-        if not conduct.unsigned:
+        if not faults.unsigned:
             self.set_header("Instance-Signature", f"sig-{engine.name}")
-        if conduct.fail:
-            self.set_status(conduct.fail)
+        if faults.fail:
+            self.set_status(faults.fail)
             self.finish(b"failed")
             return
         if engine.stage is None:
             self.finish(request.body or b"answer")
             return
-        await self._stream(conduct)
+        await self._stream(faults)
 
     post = put = get
 
     async def _pause(self) -> None:
         ends = [
             asyncio.ensure_future(event.wait())
-            for event in (self.gone, self.engine.cut)
+            for event in (self.disconnected, self.engine.cut)
         ]
         await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
         for end in ends:
             end.cancel()
 
-    async def _stream(self, conduct: Conduct) -> None:
+    async def _stream(self, faults: Faults) -> None:
         self.set_header("Content-Type", "text/event-stream")
         begin = int(self.request.headers.get("Last-Event-Id", "0"))
         try:
             for number in range(begin + 1, EVENTS + 1):
                 self.write(f"id: {number}\ndata: t{number}\n\n")
                 await self.flush()
-                if number - begin == conduct.stop_after:
+                if number - begin == faults.pause_after_events:
                     self.write(f"id: {number + 1}\nda")
                     await self.flush()
                     await self._pause()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -124,7 +124,7 @@
 
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.lose = True
+                site.engines[name].faults.lose_response = True
             status, _, _ = await site.call(_UNSAFE)
             return status, site.runs()
 
@@ -134,9 +134,9 @@
 
     def test_idempotent_request_is_retried_after_lost_response(self):
         async def scenario(site):
-            once = platform_site.Conduct(lose=True, times=1)
+            once = platform_site.Faults(lose_response=True, times=1)
             for name in ("s0", "s1"):
-                site.engines[name].conduct = once
+                site.engines[name].faults = once
             return await site.call(_SAFE), site.runs()
 
         (status, _, body), runs = _on_site(scenario)
@@ -145,7 +145,7 @@
 
     def test_refused_request_is_retried_at_another_server(self):
         async def scenario(site):
-            site.engines["s0"].conduct.refuse = 503
+            site.engines["s0"].faults.refuse = 503
             answers = [
                 await site.call(_UNSAFE, attempt=f"a{number}")
                 for number in range(6)
@@ -159,7 +159,7 @@
     def test_request_refused_by_all_servers_returns_503(self):
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.refuse = 503
+                site.engines[name].faults.refuse = 503
             return await site.call(_UNSAFE), site.runs()
 
         (status, headers, _), runs = _on_site(scenario)
@@ -176,7 +176,7 @@
 
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.fail = 503
+                site.engines[name].faults.fail = 503
             return (await site.call(_UNSAFE))[0], site.runs()
 
         status, runs = _on_site(scenario)
@@ -214,8 +214,8 @@
         """
 
         async def scenario(site):
-            site.engines["d0"].conduct.stop_after = 1
-            site.engines["d1"].conduct.stop_after = 1
+            site.engines["d0"].faults.pause_after_events = 1
+            site.engines["d1"].faults.pause_after_events = 1
             response = await site.open(_MODEL)
             await platform_site.read_until(response, b"t1\n\n")
             await site.store.fail(503)
@@ -285,7 +285,7 @@
     def test_foreign_or_unsigned_response_returns_502(self, fault):
         async def scenario(site):
             for name in ("s0", "s1", "d0", "d1"):
-                setattr(site.engines[name].conduct, fault, True)
+                setattr(site.engines[name].faults, fault, True)
             plain = await site.call(_UNSAFE)
             model = await site.call(_MODEL, attempt="a2")
             return plain[0], model[0]
@@ -295,7 +295,7 @@
     def test_failure_is_relayed_with_its_signature(self):
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.fail = 500
+                site.engines[name].faults.fail = 500
             return await site.call(_UNSAFE)
 
         status, headers, body = _on_site(scenario)
@@ -314,10 +314,10 @@
         """
 
         async def scenario(site):
-            once = platform_site.Conduct(stop_after=3, times=1)
+            once = platform_site.Faults(pause_after_events=3, times=1)
             engines = [site.engines[name] for name in ("d0", "d1")]
             for engine in engines:
-                engine.conduct = once
+                engine.faults = once
             response = await site.open(_RESUMABLE)
             begin = await platform_site.read_until(
                 response, platform_site.stream(3, 3)
@@ -338,7 +338,7 @@
     def test_non_resumable_stream_is_truncated(self):
         async def scenario(site):
             for name in ("d0", "d1"):
-                site.engines[name].conduct.stop_after = 3
+                site.engines[name].faults.pause_after_events = 3
             response = await site.open(_MODEL)
             begin = await platform_site.read_until(
                 response, platform_site.stream(3, 3)
@@ -364,7 +364,7 @@
         """One decode engine is full; the other fetches the same KV cache."""
 
         async def scenario(site):
-            site.engines["d0"].conduct.refuse = 503
+            site.engines["d0"].faults.refuse = 503
             statuses = [
                 (await site.call(_MODEL, attempt=f"a{number}"))[0]
                 for number in range(4)
@@ -388,14 +388,14 @@
     def test_before_the_engine_responds(self, names):
         async def scenario(site):
             for name in names:
-                site.engines[name].conduct.hang = True
+                site.engines[name].faults.hang = True
             asking = asyncio.create_task(site.call(_MODEL))
             await platform_site.until(
                 lambda: any(site.engines[name].requests for name in names)
             )
             asking.cancel()
             await platform_site.until(
-                lambda: any(site.engines[name].left for name in names)
+                lambda: any(site.engines[name].disconnects for name in names)
             )
             await platform_site.until(
                 lambda: (
@@ -412,13 +412,16 @@
     def test_during_the_stream(self):
         async def scenario(site):
             for name in ("d0", "d1"):
-                site.engines[name].conduct.stop_after = 2
+                site.engines[name].faults.pause_after_events = 2
             response = await site.open(_MODEL)
             async for _ in response.chunks():
                 break
             response.close()
             await platform_site.until(
-                lambda: site.engines["d0"].left + site.engines["d1"].left
+                lambda: (
+                    site.engines["d0"].disconnects
+                    + site.engines["d1"].disconnects
+                )
             )
 
         _on_site(scenario)
@@ -524,7 +527,7 @@
         """A router that can't reach the store gets the registry from peers."""
 
         async def scenario(site):
-            closed = platform_site.Served([])
+            closed = platform_site.LocalServer([])
             address = closed.address
             await closed.close()
             number = site.add_router(store=address)
