--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -84,13 +84,13 @@
     def test_plain_request_is_relayed_unchanged(self, method):
         async def scenario(site):
             path = _UNSAFE + "a%20b//c?d=%2F&"
-            answer = await site.call(path, method=method, body=b"12")
+            response = await site.call(path, method=method, body=b"12")
             requests = [
                 item
                 for name in ("s0", "s1")
                 for item in site.engines[name].requests
             ]
-            return answer, requests
+            return response, requests
 
         (status, _, body), (request,) = _on_site(scenario)
         assert (status, body) == (200, b"12")
@@ -150,7 +150,7 @@
                 await site.call(_UNSAFE, attempt=f"a{number}")
                 for number in range(6)
             ]
-            return [answer[0] for answer in answers], site.runs()
+            return [response[0] for response in answers], site.runs()
 
         statuses, runs = _on_site(scenario)
         assert statuses == [200] * 6
@@ -196,7 +196,7 @@
                 await site.call(_UNSAFE, attempt=f"a{number}")
                 for number in range(9)
             ]
-            return [answer[0] for answer in answers], site.runs()
+            return [response[0] for response in answers], site.runs()
 
         statuses, runs = _on_site(scenario)
         assert set(statuses) == {200}
@@ -551,10 +551,10 @@
             await site.tasks[0]
             for number in range(6):
                 router = 1 + number % 2
-                answer = await site.call(
+                response = await site.call(
                     _MODEL, attempt=f"a{number}", router=router
                 )
-                statuses.append(answer[0])
+                statuses.append(response[0])
             return statuses
 
         assert _on_site(scenario, routers=3) == [200] * 6
