--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the router on the platform, against stand-ins of it."""
+"""Tests of the router with fake engines, services and metadata store."""
 
 import asyncio
 import json
@@ -22,9 +22,9 @@
 
 
 class TestCalls:
-    """Calls pass unchanged, with the headers that are ours to set."""
+    """Requests are relayed unchanged, except for the router's own headers."""
 
-    def test_a_stream_goes_through_prefill_and_decode(self):
+    def test_stream_uses_prefill_and_decode_engines(self):
         async def scenario(site):
             status, headers, body = await site.call(_MODEL, body=b"a\0b")
             return status, headers, body, site.engines
@@ -48,8 +48,11 @@
             assert request.headers["Token-Usage"] == "3200,800"
             assert 0 < int(request.headers["Deadline-Ms"]) <= 8_000
 
-    def test_headers_that_are_ours_are_dropped(self):
-        """A client names another's memory, or a hold that it doesn't have."""
+    def test_router_only_headers_of_callers_are_removed(self):
+        """A client names another client's KV cache, or a hold it doesn't have.
+
+        If relayed, these headers would give access to the other KV cache.
+        """
         forged = {
             "Kv-Source": "10.0.0.1:80/h",
             "Kv-Hold": "h",
@@ -78,29 +81,29 @@
             assert name not in headers
 
     @pytest.mark.parametrize("method", ["GET", "PUT", "POST"])
-    def test_a_plain_call_passes_whole(self, method):
+    def test_plain_request_is_relayed_unchanged(self, method):
         async def scenario(site):
             path = _UNSAFE + "a%20b//c?d=%2F&"
-            answer = await site.call(path, method=method, body=b"12")
+            response = await site.call(path, method=method, body=b"12")
             requests = [
                 item
                 for name in ("s0", "s1")
                 for item in site.engines[name].requests
             ]
-            return answer, requests
+            return response, requests
 
         (status, _, body), (request,) = _on_site(scenario)
         assert (status, body) == (200, b"12")
         assert request.method == method
         assert request.uri == _UNSAFE + "a%20b//c?d=%2F&"
 
-    def test_no_route(self):
+    def test_unknown_path_returns_404(self):
         async def scenario(site):
             return await site.call("/nowhere/")
 
         assert _on_site(scenario)[0] == 404
 
-    def test_limits_of_the_configuration(self):
+    def test_requests_over_size_limits_are_rejected(self):
         async def scenario(site):
             large = await site.call(_SAFE, body=b"x" * 20_001)
             many = await site.call(_SAFE, headers={"X-Long": "x" * 5_000})
@@ -110,18 +113,18 @@
 
 
 class TestOnce:
-    """What may not be repeated runs at most once, and no refusal lies."""
+    """Non-idempotent requests run at most once; a 503 means not executed."""
 
-    def test_a_lost_answer_isnt_asked_for_again(self):
-        """The desk booked the pickup and its answer was lost.
+    def test_non_idempotent_request_is_not_retried_after_lost_response(self):
+        """A server executed a booking, but its response was lost.
 
-        Sent again, two vans would chase one bag; refused as not run, the
-        client would send it again itself.
+        A retry by the router would book twice. So would a 503, which lets the
+        client retry the request as not executed.
         """
 
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.lose = True
+                site.engines[name].faults.lose_response = True
             status, _, _ = await site.call(_UNSAFE)
             return status, site.runs()
 
@@ -129,34 +132,34 @@
         assert status == 502
         assert runs == ["a1"]
 
-    def test_a_lookup_is_asked_for_again(self):
+    def test_idempotent_request_is_retried_after_lost_response(self):
         async def scenario(site):
-            once = platform_site.Conduct(lose=True, times=1)
+            once = platform_site.Faults(lose_response=True, times=1)
             for name in ("s0", "s1"):
-                site.engines[name].conduct = once
+                site.engines[name].faults = once
             return await site.call(_SAFE), site.runs()
 
         (status, _, body), runs = _on_site(scenario)
         assert (status, body) == (200, b"ask")
         assert len(runs) == 2
 
-    def test_a_refusal_of_the_server_is_tried_elsewhere(self):
+    def test_refused_request_is_retried_at_another_server(self):
         async def scenario(site):
-            site.engines["s0"].conduct.refuse = 503
+            site.engines["s0"].faults.refuse = 503
             answers = [
                 await site.call(_UNSAFE, attempt=f"a{number}")
                 for number in range(6)
             ]
-            return [answer[0] for answer in answers], site.runs()
+            return [response[0] for response in answers], site.runs()
 
         statuses, runs = _on_site(scenario)
         assert statuses == [200] * 6
         assert sorted(runs) == [f"a{number}" for number in range(6)]
 
-    def test_refused_everywhere_says_not_run(self):
+    def test_request_refused_by_all_servers_returns_503(self):
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.refuse = 503
+                site.engines[name].faults.refuse = 503
             return await site.call(_UNSAFE), site.runs()
 
         (status, headers, _), runs = _on_site(scenario)
@@ -164,23 +167,24 @@
         assert float(headers["Retry-After"]) >= 0
         assert runs == []
 
-    def test_a_servers_own_503_is_no_promise(self):
-        """The server ran the request, failed, and answered 503 unmarked.
+    def test_503_without_not_executed_header_becomes_502(self):
+        """A server executed a request, failed and sent 503 without the header.
 
-        Passed on as it is, its client would take it for not run.
+        If the 503 were relayed, the client would take the request for not
+        executed and send it again.
         """
 
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.fail = 503
+                site.engines[name].faults.fail = 503
             return (await site.call(_UNSAFE))[0], site.runs()
 
         status, runs = _on_site(scenario)
         assert status == 502
         assert len(runs) == 1
 
-    def test_another_engine_at_the_address(self):
-        """An engine has left and its address serves another service."""
+    def test_stale_entry_of_reused_address_causes_no_failures(self):
+        """An endpoint is gone and another endpoint serves at its address."""
 
         async def scenario(site):
             entry = site.engines["s0"].entry()
@@ -192,7 +196,7 @@
                 await site.call(_UNSAFE, attempt=f"a{number}")
                 for number in range(9)
             ]
-            return [answer[0] for answer in answers], site.runs()
+            return [response[0] for response in answers], site.runs()
 
         statuses, runs = _on_site(scenario)
         assert set(statuses) == {200}
@@ -200,18 +204,18 @@
 
 
 class TestMetrics:
-    """What an engineer on call reads from a router."""
+    """Metrics from which an operator diagnoses rejected requests."""
 
-    def test_store_members_and_memory(self):
-        """Callers are refused, and the question is which part is to blame.
+    def test_gauges_of_store_members_and_kv_cache(self):
+        """Requests are rejected, and the gauges have to show the cause.
 
-        The gauges tell a store that is away, VMs that aren't heard, and a
-        pool whose memory is promised to the last block from each other.
+        They distinguish a store outage, unreachable VMs and a pool whose KV
+        cache blocks are all reserved.
         """
 
         async def scenario(site):
-            site.engines["d0"].conduct.stop_after = 1
-            site.engines["d1"].conduct.stop_after = 1
+            site.engines["d0"].faults.pause_after_events = 1
+            site.engines["d1"].faults.pause_after_events = 1
             response = await site.open(_MODEL)
             await platform_site.read_until(response, b"t1\n\n")
             await site.store.fail(503)
@@ -241,17 +245,17 @@
         assert float(values[answered]) >= 1
         slots = "cowsliprill_pool_slots"
         promised = slots + '{pool="llm",state="promised"}'
-        # 3,200 tokens of prompt and 0.7 of 300 expected, in blocks of 16.
+        # 3,200 prompt tokens and 0.7 of 300 expected tokens, in blocks of 16.
         assert float(values[promised]) == 214
         whole = slots + '{pool="llm",state="all"}'
         assert float(values[whole]) == 2 * 40_000 // 16
         assert float(values['cowsliprill_pool_waiting{pool="llm"}']) == 0
 
 
-class TestPrefillEnginesGone:
-    """No prefill engine is left."""
+class TestNoPrefillEngines:
+    """All prefill engines have been removed."""
 
-    def test_decode_engines_read_prompts_themselves(self):
+    def test_decode_engine_prefills_locally(self):
         async def scenario(site):
             for name in ("p0", "p1"):
                 await site.store.remove(f"servers/{name}")
@@ -274,24 +278,24 @@
         assert "Stage" not in request.headers
 
 
-class TestAnswers:
-    """Only whole answers of the engine to this very request are passed on."""
+class TestResponses:
+    """Only valid responses of the engine to this request are relayed."""
 
     @pytest.mark.parametrize("fault", ["foreign", "unsigned"])
-    def test_an_answer_that_isnt_this_requests(self, fault):
+    def test_foreign_or_unsigned_response_returns_502(self, fault):
         async def scenario(site):
             for name in ("s0", "s1", "d0", "d1"):
-                setattr(site.engines[name].conduct, fault, True)
+                setattr(site.engines[name].faults, fault, True)
             plain = await site.call(_UNSAFE)
             model = await site.call(_MODEL, attempt="a2")
             return plain[0], model[0]
 
         assert _on_site(scenario) == (502, 502)
 
-    def test_a_failure_is_passed_on_with_its_signature(self):
+    def test_failure_is_relayed_with_its_signature(self):
         async def scenario(site):
             for name in ("s0", "s1"):
-                site.engines[name].conduct.fail = 500
+                site.engines[name].faults.fail = 500
             return await site.call(_UNSAFE)
 
         status, headers, body = _on_site(scenario)
@@ -300,20 +304,20 @@
 
 
 class TestStreams:
-    """Streams that break."""
+    """Streams that are cut by an engine failure."""
 
-    def test_a_resumable_one_goes_on_elsewhere(self):
-        """The decode engine crashed in the middle of an event.
+    def test_resumable_stream_resumes_at_another_engine(self):
+        """The decode engine crashes in the middle of an event.
 
-        The reader sees one stream, each event once, under the first engine's
-        signature.
+        The client receives one stream with each event once and the signature
+        of the first engine.
         """
 
         async def scenario(site):
-            once = platform_site.Conduct(stop_after=3, times=1)
+            once = platform_site.Faults(pause_after_events=3, times=1)
             engines = [site.engines[name] for name in ("d0", "d1")]
             for engine in engines:
-                engine.conduct = once
+                engine.faults = once
             response = await site.open(_RESUMABLE)
             begin = await platform_site.read_until(
                 response, platform_site.stream(3, 3)
@@ -331,10 +335,10 @@
         resumed = [item.get("Last-Event-Id") for item in decodes]
         assert sorted(resumed, key=str) == ["3", None]
 
-    def test_another_one_ends_as_broken(self):
+    def test_non_resumable_stream_is_truncated(self):
         async def scenario(site):
             for name in ("d0", "d1"):
-                site.engines[name].conduct.stop_after = 3
+                site.engines[name].faults.pause_after_events = 3
             response = await site.open(_MODEL)
             begin = await platform_site.read_until(
                 response, platform_site.stream(3, 3)
@@ -349,18 +353,18 @@
         assert rest == (b"", False)
         assert runs == ["a1"]
 
-    def test_a_clients_own_resumption_is_passed_on(self):
+    def test_resumption_by_the_client_is_relayed(self):
         async def scenario(site):
             headers = {"Last-Event-Id": "4"}
             return await site.call(_RESUMABLE, headers=headers)
 
         assert _on_site(scenario)[2] == platform_site.stream(5)
 
-    def test_a_prefill_without_room_for_its_decode_isnt_read_again(self):
-        """One decode engine is full; the prompt is fetched by the other."""
+    def test_prefill_is_reused_when_a_decode_engine_refuses(self):
+        """One decode engine is full; the other fetches the same KV cache."""
 
         async def scenario(site):
-            site.engines["d0"].conduct.refuse = 503
+            site.engines["d0"].faults.refuse = 503
             statuses = [
                 (await site.call(_MODEL, attempt=f"a{number}"))[0]
                 for number in range(4)
@@ -377,21 +381,21 @@
         assert prefills == 4
 
 
-class TestLeavingCallers:
-    """A client that leaves frees its engine at each stage."""
+class TestClientDisconnects:
+    """A client's disconnection ends the work of its engine at each stage."""
 
     @pytest.mark.parametrize("names", [("p0", "p1"), ("d0", "d1")])
-    def test_while_an_engine_is_silent(self, names):
+    def test_before_the_engine_responds(self, names):
         async def scenario(site):
             for name in names:
-                site.engines[name].conduct.hang = True
+                site.engines[name].faults.hang = True
             asking = asyncio.create_task(site.call(_MODEL))
             await platform_site.until(
                 lambda: any(site.engines[name].requests for name in names)
             )
             asking.cancel()
             await platform_site.until(
-                lambda: any(site.engines[name].left for name in names)
+                lambda: any(site.engines[name].disconnects for name in names)
             )
             await platform_site.until(
                 lambda: (
@@ -405,25 +409,28 @@
 
         _on_site(scenario)
 
-    def test_amid_its_stream(self):
+    def test_during_the_stream(self):
         async def scenario(site):
             for name in ("d0", "d1"):
-                site.engines[name].conduct.stop_after = 2
+                site.engines[name].faults.pause_after_events = 2
             response = await site.open(_MODEL)
             async for _ in response.chunks():
                 break
             response.close()
             await platform_site.until(
-                lambda: site.engines["d0"].left + site.engines["d1"].left
+                lambda: (
+                    site.engines["d0"].disconnects
+                    + site.engines["d1"].disconnects
+                )
             )
 
         _on_site(scenario)
 
 
 class TestConfiguration:
-    """What the store says is in force, and never an older state again."""
+    """Settings and endpoints follow the store and never revert."""
 
-    def test_a_change_comes_by_the_watch(self):
+    def test_settings_change_is_received_by_the_watch(self):
         async def scenario(site):
             assert (await site.call("/new/"))[0] == 404
             config = platform_site.config(2)
@@ -436,7 +443,7 @@
 
         assert _on_site(scenario) == (200, 404)
 
-    def test_an_older_version_is_not_taken(self):
+    def test_older_settings_version_is_ignored(self):
         async def scenario(site):
             await site.store.put("op/config", platform_site.config(5))
             await platform_site.until(
@@ -451,7 +458,7 @@
 
         assert _on_site(scenario) == 200
 
-    def test_a_leaving_engine_gets_no_new_work(self):
+    def test_draining_endpoint_receives_no_new_requests(self):
         async def scenario(site):
             engine = site.engines["s0"]
             await site.store.put("servers/s0", engine.entry(state="draining"))
@@ -465,8 +472,11 @@
 
         assert _on_site(scenario) == 0
 
-    def test_after_the_history_is_lost_all_is_listed_anew(self):
-        """An engine left while the store had no history to tell of it."""
+    def test_all_entries_are_listed_again_after_history_is_lost(self):
+        """An endpoint is removed during an outage after which history is lost.
+
+        The watch can't report the removal, so only a new listing shows it.
+        """
 
         async def scenario(site):
             await platform_site.until(lambda: site.store.waiting == 2)
@@ -497,8 +507,8 @@
             json.dumps({"service": "desk", "address": 7}).encode(),
         ],
     )
-    def test_an_unreadable_entry_names_no_engine(self, value):
-        """Another writer has left something else; the others hold."""
+    def test_malformed_endpoint_entry_is_ignored(self, value):
+        """Another program writes a malformed entry; the others stay valid."""
 
         async def scenario(site):
             await site.store.put("servers/odd", value)
@@ -511,11 +521,13 @@
 
 
 class TestPeers:
-    """Several routers."""
+    """Several routers in one cluster."""
 
     def test_one_that_the_store_turns_away_hears_from_the_others(self):
+        """A router that can't reach the store gets the registry from peers."""
+
         async def scenario(site):
-            closed = platform_site.Served([])
+            closed = platform_site.LocalServer([])
             address = closed.address
             await closed.close()
             number = site.add_router(store=address)
@@ -530,8 +542,8 @@
 
         assert _on_site(scenario, routers=2) == 200
 
-    def test_the_home_of_a_pool_is_lost(self):
-        """Its VM is gone without a word; callers of the others are served."""
+    def test_requests_succeed_after_the_coordinator_stops(self):
+        """A router stops, which may coordinate a pool; the others serve on."""
 
         async def scenario(site):
             statuses = []
@@ -539,19 +551,19 @@
             await site.tasks[0]
             for number in range(6):
                 router = 1 + number % 2
-                answer = await site.call(
+                response = await site.call(
                     _MODEL, attempt=f"a{number}", router=router
                 )
-                statuses.append(answer[0])
+                statuses.append(response[0])
             return statuses
 
         assert _on_site(scenario, routers=3) == [200] * 6
 
 
 class TestDrain:
-    """SIGTERM."""
+    """Draining after a stop signal."""
 
-    def test_a_stream_is_finished_and_then_none_is_taken(self):
+    def test_request_during_the_drain_notice_is_completed(self):
         async def scenario(site):
             site.routers[0].stop()
             await platform_site.until(
