--- a/src/cowsliprill/capacity/http_exchanges.py
+++ b/src/cowsliprill/capacity/http_exchanges.py
@@ -189,7 +189,7 @@
             ),
             wait_s=0.5,
         )
-        body = codec.encode_short(request)
+        body = codec.encode_without_defaults(request)
         headers = {"Content-Type": "application/json", **auth.headers(body)}
         response = await client.call(
             _HOST, port, "POST", peers.SLOTS_PATH, headers, body
--- a/src/cowsliprill/cli/runner.py
+++ b/src/cowsliprill/cli/runner.py
@@ -213,7 +213,7 @@
 
 
 def _fetch_json(url: str) -> Any:
-    async def fetch() -> peer_client.Reply:
+    async def fetch() -> peer_client.PeerResponse:
         client = peer_client.PeerClient()
         return await client.call("GET", url, timeout_s=_REQUEST_TIMEOUT_S)
 
--- a/src/cowsliprill/codec.py
+++ b/src/cowsliprill/codec.py
@@ -38,7 +38,7 @@
     return _type_adapter(type(value)).dump_json(value)
 
 
-def encode_short(value: Any) -> bytes:
+def encode_without_defaults(value: Any) -> bytes:
     """Encodes as JSON without the fields that have their default value.
 
     Used for frequent messages; the receiver fills in the defaults.
--- a/src/cowsliprill/dispatch/handlers.py
+++ b/src/cowsliprill/dispatch/handlers.py
@@ -33,7 +33,7 @@
 
     async def post(self) -> None:
         """Responds with slot grants, possibly after a long-poll wait."""
-        request = self.read(messages.SlotsRequest)
+        request = self.read_message(messages.SlotsRequest)
         if request is None:
             return
         self._response_task = asyncio.ensure_future(
@@ -42,7 +42,7 @@
         try:
             self.answer(await self._response_task)
         except errors_lib.CowsliprillError as error:
-            self.refuse(400, error.code, error.message)
+            self.respond_with_error(400, error.code, error.message)
         except asyncio.CancelledError:
             if not self._connection_closed:
                 raise
@@ -75,7 +75,7 @@
 
     def post(self) -> None:
         """Takes over the pending cancellations of a process that stops."""
-        request = self.read(messages.CancelsRequest)
+        request = self.read_message(messages.CancelsRequest)
         if request is None:
             return
         self._canceller.add(request.cancels)
--- a/src/cowsliprill/entry/coordinator_client.py
+++ b/src/cowsliprill/entry/coordinator_client.py
@@ -44,7 +44,7 @@
         Raises:
           errors.HomeError: The call failed or the status is not 200.
         """
-        request_body = codec.encode_short(message)
+        request_body = codec.encode_without_defaults(message)
         headers = {"Content-Type": "application/json"}
         try:
             response = await self.http.call(
--- a/src/cowsliprill/entry/handlers.py
+++ b/src/cowsliprill/entry/handlers.py
@@ -216,7 +216,7 @@
     def _check_peer(
         self, body: bytes, signature: str | None
     ) -> errors.EntryError | None:
-        if self._auth.accepts(body, signature):
+        if self._auth.verify(body, signature):
             return None
         return errors.EntryError(
             errors.Code.NOT_A_PEER,
--- a/src/cowsliprill/observability/audit.py
+++ b/src/cowsliprill/observability/audit.py
@@ -39,9 +39,9 @@
           action: Name of the action in snake_case.
           **fields: Further fields of the entry.
         """
-        self.take({"action": action, **fields})
+        self.record_fields({"action": action, **fields})
 
-    def take(self, fields: dict[str, Any]) -> None:
+    def record_fields(self, fields: dict[str, Any]) -> None:
         """Records an action that a process of this VM has sent.
 
         Args:
--- a/src/cowsliprill/observability/log.py
+++ b/src/cowsliprill/observability/log.py
@@ -90,7 +90,9 @@
         return log_data
 
 
-def open_output(process: str, target: TextIO) -> tuple[Log, writer.Writer]:
+def open_nonblocking_log(
+    process: str, target: TextIO
+) -> tuple[Log, writer.NonBlockingWriter]:
     """Opens a log whose writes don't block when its reader stops reading.
 
     Args:
@@ -111,7 +113,7 @@
         }
         return serialize(pairs) + "\n"
 
-    output = writer.Writer(target, format_drop_notice)
+    output = writer.NonBlockingWriter(target, format_drop_notice)
     return open_log(process, output), output
 
 
--- a/src/cowsliprill/observability/metrics.py
+++ b/src/cowsliprill/observability/metrics.py
@@ -23,7 +23,7 @@
       events: Other counted events by `event`.
       members: Reachable VMs, including this one.
       registry_position: Revision of the newest known change, by `prefix`.
-      registry_away_s: Seconds since the store stopped responding, 0 while the
+      registry_outage_s: Seconds since the store stopped responding, 0 while the
         store responds, by `prefix`.
       registry_view_age_s: Seconds since the store last confirmed that this VM's
         view is up to date, by `prefix`; set at VMs that watch the store.
@@ -91,7 +91,7 @@
         self.registry_position = self._gauge(
             "registry_position", "Newest change known of the registry."
         )
-        self.registry_away_s = self._gauge(
+        self.registry_outage_s = self._gauge(
             "registry_away_seconds", "Time without an answer of the store."
         )
         self.registry_view_age_s = self._gauge(
--- a/src/cowsliprill/observability/writer.py
+++ b/src/cowsliprill/observability/writer.py
@@ -16,7 +16,7 @@
 MAX_QUEUED_LINES = 1_000
 
 
-class Writer(io.TextIOBase):
+class NonBlockingWriter(io.TextIOBase):
     """A text stream that queues lines and writes them from a thread.
 
     Args:
--- a/src/cowsliprill/peer_auth.py
+++ b/src/cowsliprill/peer_auth.py
@@ -25,7 +25,7 @@
         self._secret = secret.encode()
 
     @property
-    def checks(self) -> bool:
+    def is_enabled(self) -> bool:
         """Whether signatures are verified, that is, a secret is set."""
         return bool(self._secret)
 
@@ -35,7 +35,7 @@
             return {}
         return {HEADER: self._digest(body)}
 
-    def accepts(self, body: bytes, signature: str | None) -> bool:
+    def verify(self, body: bytes, signature: str | None) -> bool:
         """Returns whether the signature of a body is valid."""
         if not self._secret:
             return True
--- a/src/cowsliprill/peer_client.py
+++ b/src/cowsliprill/peer_client.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
+class PeerResponse:
     """Response of a peer.
 
     Attributes:
@@ -71,7 +71,7 @@
         *,
         timeout_s: float = 2.0,
         headers: Mapping[str, str] | None = None,
-    ) -> Reply:
+    ) -> PeerResponse:
         """Sends a request and returns the response.
 
         Args:
@@ -102,7 +102,9 @@
             raise PeerError(f"{method} {url}: {error}") from error
         if response.code == httpclient.HTTPError(599).code:
             raise PeerError(f"{method} {url}: {response.error}")
-        return Reply(response.code, response.body or b"", response.headers)
+        return PeerResponse(
+            response.code, response.body or b"", response.headers
+        )
 
     def close(self) -> None:
         """Closes all connections."""
--- a/src/cowsliprill/peer_handler.py
+++ b/src/cowsliprill/peer_handler.py
@@ -31,7 +31,7 @@
         """
         self._auth = auth
 
-    def read(self, kind: type[_T]) -> _T | None:
+    def read_message(self, kind: type[_T]) -> _T | None:
         """Returns the verified message, or None after writing an error.
 
         Args:
@@ -39,23 +39,25 @@
         """
         body = self.request.body
         signature = self.request.headers.get(peer_auth.HEADER)
-        if not self._auth.accepts(body, signature):
-            self.refuse(403, self.unsigned_code, "the body isn't signed")
+        if not self._auth.verify(body, signature):
+            self.respond_with_error(
+                403, self.unsigned_code, "the body isn't signed"
+            )
             return None
         try:
             return codec.decode(kind, body)
         except codec.CodecError as error:
-            self.refuse(400, error.code, error.message)
+            self.respond_with_error(400, error.code, error.message)
             return None
 
-    def refuse(self, status: int, code: str, message: str) -> None:
+    def respond_with_error(self, status: int, code: str, message: str) -> None:
         """Writes an error response."""
         self.set_status(status)
         self.write({"error": {"code": code, "message": message}})
 
     def answer(self, value: Any) -> None:
         """Writes a data class as a signed response."""
-        body = codec.encode_short(value)
+        body = codec.encode_without_defaults(value)
         self.set_header("Content-Type", "application/json")
         for name, text in self._auth.headers(body).items():
             self.set_header(name, text)
@@ -85,7 +87,7 @@
 
     async def post(self) -> None:
         """Handles one request of a peer."""
-        message = self.read(self._kind)
+        message = self.read_message(self._kind)
         if message is None:
             return
         response = self._respond(message)
--- a/src/cowsliprill/registry/peer_exchange.py
+++ b/src/cowsliprill/registry/peer_exchange.py
@@ -117,7 +117,7 @@
             trouble_left_s=self._trouble_left_s(),
             age_s=clock.now() - view.confirmed_at,
         )
-        self.write(codec.encode_short(_update_to_wire(update)))
+        self.write(codec.encode_without_defaults(_update_to_wire(update)))
 
 
 class RegistryPeerClient:
--- a/src/cowsliprill/router/core.py
+++ b/src/cowsliprill/router/core.py
@@ -63,7 +63,7 @@
         self,
         config: config_lib.RouterConfig,
         log: log_lib.Log,
-        output: writer.Writer | None = None,
+        output: writer.NonBlockingWriter | None = None,
     ) -> None:
         self._config = config
         self._log = log
@@ -297,7 +297,9 @@
     Args:
       config: Startup configuration of the process.
     """
-    log, output = log_lib.open_output(f"router.{config.vm}", sys.stdout)
+    log, output = log_lib.open_nonblocking_log(
+        f"router.{config.vm}", sys.stdout
+    )
     router = Router(config, log, output)
     await router.run()
     output.drain(_LOG_DRAIN_TIMEOUT_S)
--- a/src/cowsliprill/router/gauges.py
+++ b/src/cowsliprill/router/gauges.py
@@ -38,7 +38,7 @@
         source: source_lib.RegistrySource,
         pool_schedulers: server_lib.PoolSchedulerServer,
         log: log_lib.Log,
-        output: writer.Writer | None,
+        output: writer.NonBlockingWriter | None,
     ) -> None:
         self._metrics = metrics
         self._members = members
@@ -79,7 +79,7 @@
             prefix = {"prefix": follower.view.prefix}
             unreachable_since = follower.unavailable_since or now
             metrics.registry_position.set(prefix, follower.view.position)
-            metrics.registry_away_s.set(prefix, now - unreachable_since)
+            metrics.registry_outage_s.set(prefix, now - unreachable_since)
             if follower.reading and math.isfinite(follower.view.confirmed_at):
                 age_s = now - follower.view.confirmed_at
                 metrics.registry_view_age_s.set(prefix, age_s)
--- a/src/cowsliprill/settings/gossip.py
+++ b/src/cowsliprill/settings/gossip.py
@@ -251,16 +251,16 @@
         self._fleet.apply_vm_list(fleet.vms_by_id, message.list_age_s)
 
     def _decode_verified(
-        self, reply: peer_client.Reply, message_type: type
+        self, reply: peer_client.PeerResponse, message_type: type
     ) -> object:
         return codec.decode(message_type, self._verified_body(reply))
 
-    def _verified_body(self, reply: peer_client.Reply) -> bytes:
+    def _verified_body(self, reply: peer_client.PeerResponse) -> bytes:
         if reply.status != _STATUS_OK:
             raise peer_client.PeerError(
                 f"unexpected HTTP status {reply.status}"
             )
         signature = reply.headers.get(peer_auth.HEADER)
-        if not self._auth.accepts(reply.body, signature):
+        if not self._auth.verify(reply.body, signature):
             raise peer_client.PeerError("the reply has no valid peer signature")
         return reply.body
--- a/src/cowsliprill/settings/handlers.py
+++ b/src/cowsliprill/settings/handlers.py
@@ -38,7 +38,7 @@
     def read_body(self, body_type: Any) -> Any:
         """Decodes a signed body; on failure writes an error, returns None."""
         signature = self.request.headers.get(peer_auth.HEADER)
-        if not self.service.auth.accepts(self.request.body, signature):
+        if not self.service.auth.verify(self.request.body, signature):
             self.write_error_body(
                 403, "peer_unknown", "the body isn't signed by a peer"
             )
@@ -154,7 +154,7 @@
     def post(self) -> None:
         entry = self.read_body(dict[str, Any])
         if entry is not None:
-            self.service.audit.take(entry)
+            self.service.audit.record_fields(entry)
             self.write({})
 
 
--- a/src/cowsliprill/settings/platform_client.py
+++ b/src/cowsliprill/settings/platform_client.py
@@ -140,7 +140,7 @@
 
     async def _call(
         self, url: str, timeout_s: float, **options: Any
-    ) -> peer_client.Reply:
+    ) -> peer_client.PeerResponse:
         wait_s = self._rate_limiter.reserve(clock.now())
         if wait_s:
             await asyncio.sleep(wait_s)
@@ -151,7 +151,7 @@
         except peer_client.PeerError as error:
             raise errors.PlatformError(str(error)) from error
 
-    def _checked_body(self, url: str, reply: peer_client.Reply) -> bytes:
+    def _checked_body(self, url: str, reply: peer_client.PeerResponse) -> bytes:
         if reply.status == _STATUS_NO_CONTENT:
             return b""
         if reply.status == _STATUS_NOT_FOUND:
--- a/src/cowsliprill/settings/service.py
+++ b/src/cowsliprill/settings/service.py
@@ -123,7 +123,7 @@
 
     def start(self) -> None:
         """Starts the background tasks."""
-        if not self.auth.checks:
+        if not self.auth.is_enabled:
             self._log.warning("peer_secret_missing")
         jobs_by_name = {
             "controller": self.settings.run,
--- a/tests/entry_site.py
+++ b/tests/entry_site.py
@@ -72,7 +72,7 @@
 
 def _is_signed(request) -> bool:
     signature = request.headers.get(peer_auth.HEADER)
-    return peer_auth.PeerAuth(SECRET).accepts(request.body, signature)
+    return peer_auth.PeerAuth(SECRET).verify(request.body, signature)
 
 
 class SlotsHandler(web.RequestHandler):
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -51,8 +51,8 @@
         self._items: dict[str, dict[str, Any]] = {}
         self._history: list[dict[str, Any]] = []
         self._changed = asyncio.Condition()
-        self.door = Door(self)
-        self.address = self.door.site.address
+        self.store_address = StoreAddress(self)
+        self.address = self.store_address.site.address
 
     async def put(self, key: str, value: bytes | dict) -> None:
         if isinstance(value, dict):
@@ -123,7 +123,7 @@
         return self._revision
 
 
-class Door:
+class StoreAddress:
     """One address of a store, which can fail for some VMs only.
 
     Attributes:
@@ -135,7 +135,7 @@
     def __init__(self, store: Store) -> None:
         self.status = 0
         self.calls: list[str] = []
-        own = {"store": store, "door": self}
+        own = {"store": store, "store_address": self}
         self.site = LocalServer(
             [
                 ("/kv-range", _RangeHandler, own),
@@ -145,14 +145,14 @@
 
 
 class _StoreHandler(web.RequestHandler):
-    def initialize(self, store: Store, door: Door) -> None:
+    def initialize(self, store: Store, store_address: StoreAddress) -> None:
         self.store = store
-        self.door = door
+        self.store_address = store_address
 
     def prepare(self) -> None:
         self.store.calls.append(self.request.path)
-        self.door.calls.append(self.request.path)
-        status = self.store.status or self.door.status
+        self.store_address.calls.append(self.request.path)
+        status = self.store.status or self.store_address.status
         if status:
             self.set_status(status)
             self.finish()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -168,7 +168,7 @@
         """Guards against refusals while a peer can confirm the keys."""
 
         async def scenario(site):
-            proxy = platform_site.Door(site.store)
+            proxy = platform_site.StoreAddress(site.store)
             partitioned = site.add_router(store=proxy.site.address)
             await platform_site.until(lambda: site.ready(partitioned))
             proxy.status = 503
--- a/tests/test_few_readers.py
+++ b/tests/test_few_readers.py
@@ -19,11 +19,11 @@
 @contextlib.asynccontextmanager
 async def _running():
     async with platform_site.running(1) as site:
-        site.doors = [site.store.door]
+        site.store_addresses = [site.store.store_address]
         for _ in range(_ROUTERS - 1):
-            door = platform_site.Door(site.store)
-            site.doors.append(door)
-            site.add_router(door.site.address)
+            store_address = platform_site.StoreAddress(site.store)
+            site.store_addresses.append(store_address)
+            site.add_router(store_address.site.address)
         await platform_site.until(
             lambda: (
                 all(site.ready(number) for number in range(_ROUTERS))
@@ -87,13 +87,14 @@
             async with _running() as site:
                 reader_numbers = _current_readers(site)
                 calls = {
-                    number: len(site.doors[number].calls)
+                    number: len(site.store_addresses[number].calls)
                     for number in range(1, _ROUTERS)
                     if number not in reader_numbers
                 }
                 await _add_engine_and_await(site, "s7", range(_ROUTERS))
                 calls_after = {
-                    number: len(site.doors[number].calls) for number in calls
+                    number: len(site.store_addresses[number].calls)
+                    for number in calls
                 }
                 return calls, calls_after
 
@@ -112,7 +113,7 @@
         async def scenario():
             async with _running() as site:
                 for number in _current_readers(site):
-                    site.doors[number].status = 503
+                    site.store_addresses[number].status = 503
                 await _add_engine_and_await(site, "s7", range(_ROUTERS))
 
         asyncio.run(scenario())
@@ -123,7 +124,7 @@
         async def scenario():
             async with _running() as site:
                 number = _current_readers(site)[0]
-                site.doors[number].status = 503
+                site.store_addresses[number].status = 503
                 log = site.logs[number]
                 await platform_site.until(
                     lambda: "event=registry_away" in log.getvalue()
--- a/tests/test_peer_exchange.py
+++ b/tests/test_peer_exchange.py
@@ -31,7 +31,7 @@
 def _round_trip(value: bytes) -> tuple[int, registry_view.RegistryUpdate]:
     entry = registry_view.Entry(key=_KEY, value=value, revision=7)
     update = registry_view.RegistryUpdate(changes=(entry,), position=7)
-    body = codec.encode_short(peer_exchange._update_to_wire(update))
+    body = codec.encode_without_defaults(peer_exchange._update_to_wire(update))
     return len(body), peer_exchange._update_from_wire(
         codec.decode(peer_exchange.WireUpdate, body)
     )
--- a/tests/test_pool_scheduling_wire.py
+++ b/tests/test_pool_scheduling_wire.py
@@ -34,7 +34,9 @@
         acknowledged=0,
         wait_s=0.0,
     )
-    received = codec.decode(wire.SchedulingRequest, codec.encode_short(request))
+    received = codec.decode(
+        wire.SchedulingRequest, codec.encode_without_defaults(request)
+    )
     return wire.event_from_wire(received.events[0], now=0.0)
 
 
--- a/tests/test_writer.py
+++ b/tests/test_writer.py
@@ -20,7 +20,7 @@
         """
         read_fd, write_fd = os.pipe()
         with os.fdopen(write_fd, "w") as target:
-            log, output = log_lib.open_output("router.test", target)
+            log, output = log_lib.open_nonblocking_log("router.test", target)
             for number in range(20_000):
                 log.event("line", number=number, text="x" * 100)
             assert output.dropped > 0
@@ -45,7 +45,9 @@
         assert "event=after" in text
 
     def test_broken_pipe_is_ignored(self):
-        output = writer.Writer(_BrokenPipe(), lambda count: f"{count}\n")
+        output = writer.NonBlockingWriter(
+            _BrokenPipe(), lambda count: f"{count}\n"
+        )
         output.write("a line\n")
         output.drain(5)
         output.write("another\n")
