--- a/src/cowsliprill/standins/__init__.py
+++ b/src/cowsliprill/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform, the engines and the plain services."""
+"""Fakes of the platform, the engines and the plain services for tests."""
--- a/src/cowsliprill/standins/__main__.py
+++ b/src/cowsliprill/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins: `cowsliprill-standins platform|...`."""
+"""Command line of the fakes: `cowsliprill-standins platform|...`."""
 
 import asyncio
 import importlib
@@ -6,9 +6,9 @@
 
 import cappa
 
-# Each stand-in is imported only when it is asked for, so that one which can't
-# be imported doesn't stop the others.
-_STANDINS = {
+# Modules are imported on demand, so that a failing import of one fake doesn't
+# affect the others. The values are the module and class of its command line.
+_COMMANDS = {
     "platform": ("cowsliprill.standins.platform", "PlatformCommand"),
     "engine": ("cowsliprill.standins.engine_server", "Command"),
     "service": ("cowsliprill.standins.service", "ServiceCommand"),
@@ -16,19 +16,19 @@
 
 
 def main() -> int:
-    """Runs one stand-in.
+    """Runs the fake that the first argument names, until it is stopped.
 
     Returns:
-      The exit code.
+      Exit code: 2 for an unknown name, else 0.
     """
     name = sys.argv[1] if len(sys.argv) > 1 else ""
-    if name not in _STANDINS:
-        known = ", ".join(_STANDINS)
-        print(f"usage: cowsliprill-standins NAME ...; names: {known}")
+    if name not in _COMMANDS:
+        known_names = ", ".join(_COMMANDS)
+        print(f"usage: cowsliprill-standins NAME ...; names: {known_names}")
         return 0 if name in {"-h", "--help"} else 2
-    module_name, command = _STANDINS[name]
+    module_name, command_class = _COMMANDS[name]
     module = importlib.import_module(module_name)
-    arguments = cappa.parse(getattr(module, command), argv=sys.argv[2:])
+    arguments = cappa.parse(getattr(module, command_class), argv=sys.argv[2:])
     asyncio.run(module.serve(arguments))
     return 0
 
--- a/src/cowsliprill/standins/engine.py
+++ b/src/cowsliprill/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of one engine, for prefill or decode."""
+"""A fake inference engine for prefill or decode, without its HTTP interface."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_memory
 from cowsliprill.standins import event_writer
-from cowsliprill.standins import misbehaviour as misbehaviour_lib
+from cowsliprill.standins import misbehaviour as fault_injection
 from cowsliprill.standins import turns
 
 _DEFAULT_MAX_TOKENS = 16
@@ -23,43 +23,43 @@
 
 
 class Engine:
-    """The stand-in's state and work.
+    """A fake engine that simulates the time of prefill, transfer and decode.
 
     Args:
-      command: Its configuration.
+      command: The engine's configuration.
 
     Attributes:
-      command: Its configuration.
-      memory: What it holds.
-      conduct: Its misbehaviour.
-      order: What it was ordered to be.
-      report: Its lagging load report.
+      command: The engine's configuration.
+      memory: Slots, KV blocks, prefix cache and request log.
+      conduct: Injected faults.
+      order: The last accepted order: target role, model and fencing token.
+      report: The load report, refreshed every `report_lag_s` seconds.
     """
 
     def __init__(self, command: engine_command.EngineCommand) -> None:
         self.command = command
-        self.memory = engine_memory.Memory(
+        self.memory = engine_memory.EngineState(
             command.slots, command.kv_blocks, command.cache_blocks
         )
-        self.conduct = misbehaviour_lib.Conduct()
+        self.conduct = fault_injection.FaultInjector()
         self.order = engine_model.EngineOrder(
             fencing=0,
             target=model.EngineTarget(
                 role=model.EndpointKind(command.role), model=command.model
             ),
         )
-        self.report = self._load()
+        self.report = self._current_load()
         self._http = http_client.HttpClient()
-        self._turns = turns.Turns()
+        self._prefill_lock = turns.PriorityLock()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._link = turns.Turns()
+        self._link_lock = turns.PriorityLock()
 
     def start(self) -> None:
         """Starts the task that refreshes the load report."""
-        self._spawn(self._refresh_report())
+        self._start_task(self._refresh_report())
 
     async def stop(self) -> None:
-        """Stops all work."""
+        """Cancels all tasks and closes the HTTP client."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -69,117 +69,129 @@
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        conduct: misbehaviour_lib.Misbehaviour,
+        faults: fault_injection.Faults,
     ) -> None:
-        """Computes a prompt and leaves its KV cache for export.
+        """Simulates a prefill and offers the prompt's KV cache for export.
+
+        The outcome is the request's stage: `EXPORTED`, or another stage if the
+        request was cancelled meanwhile.
 
         Args:
-          request: The admitted request; its stage tells the outcome.
+          request: The admitted request.
           body: The request's body.
-          conduct: What to do wrong.
+          faults: Faults to inject.
         """
         salt = str(body.get(prefix.SALT_FIELD, ""))
-        hashes = prefix.block_hashes(request.text, salt)
-        await self._turns.acquire(int(body.get("priority", 0)))
+        hashes = prefix.block_hashes(request.prompt, salt)
+        await self._prefill_lock.acquire(int(body.get("priority", 0)))
         try:
-            cached = self.memory.count_cached(hashes) * prefix.BLOCK_TOKENS
-            tokens = max(request.prompt_tokens - cached, 1)
-            seconds = tokens / self.command.prefill_tokens_per_s
-            await self._work(request, seconds * conduct.slow_factor)
+            cached_tokens = (
+                self.memory.count_cached(hashes) * prefix.BLOCK_TOKENS
+            )
+            tokens = max(request.prompt_tokens - cached_tokens, 1)
+            duration_s = tokens / self.command.prefill_tokens_per_s
+            await self._simulate_work(request, duration_s * faults.slow_factor)
         finally:
-            self._turns.release()
+            self._prefill_lock.release()
         if request.stage is not _Stage.PREFILL:
             return
-        self.memory.store(hashes)
-        await request.move(_Stage.EXPORTED)
-        self._spawn(self._evict(request))
+        self.memory.cache_prompt(hashes)
+        await request.set_stage(_Stage.EXPORTED)
+        self._start_task(self._evict_export(request))
 
-    async def fetch(
+    async def fetch_kv_cache(
         self, request: engine_memory.Request, transfer: dict[str, Any]
     ) -> bool:
-        """Fetches the KV cache from the prefill engine.
+        """Fetches the prompt's KV cache from the prefill engine.
 
         Args:
           request: The admitted request.
-          transfer: Its `kv_transfer_params`.
+          transfer: The request's `kv_transfer_params`.
 
         Returns:
-          Whether all of it came, and the request wasn't cancelled meanwhile.
+          Whether the transfer is complete and the request wasn't cancelled
+          meanwhile.
         """
-        fetching = asyncio.create_task(self._fetch(request, transfer))
-        watching = asyncio.create_task(request.left(_Stage.TRANSFER))
+        fetch_task = asyncio.create_task(
+            self._download_kv_cache(request, transfer)
+        )
+        cancel_task = asyncio.create_task(
+            request.wait_until_left(_Stage.TRANSFER)
+        )
         await asyncio.wait(
-            {fetching, watching}, return_when=asyncio.FIRST_COMPLETED
+            {fetch_task, cancel_task}, return_when=asyncio.FIRST_COMPLETED
         )
-        for task in (fetching, watching):
+        for task in (fetch_task, cancel_task):
             task.cancel()
-        await asyncio.gather(fetching, watching, return_exceptions=True)
-        fetched = not fetching.cancelled() and fetching.result()
+        await asyncio.gather(fetch_task, cancel_task, return_exceptions=True)
+        is_fetched = not fetch_task.cancelled() and fetch_task.result()
         if request.stage is not _Stage.TRANSFER:
             return False
-        if not fetched:
-            await request.move(_Stage.FAILED)
+        if not is_fetched:
+            await request.set_stage(_Stage.FAILED)
             return False
-        await request.move(_Stage.DECODE)
+        await request.set_stage(_Stage.DECODE)
         return True
 
-    def generate(
+    def start_decode(
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        conduct: misbehaviour_lib.Misbehaviour,
+        faults: fault_injection.Faults,
     ) -> None:
-        """Starts to generate the tokens, whether or not anyone listens.
+        """Starts to generate output tokens in a background task.
+
+        Generation doesn't depend on a client that reads the stream.
 
         Args:
           request: The admitted request.
           body: The request's body.
-          conduct: What to do wrong.
+          faults: Faults to inject.
         """
-        self._spawn(self._generate(request, body, conduct))
+        self._start_task(self._generate(request, body, faults))
 
-    async def pace_link(self, size: float) -> None:
-        """Waits until so many bytes may leave by the link."""
-        await self._link.acquire(0)
+    async def throttle_link(self, size_bytes: float) -> None:
+        """Waits as long as the outgoing link takes for `size_bytes`."""
+        await self._link_lock.acquire(0)
         try:
-            await asyncio.sleep(size / self.command.link_bytes_per_s)
+            await asyncio.sleep(size_bytes / self.command.link_bytes_per_s)
         finally:
-            self._link.release()
+            self._link_lock.release()
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.create_task(work)
+    def _start_task(self, coroutine: Any) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _load(self) -> engine_model.LoadReport:
-        used = self.memory.used_blocks()
+    def _current_load(self) -> engine_model.LoadReport:
+        used_blocks = self.memory.used_blocks()
         return engine_model.LoadReport(
             running=self.memory.used_slots(),
             waiting=0,
-            kv_usage=used / self.memory.blocks,
+            kv_usage=used_blocks / self.memory.blocks,
             slots=self.memory.slots,
         )
 
     async def _refresh_report(self) -> None:
         while True:
-            self.report = self._load()
+            self.report = self._current_load()
             await asyncio.sleep(self.command.report_lag_s)
 
-    async def _work(
-        self, request: engine_memory.Request, seconds: float
+    async def _simulate_work(
+        self, request: engine_memory.Request, duration_s: float
     ) -> None:
         stage = request.stage
         try:
-            await asyncio.wait_for(request.left(stage), seconds)
+            await asyncio.wait_for(request.wait_until_left(stage), duration_s)
         except TimeoutError:
             pass
 
-    async def _evict(self, request: engine_memory.Request) -> None:
+    async def _evict_export(self, request: engine_memory.Request) -> None:
         await asyncio.sleep(self.command.export_ttl_s)
         if request.stage is _Stage.EXPORTED:
-            await request.move(_Stage.EVICTED)
+            await request.set_stage(_Stage.EVICTED)
 
-    async def _fetch(
+    async def _download_kv_cache(
         self, request: engine_memory.Request, transfer: dict[str, Any]
     ) -> bool:
         try:
@@ -198,25 +210,25 @@
                 response.close()
         except errors.CallError:
             return False
-        ok = 200
-        return response.status == ok
+        ok_status = 200
+        return response.status == ok_status
 
     async def _generate(
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        conduct: misbehaviour_lib.Misbehaviour,
+        faults: fault_injection.Faults,
     ) -> None:
-        count = int(body.get("max_tokens", _DEFAULT_MAX_TOKENS))
-        seconds = self.command.seconds_per_token * conduct.slow_factor
-        writer = event_writer.EventWriter(request, body, count, conduct)
-        due = time.monotonic()
-        for number in range(1, count + 1):
-            due += seconds
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
-            if conduct.stall_at_token == number - 1:
-                await request.left(_Stage.DECODE)
+        max_tokens = int(body.get("max_tokens", _DEFAULT_MAX_TOKENS))
+        token_interval_s = self.command.seconds_per_token * faults.slow_factor
+        writer = event_writer.EventWriter(request, body, max_tokens, faults)
+        next_token_at = time.monotonic()
+        for token_number in range(1, max_tokens + 1):
+            next_token_at += token_interval_s
+            await asyncio.sleep(max(0.0, next_token_at - time.monotonic()))
+            if faults.stall_at_token == token_number - 1:
+                await request.wait_until_left(_Stage.DECODE)
             if request.stage is not _Stage.DECODE:
                 return
-            await request.add(writer.event(number))
-        await request.move(_Stage.FINISHED)
+            await request.add_event(writer.event(token_number))
+        await request.set_stage(_Stage.FINISHED)
--- a/src/cowsliprill/standins/engine_command.py
+++ b/src/cowsliprill/standins/engine_command.py
@@ -1,4 +1,4 @@
-"""What the stand-in of an engine is told about itself."""
+"""Command-line arguments of a fake engine."""
 
 import dataclasses
 from typing import Annotated
@@ -9,24 +9,25 @@
 @cappa.command(name="engine", help="Stand-in of a prefill or decode engine.")
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineCommand:
-    """An engine's stand-in.
+    """Arguments of a fake engine.
 
     Attributes:
-      id: Its id.
+      id: Endpoint id.
       role: `prefill` or `decode`.
-      host: IP number to listen on.
-      port: TCP port, 0 for any.
-      slots: Places in the batch.
-      kv_blocks: KV blocks of 16 tokens.
-      cache_blocks: Blocks of the prefix cache.
-      prefill_tokens_per_s: Speed of a prefill.
+      host: IP address to listen on.
+      port: TCP port, 0 for any free one.
+      slots: Number of slots of the batch.
+      kv_blocks: Number of KV blocks, of 16 tokens each.
+      cache_blocks: Capacity of the prefix cache in blocks.
+      prefill_tokens_per_s: Prefill speed in tokens per second.
       seconds_per_token: Time between two tokens of one stream.
-      export_ttl_s: How long a finished prefill waits to be fetched.
-      link_bytes_per_s: Rate of the link by which KV cache leaves.
-      kv_bytes_per_token: Size of one prompt token's KV cache.
-      report_lag_s: How old a load report gets.
-      checks_fencing: Whether it refuses orders with an old fencing number.
-      model: Model that it has loaded.
+      export_ttl_s: Time in seconds after which an exported KV cache that
+        wasn't fetched is evicted.
+      link_bytes_per_s: Bandwidth of the link that exports KV cache.
+      kv_bytes_per_token: KV cache size of one prompt token.
+      report_lag_s: Interval in seconds at which the load report is refreshed.
+      checks_fencing: Whether orders with an old fencing token are refused.
+      model: Name of the loaded model.
     """
 
     id: Annotated[str, cappa.Arg(long=True)]
--- a/src/cowsliprill/standins/engine_handlers.py
+++ b/src/cowsliprill/standins/engine_handlers.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of an engine's stand-in."""
+"""HTTP interface of a fake engine."""
 
 import asyncio
 import dataclasses
@@ -14,171 +14,189 @@
 from cowsliprill.engines import protocol
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_memory
-from cowsliprill.standins import misbehaviour as misbehaviour_lib
+from cowsliprill.standins import misbehaviour as fault_injection
 from cowsliprill.standins import shell
 
-# An export takes the time that its whole size takes on the link, but a real
-# engine's hundreds of megabytes aren't sent for it.
+# An export takes as long as the simulated KV cache takes on the link, but only
+# this many bytes are sent in place of a real engine's hundreds of megabytes.
 _EXPORT_CHUNKS = 16
 _EXPORT_CHUNK_BYTES = 16_384
-_OTHER_ID = "another.e0.x.1.0"
+_FOREIGN_REQUEST_ID = "another.e0.x.1.0"
 _CODE_CANCELLED = "cancelled"
 _CODE_WRONG_ROLE = "wrong_role"
 _Stage = engine_memory.RequestStage
 
 
 def routes(engine: engine_lib.Engine) -> list[tuple]:
-    """Returns the tornado routes of an engine."""
-    own = {"engine": engine}
+    """Returns the tornado routes of a fake engine."""
+    handler_arguments = {"engine": engine}
     return [
-        (protocol.COMPLETIONS_PATH, _CompletionHandler, own),
-        (protocol.CHAT_PATH, _CompletionHandler, own),
-        (protocol.KV_PATH + "(.+)", _ExportHandler, own),
-        (protocol.RESUME_PATH, _ResumeHandler, own),
-        (protocol.CANCEL_PATH, _CancelHandler, own),
-        (protocol.RUNNING_PATH, _RunningHandler, own),
-        (protocol.METRICS_PATH, _MetricsHandler, own),
-        (protocol.CACHE_EVENTS_PATH, _CacheEventsHandler, own),
-        (protocol.ORDERS_PATH, _OrdersHandler, own),
+        (protocol.COMPLETIONS_PATH, _CompletionHandler, handler_arguments),
+        (protocol.CHAT_PATH, _CompletionHandler, handler_arguments),
+        (protocol.KV_PATH + "(.+)", _ExportHandler, handler_arguments),
+        (protocol.RESUME_PATH, _ResumeHandler, handler_arguments),
+        (protocol.CANCEL_PATH, _CancelHandler, handler_arguments),
+        (protocol.RUNNING_PATH, _RunningHandler, handler_arguments),
+        (protocol.METRICS_PATH, _MetricsHandler, handler_arguments),
+        (protocol.CACHE_EVENTS_PATH, _CacheEventsHandler, handler_arguments),
+        (protocol.ORDERS_PATH, _OrdersHandler, handler_arguments),
         (
-            shell.MISBEHAVE_PATH,
-            shell.MisbehaveHandler,
+            shell.FAULTS_PATH,
+            shell.FaultsHandler,
             {"conduct": engine.conduct},
         ),
-        (shell.HELD_PATH, _HeldHandler, own),
-        (shell.JOURNAL_PATH, _JournalHandler, own),
+        (shell.USAGE_PATH, _UsageHandler, handler_arguments),
+        (shell.REQUEST_LOG_PATH, _RequestLogHandler, handler_arguments),
     ]
 
 
 class _EngineHandler(shell.Handler):
     def initialize(self, engine: engine_lib.Engine) -> None:
         self._engine = engine
-        self._memory = engine.memory
+        self._engine_state = engine.memory
 
-    async def stream(
+    async def stream_events(
         self,
         request: engine_memory.Request,
-        after: int,
-        conduct: misbehaviour_lib.Misbehaviour,
+        after_token: int,
+        faults: fault_injection.Faults,
     ) -> None:
-        """Streams a request's events from a token on."""
+        """Streams a request's events, then the end marker.
+
+        Closes the connection without an end marker if the request ends before
+        it is finished.
+
+        Args:
+          request: The request.
+          after_token: Number of the last token not to send, 0 for all.
+          faults: Faults to inject.
+        """
         self.set_header("Content-Type", "text/event-stream")
         await self.flush()
-        cutter = _Cutter(self, conduct)
-        sent = after
-        while not cutter.is_cut:
-            await request.grown_beyond(sent)
+        sender = _EventSender(self, faults)
+        sent = after_token
+        while not sender.is_closed:
+            await request.wait_for_events(sent)
             if len(request.events) <= sent:
                 break
             sent += 1
-            await cutter.send(request.events[sent - 1], sent)
-        if cutter.is_cut:
+            await sender.send(request.events[sent - 1], sent)
+        if sender.is_closed:
             return
         if request.stage is not _Stage.FINISHED:
-            self.cut()
+            self.abort_connection()
             return
-        if not conduct.omit_end_marker:
-            await cutter.send(protocol.END_MARKER, None)
-        if not cutter.is_cut:
+        if not faults.omit_end_marker:
+            await sender.send(protocol.END_MARKER, None)
+        if not sender.is_closed:
             self.finish()
 
 
-class _Cutter:
-    """Sends a stream's events and cuts the connection where told."""
+class _EventSender:
+    """Sends a stream's events and injects connection failures.
+
+    Attributes:
+      is_closed: Whether the connection is closed, by a fault or the client.
+    """
 
     def __init__(
-        self, handler: _EngineHandler, conduct: misbehaviour_lib.Misbehaviour
+        self, handler: _EngineHandler, faults: fault_injection.Faults
     ) -> None:
         self._handler = handler
-        self._conduct = conduct
-        self._sent = 0
-        self.is_cut = False
+        self._faults = faults
+        self._sent_bytes = 0
+        self.is_closed = False
 
-    async def send(self, event: bytes, number: int | None) -> None:
+    async def send(self, event: bytes, token_number: int | None) -> None:
         """Sends one event.
 
         Args:
-          event: Its bytes.
-          number: The token's number, None for the end marker.
+          event: The event as bytes.
+          token_number: Number of the token, None for the end marker.
         """
-        conduct = self._conduct
-        end = conduct.cut_at_byte
-        if end is not None and self._sent + len(event) > end:
-            event = event[: end - self._sent]
-            self.is_cut = True
+        faults = self._faults
+        cut_at_byte = faults.cut_at_byte
+        if (
+            cut_at_byte is not None
+            and self._sent_bytes + len(event) > cut_at_byte
+        ):
+            event = event[: cut_at_byte - self._sent_bytes]
+            self.is_closed = True
         self._handler.write(event)
-        self._sent += len(event)
+        self._sent_bytes += len(event)
         try:
             await self._handler.flush()
         except iostream.StreamClosedError:
-            # The reader is gone; the request goes on until it is cancelled.
-            self.is_cut = True
+            # The client disconnected; the request runs until it is cancelled.
+            self.is_closed = True
             return
-        if number is not None and number == conduct.cut_at_token:
-            self.is_cut = True
-        if self.is_cut:
-            self._handler.cut()
+        if token_number is not None and token_number == faults.cut_at_token:
+            self.is_closed = True
+        if self.is_closed:
+            self._handler.abort_connection()
 
 
 class _CompletionHandler(_EngineHandler):
     async def post(self) -> None:
-        conduct = self._engine.conduct.take()
-        body = self.fields()
+        faults = self._engine.conduct.take()
+        body = self.json_body()
         request_id = self.request.headers.get(protocol.REQUEST_ID_HEADER, "")
         transfer = body.get("kv_transfer_params") or {}
-        wants_decode = bool(transfer.get("do_remote_prefill"))
+        is_decode = bool(transfer.get("do_remote_prefill"))
         role = self._engine.order.target.role
-        if conduct.cut_before_run:
-            self.cut()
+        if faults.cut_before_run:
+            self.abort_connection()
         elif not request_id:
-            self.fail(400, "no_request_id")
-        elif conduct.refuse:
-            await self.refuse(conduct)
-        elif wants_decode is not (role is model.EndpointKind.DECODE):
-            self.fail(409, _CODE_WRONG_ROLE)
-        elif self._memory.is_cancelled(request_id):
-            self.fail(409, _CODE_CANCELLED)
+            self.respond_error(400, "no_request_id")
+        elif faults.refuse:
+            await self.respond_refusal(faults)
+        elif is_decode is not (role is model.EndpointKind.DECODE):
+            self.respond_error(409, _CODE_WRONG_ROLE)
+        elif self._engine_state.is_cancelled(request_id):
+            self.respond_error(409, _CODE_CANCELLED)
         else:
-            await self._admit(request_id, body, conduct, wants_decode)
+            await self._admit(request_id, body, faults, is_decode)
 
     async def _admit(
         self,
         request_id: str,
         body: dict,
-        conduct: misbehaviour_lib.Misbehaviour,
-        wants_decode: bool,
+        faults: fault_injection.Faults,
+        is_decode: bool,
     ) -> None:
-        text = prefix.prompt_text(body)
-        tokens = prefix.count_tokens(text)
-        stage = _Stage.TRANSFER if wants_decode else _Stage.PREFILL
-        answer_tokens = int(body.get("max_tokens", 0)) if wants_decode else 0
-        request = self._memory.admit(
-            request_id, text, tokens + answer_tokens, stage
+        prompt = prefix.prompt_text(body)
+        tokens = prefix.count_tokens(prompt)
+        stage = _Stage.TRANSFER if is_decode else _Stage.PREFILL
+        output_tokens = int(body.get("max_tokens", 0)) if is_decode else 0
+        request = self._engine_state.admit(
+            request_id, prompt, tokens + output_tokens, stage
         )
         if request is None:
-            self.fail(429, protocol.CODE_FULL)
+            self.respond_error(429, protocol.CODE_FULL)
             return
         request.prompt_tokens = tokens
-        if wants_decode:
-            await self._decode(request, body, conduct)
+        if is_decode:
+            await self._decode(request, body, faults)
         else:
-            await self._prefill(request, body, conduct)
+            await self._prefill(request, body, faults)
 
     async def _prefill(
         self,
         request: engine_memory.Request,
         body: dict,
-        conduct: misbehaviour_lib.Misbehaviour,
+        faults: fault_injection.Faults,
     ) -> None:
-        await self._engine.prefill(request, body, conduct)
-        await asyncio.sleep(conduct.delay_s)
+        await self._engine.prefill(request, body, faults)
+        await asyncio.sleep(faults.delay_s)
         if request.stage is _Stage.CANCELLED:
-            self.fail(409, _CODE_CANCELLED, run="unknown")
+            self.respond_error(409, _CODE_CANCELLED, run="unknown")
             return
         host, port = self.request.host.split(":")
         self.finish(
             {
-                "id": _OTHER_ID if conduct.foreign_id else request.request_id,
+                "id": _FOREIGN_REQUEST_ID
+                if faults.foreign_id
+                else request.request_id,
                 "kv_transfer_params": {
                     "remote_engine_id": self._engine.command.id,
                     "remote_host": host,
@@ -193,95 +211,105 @@
         self,
         request: engine_memory.Request,
         body: dict,
-        conduct: misbehaviour_lib.Misbehaviour,
+        faults: fault_injection.Faults,
     ) -> None:
         transfer = body["kv_transfer_params"]
-        if not await self._engine.fetch(request, transfer):
-            self.fail(410, protocol.CODE_EVICTED)
+        if not await self._engine.fetch_kv_cache(request, transfer):
+            self.respond_error(410, protocol.CODE_EVICTED)
             return
-        self._engine.generate(request, body, conduct)
-        await asyncio.sleep(conduct.delay_s)
-        if conduct.foreign_id:
-            self.set_header(protocol.REQUEST_ID_HEADER, _OTHER_ID)
-        shown = self._other(request) if conduct.swap else request
-        await self.stream(shown, 0, conduct)
-
-    def _other(self, request: engine_memory.Request) -> engine_memory.Request:
-        others = [
+        self._engine.start_decode(request, body, faults)
+        await asyncio.sleep(faults.delay_s)
+        if faults.foreign_id:
+            self.set_header(protocol.REQUEST_ID_HEADER, _FOREIGN_REQUEST_ID)
+        streamed_request = (
+            self._other_request(request) if faults.swap else request
+        )
+        await self.stream_events(streamed_request, 0, faults)
+
+    def _other_request(
+        self, request: engine_memory.Request
+    ) -> engine_memory.Request:
+        other_requests = [
             other
-            for other in self._memory.requests_by_id.values()
+            for other in self._engine_state.requests_by_id.values()
             if other is not request and other.events
         ]
-        return others[-1] if others else request
+        return other_requests[-1] if other_requests else request
 
 
 class _ExportHandler(_EngineHandler):
     async def get(self, handle: str) -> None:
-        conduct = self._engine.conduct.current
-        request = self._memory.requests_by_id.get(handle)
+        faults = self._engine.conduct.current
+        request = self._engine_state.requests_by_id.get(handle)
         if request is None or request.stage is not _Stage.EXPORTED:
-            self.fail(410, protocol.CODE_EVICTED)
+            self.respond_error(410, protocol.CODE_EVICTED)
             return
-        size = request.prompt_tokens * self._engine.command.kv_bytes_per_token
+        size_bytes = (
+            request.prompt_tokens * self._engine.command.kv_bytes_per_token
+        )
         self.set_header("Content-Type", "application/octet-stream")
-        for number in range(_EXPORT_CHUNKS):
-            sent = number * _EXPORT_CHUNK_BYTES
-            await self._engine.pace_link(size / _EXPORT_CHUNKS)
-            if conduct.stall_export_at_byte is not None:
-                await self._stall(request, sent, conduct.stall_export_at_byte)
-            cut_at = conduct.cut_export_at_byte
-            lost = cut_at is not None and sent >= cut_at
-            if lost or request.stage is not _Stage.EXPORTED:
-                self.cut()
+        for chunk_number in range(_EXPORT_CHUNKS):
+            sent = chunk_number * _EXPORT_CHUNK_BYTES
+            await self._engine.throttle_link(size_bytes / _EXPORT_CHUNKS)
+            if faults.stall_export_at_byte is not None:
+                await self._stall_export(
+                    request, sent, faults.stall_export_at_byte
+                )
+            cut_at = faults.cut_export_at_byte
+            is_cut = cut_at is not None and sent >= cut_at
+            if is_cut or request.stage is not _Stage.EXPORTED:
+                self.abort_connection()
                 return
             self.write(bytes(_EXPORT_CHUNK_BYTES))
             await self.flush()
-        await request.move(_Stage.FINISHED)
+        await request.set_stage(_Stage.FINISHED)
         self.finish()
 
-    async def _stall(
-        self, request: engine_memory.Request, sent: int, at_byte: int
+    async def _stall_export(
+        self, request: engine_memory.Request, sent: int, stall_at_byte: int
     ) -> None:
-        if sent < at_byte:
+        if sent < stall_at_byte:
             return
-        await request.left(_Stage.EXPORTED)
+        await request.wait_until_left(_Stage.EXPORTED)
 
 
 class _ResumeHandler(_EngineHandler):
     async def post(self) -> None:
-        conduct = self._engine.conduct.take()
-        fields = self.fields()
-        request = self._memory.requests_by_id.get(str(fields["request_id"]))
-        after = int(fields["after_token"])
-        known = request is not None and (
-            request.holds_memory or request.stage is _Stage.FINISHED
+        faults = self._engine.conduct.take()
+        fields = self.json_body()
+        request = self._engine_state.requests_by_id.get(
+            str(fields["request_id"])
+        )
+        after_token = int(fields["after_token"])
+        is_resumable = request is not None and (
+            request.holds_kv_blocks or request.stage is _Stage.FINISHED
         )
-        if conduct.cut_before_run:
-            self.cut()
-        elif not known:
-            self.fail(404, protocol.CODE_UNKNOWN_REQUEST)
+        if faults.cut_before_run:
+            self.abort_connection()
+        elif not is_resumable:
+            self.respond_error(404, protocol.CODE_UNKNOWN_REQUEST)
         else:
-            early = int(conduct.repeat_token and after > 0)
-            await self.stream(request, after - early, conduct)
+            rewind = int(faults.repeat_token and after_token > 0)
+            await self.stream_events(request, after_token - rewind, faults)
 
 
 class _CancelHandler(_EngineHandler):
     async def post(self) -> None:
-        conduct = self._engine.conduct.current
-        request_id = str(self.fields()["request_id"])
-        match conduct.cancel:
-            case misbehaviour_lib.CancelFault.REFUSE:
+        faults = self._engine.conduct.current
+        request_id = str(self.json_body()["request_id"])
+        match faults.cancel:
+            case fault_injection.CancelFault.REFUSE:
                 self._engine.conduct.take()
-                self.fail(503, "cancel_refused")
+                self.respond_error(503, "cancel_refused")
                 return
-            case misbehaviour_lib.CancelFault.LOSE:
+            case fault_injection.CancelFault.LOSE:
                 self._engine.conduct.take()
-                self.cut()
+                self.abort_connection()
                 return
-            case misbehaviour_lib.CancelFault.LATE:
+            case fault_injection.CancelFault.LATE:
                 self._engine.conduct.take()
-                await asyncio.sleep(conduct.cancel_delay_s)
-        await self._memory.cancel(request_id)
+                await asyncio.sleep(faults.cancel_delay_s)
+        await self._engine_state.cancel(request_id)
         self.finish({"request_id": request_id, "held": False})
 
 
@@ -292,9 +320,9 @@
             {
                 "request_id": request.request_id,
                 "stage": request.stage,
-                "age_s": now - request.came_at,
+                "age_s": now - request.arrived_at,
             }
-            for request in self._memory.held_requests()
+            for request in self._engine_state.held_requests()
         ]
         self.finish({"requests": requests})
 
@@ -307,11 +335,11 @@
 
 class _CacheEventsHandler(_EngineHandler):
     def get(self) -> None:
-        conduct = self._engine.conduct.current
-        events = self._memory.cache_events(
+        faults = self._engine.conduct.current
+        events = self._engine_state.cache_events(
             int(self.get_query_argument("after", "0")),
-            conduct.cache_lag_s,
-            conduct.drop_cache_events,
+            faults.cache_lag_s,
+            faults.drop_cache_events,
         )
         self.finish({"events": [dataclasses.asdict(event) for event in events]})
 
@@ -323,49 +351,51 @@
 
     def post(self) -> None:
         engine = self._engine
-        fencing = int(self.fields()[protocol.FENCING_FIELD])
+        fencing = int(self.json_body()[protocol.FENCING_FIELD])
         highest = engine.order.fencing
-        checks = (
+        is_checked = (
             engine.command.checks_fencing
             and not engine.conduct.current.ignore_fencing
         )
-        if checks and fencing < highest:
-            self.fail(409, protocol.CODE_STALE_FENCING, highest=highest)
+        if is_checked and fencing < highest:
+            self.respond_error(
+                409, protocol.CODE_STALE_FENCING, highest=highest
+            )
             return
         try:
             target = codec.decode(model.EngineTarget, self.request.body)
         except codec.CodecError as error:
-            self.fail(400, error.code)
+            self.respond_error(400, error.code)
             return
         engine.order = engine_model.EngineOrder(fencing=fencing, target=target)
         self.get()
 
 
-class _HeldHandler(_EngineHandler):
+class _UsageHandler(_EngineHandler):
     def get(self) -> None:
-        exports = [
+        exported = [
             request
-            for request in self._memory.held_requests()
+            for request in self._engine_state.held_requests()
             if request.stage is _Stage.EXPORTED
         ]
         self.finish(
             {
-                "slots": self._memory.used_slots(),
-                "kv_blocks": self._memory.used_blocks(),
-                "exports": len(exports),
+                "slots": self._engine_state.used_slots(),
+                "kv_blocks": self._engine_state.used_blocks(),
+                "exports": len(exported),
             }
         )
 
 
-class _JournalHandler(_EngineHandler):
+class _RequestLogHandler(_EngineHandler):
     def get(self) -> None:
         entries = [
             {
                 "request_id": request.request_id,
-                "runs": request.runs,
+                "runs": request.executions,
                 "stage": request.stage,
                 "tokens": len(request.events),
             }
-            for request in self._memory.requests_by_id.values()
+            for request in self._engine_state.requests_by_id.values()
         ]
         self.finish({"requests": entries})
--- a/src/cowsliprill/standins/engine_memory.py
+++ b/src/cowsliprill/standins/engine_memory.py
@@ -1,4 +1,4 @@
-"""What an engine's stand-in holds and has done: slots, KV cache, journal."""
+"""State of a fake engine: slots, KV blocks, prefix cache and request log."""
 
 import asyncio
 import collections
@@ -9,12 +9,12 @@
 from cowsliprill.engines import model
 from cowsliprill.engines import prefix
 
-_CANCEL_MEMORY_S = 60.0
+_CANCELLATION_TTL_S = 60.0
 _MAX_CACHE_EVENTS = 10_000
 
 
 class RequestStage(enum.StrEnum):
-    """Where a request is at this engine."""
+    """Stage of a request at one engine."""
 
     PREFILL = "prefill"
     EXPORTED = "exported"
@@ -26,130 +26,132 @@
     FAILED = "failed"
 
 
-_HOLDS_SLOT = frozenset(
+_STAGES_WITH_SLOT = frozenset(
     {RequestStage.PREFILL, RequestStage.TRANSFER, RequestStage.DECODE}
 )
-_HOLDS_MEMORY = _HOLDS_SLOT | {RequestStage.EXPORTED}
+_STAGES_WITH_KV_BLOCKS = _STAGES_WITH_SLOT | {RequestStage.EXPORTED}
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Request:
-    """A request as this engine knows it.
+    """State of a request at one engine.
 
     Attributes:
-      request_id: Text of the attempt id.
-      stage: Where it is.
-      blocks: KV blocks that it holds while its stage holds memory.
-      came_at: When it came, on the monotonic clock.
-      runs: How often it was run.
-      text: The prompt.
-      prompt_tokens: Tokens of the prompt.
-      events: What was generated, one event a token.
-      grown: Notified when events were added or the stage changed.
+      request_id: The attempt id as text.
+      stage: Current stage.
+      blocks: Number of KV blocks, held while the stage holds any.
+      arrived_at: Time of arrival in seconds, on the monotonic clock.
+      executions: Number of times that requests with this id were admitted.
+      prompt: Text of the prompt.
+      prompt_tokens: Number of tokens of the prompt.
+      events: The generated events, one for each output token.
+      changed: Notified when an event is added or the stage changes.
     """
 
     request_id: str
     stage: RequestStage
     blocks: int
-    came_at: float
-    runs: int = 0
-    text: str = ""
+    arrived_at: float
+    executions: int = 0
+    prompt: str = ""
     prompt_tokens: int = 0
     events: list[bytes] = dataclasses.field(default_factory=list)
-    grown: asyncio.Condition = dataclasses.field(
+    changed: asyncio.Condition = dataclasses.field(
         default_factory=asyncio.Condition
     )
 
     @property
     def holds_slot(self) -> bool:
-        """Whether it takes a place in the batch."""
-        return self.stage in _HOLDS_SLOT
+        """Whether the request occupies a slot of the batch."""
+        return self.stage in _STAGES_WITH_SLOT
 
     @property
-    def holds_memory(self) -> bool:
-        """Whether it holds KV blocks."""
-        return self.stage in _HOLDS_MEMORY
+    def holds_kv_blocks(self) -> bool:
+        """Whether the request holds KV blocks."""
+        return self.stage in _STAGES_WITH_KV_BLOCKS
 
-    async def move(self, stage: RequestStage) -> None:
-        """Changes the stage and tells those who wait for it."""
-        async with self.grown:
+    async def set_stage(self, stage: RequestStage) -> None:
+        """Changes the stage and notifies the waiters."""
+        async with self.changed:
             self.stage = stage
-            self.grown.notify_all()
+            self.changed.notify_all()
 
-    async def grown_beyond(self, count: int) -> None:
-        """Waits for more than so many events, or for the request's end."""
-        async with self.grown:
-            await self.grown.wait_for(
-                lambda: len(self.events) > count or not self.holds_memory
+    async def wait_for_events(self, count: int) -> None:
+        """Waits for more than `count` events or for the end of the request."""
+        async with self.changed:
+            await self.changed.wait_for(
+                lambda: len(self.events) > count or not self.holds_kv_blocks
             )
 
-    async def left(self, stage: RequestStage) -> None:
-        """Waits until the request isn't in a stage any more."""
-        async with self.grown:
-            await self.grown.wait_for(lambda: self.stage is not stage)
+    async def wait_until_left(self, stage: RequestStage) -> None:
+        """Waits until the request has left `stage`."""
+        async with self.changed:
+            await self.changed.wait_for(lambda: self.stage is not stage)
 
-    async def add(self, event: bytes) -> None:
-        """Adds a generated token's event."""
-        async with self.grown:
+    async def add_event(self, event: bytes) -> None:
+        """Appends the event of a generated token and notifies the waiters."""
+        async with self.changed:
             self.events.append(event)
-            self.grown.notify_all()
+            self.changed.notify_all()
 
 
-class Memory:
-    """The engine's memory and its journal.
+class EngineState:
+    """Slots, KV blocks, prefix cache and request log of a fake engine.
 
     Args:
-      slots: Places in the batch.
-      blocks: KV blocks.
-      cache_blocks: Blocks of the prefix cache.
+      slots: Number of slots of the batch.
+      blocks: Number of KV blocks.
+      cache_blocks: Capacity of the prefix cache in blocks.
 
     Attributes:
-      slots: Places in the batch.
-      blocks: KV blocks.
-      requests_by_id: Every request it has seen, for the journal.
+      slots: Number of slots of the batch.
+      blocks: Number of KV blocks.
+      requests_by_id: The latest request of every request id, as request log.
     """
 
     def __init__(self, slots: int, blocks: int, cache_blocks: int) -> None:
         self.slots = slots
         self.blocks = blocks
         self.requests_by_id: dict[str, Request] = {}
-        self._held: list[Request] = []
-        self._cancelled_until_by_id: dict[str, float] = {}
-        self._cache_blocks = cache_blocks
-        self._cached: collections.OrderedDict[int, None] = (
+        self._active: list[Request] = []
+        self._cancellation_expiry_by_id: dict[str, float] = {}
+        self._cache_capacity = cache_blocks
+        self._cached_blocks: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self._events: collections.deque[tuple[float, model.CacheEvent]] = (
-            collections.deque(maxlen=_MAX_CACHE_EVENTS)
-        )
+        self._cache_events: collections.deque[
+            tuple[float, model.CacheEvent]
+        ] = collections.deque(maxlen=_MAX_CACHE_EVENTS)
         self._last_seq = 0
 
     def held_requests(self) -> list[Request]:
-        """Returns the requests that hold memory."""
-        self._held = [request for request in self._held if request.holds_memory]
-        return self._held
+        """Returns the requests that hold KV blocks."""
+        self._active = [
+            request for request in self._active if request.holds_kv_blocks
+        ]
+        return self._active
 
     def used_slots(self) -> int:
-        """Counts the places taken in the batch."""
+        """Returns the number of occupied slots of the batch."""
         return sum(request.holds_slot for request in self.held_requests())
 
     def used_blocks(self) -> int:
-        """Counts the KV blocks taken."""
+        """Returns the number of KV blocks in use."""
         return sum(request.blocks for request in self.held_requests())
 
     def admit(
-        self, request_id: str, text: str, tokens: int, stage: RequestStage
+        self, request_id: str, prompt: str, tokens: int, stage: RequestStage
     ) -> Request | None:
-        """Takes a request in.
+        """Admits a request and allocates its slot and KV blocks.
 
         Args:
-          request_id: Text of the attempt id.
-          text: The prompt.
-          tokens: Tokens for which it needs KV blocks.
-          stage: Its first stage.
+          request_id: The attempt id as text.
+          prompt: Text of the prompt.
+          tokens: Number of tokens to allocate KV blocks for.
+          stage: Initial stage.
 
         Returns:
-          The request, None if there is no slot or not enough KV blocks.
+          The request, or None without a free slot or enough free KV blocks.
         """
         blocks = -(-tokens // prefix.BLOCK_TOKENS)
         if self.used_slots() >= self.slots:
@@ -160,76 +162,85 @@
             request_id=request_id,
             stage=stage,
             blocks=blocks,
-            came_at=time.monotonic(),
-            text=text,
+            arrived_at=time.monotonic(),
+            prompt=prompt,
         )
         earlier = self.requests_by_id.get(request_id)
-        request.runs = 1 + (earlier.runs if earlier else 0)
+        request.executions = 1 + (earlier.executions if earlier else 0)
         self.requests_by_id[request_id] = request
-        self._held.append(request)
+        self._active.append(request)
         return request
 
     async def cancel(self, request_id: str) -> None:
-        """Drops a request, and refuses it if it comes later.
+        """Cancels a request, also one that arrives after its cancellation.
 
         Args:
-          request_id: Text of the attempt id.
+          request_id: The attempt id as text.
         """
-        until = time.monotonic() + _CANCEL_MEMORY_S
-        self._cancelled_until_by_id[request_id] = until
+        expires_at = time.monotonic() + _CANCELLATION_TTL_S
+        self._cancellation_expiry_by_id[request_id] = expires_at
         request = self.requests_by_id.get(request_id)
-        if request is not None and request.holds_memory:
-            await request.move(RequestStage.CANCELLED)
+        if request is not None and request.holds_kv_blocks:
+            await request.set_stage(RequestStage.CANCELLED)
 
     def is_cancelled(self, request_id: str) -> bool:
-        """Whether a cancel overtook this request."""
-        until = self._cancelled_until_by_id.get(request_id, 0.0)
-        return until > time.monotonic()
+        """Whether the request was cancelled before it arrived."""
+        expires_at = self._cancellation_expiry_by_id.get(request_id, 0.0)
+        return expires_at > time.monotonic()
 
     def count_cached(self, hashes: tuple[int, ...]) -> int:
-        """Counts the leading blocks that are in the prefix cache."""
+        """Returns the number of leading blocks that are in the prefix cache.
+
+        The blocks found become the most recently used ones.
+        """
         count = 0
-        for block in hashes:
-            if block not in self._cached:
+        for block_hash in hashes:
+            if block_hash not in self._cached_blocks:
                 break
-            self._cached.move_to_end(block)
+            self._cached_blocks.move_to_end(block_hash)
             count += 1
         return count
 
-    def store(self, hashes: tuple[int, ...]) -> None:
-        """Puts a prompt's blocks into the prefix cache."""
-        for block in hashes:
-            if block not in self._cached:
-                self._publish(model.CacheEventKind.STORED, block)
-            self._cached[block] = None
-            self._cached.move_to_end(block)
-        while len(self._cached) > self._cache_blocks:
-            block, _ = self._cached.popitem(last=False)
-            self._publish(model.CacheEventKind.REMOVED, block)
+    def cache_prompt(self, hashes: tuple[int, ...]) -> None:
+        """Adds a prompt's blocks to the prefix cache and evicts by LRU."""
+        for block_hash in hashes:
+            if block_hash not in self._cached_blocks:
+                self._record_cache_event(
+                    model.CacheEventKind.STORED, block_hash
+                )
+            self._cached_blocks[block_hash] = None
+            self._cached_blocks.move_to_end(block_hash)
+        while len(self._cached_blocks) > self._cache_capacity:
+            block_hash, _ = self._cached_blocks.popitem(last=False)
+            self._record_cache_event(model.CacheEventKind.REMOVED, block_hash)
 
     def cache_events(
-        self, after: int, lag_s: float, drop: int
+        self, after_seq: int, lag_s: float, drop_every: int
     ) -> list[model.CacheEvent]:
-        """Returns published cache events.
+        """Returns the published cache events.
 
         Args:
-          after: Number of the last event known.
-          lag_s: Events younger than this aren't published yet.
-          drop: Each so-manieth event is lost, 0 for none.
+          after_seq: Sequence number of the last event that the client has.
+          lag_s: Age in seconds from which an event is published.
+          drop_every: One in so many events is lost, 0 for none.
 
         Returns:
-          The events.
+          The events in order of their sequence numbers.
         """
-        latest = time.monotonic() - lag_s
+        published_before = time.monotonic() - lag_s
         return [
             event
-            for at, event in self._events
-            if event.seq > after
-            and at <= latest
-            and not (drop and event.seq % drop == 0)
+            for recorded_at, event in self._cache_events
+            if event.seq > after_seq
+            and recorded_at <= published_before
+            and not (drop_every and event.seq % drop_every == 0)
         ]
 
-    def _publish(self, kind: model.CacheEventKind, block: int) -> None:
+    def _record_cache_event(
+        self, kind: model.CacheEventKind, block_hash: int
+    ) -> None:
         self._last_seq += 1
-        event = model.CacheEvent(seq=self._last_seq, kind=kind, block=block)
-        self._events.append((time.monotonic(), event))
+        event = model.CacheEvent(
+            seq=self._last_seq, kind=kind, block=block_hash
+        )
+        self._cache_events.append((time.monotonic(), event))
--- a/src/cowsliprill/standins/engine_server.py
+++ b/src/cowsliprill/standins/engine_server.py
@@ -1,4 +1,4 @@
-"""The stand-in of an engine as a process."""
+"""Process of a fake engine: serves its HTTP interface until a signal."""
 
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_command
@@ -9,10 +9,10 @@
 
 
 async def serve(command: engine_command.EngineCommand) -> None:
-    """Serves until SIGTERM.
+    """Serves a fake engine until SIGTERM or SIGINT.
 
     Args:
-      command: Its configuration.
+      command: The engine's configuration.
     """
     engine = engine_lib.Engine(command)
     engine.start()
--- a/src/cowsliprill/standins/event_writer.py
+++ b/src/cowsliprill/standins/event_writer.py
@@ -1,4 +1,4 @@
-"""The events of an engine's stand-in."""
+"""Server-sent events of a fake engine's token stream."""
 
 import json
 import time
@@ -8,63 +8,65 @@
 
 from cowsliprill.engines import prefix
 from cowsliprill.standins import engine_memory
-from cowsliprill.standins import misbehaviour as misbehaviour_lib
+from cowsliprill.standins import misbehaviour as fault_injection
 
 
 class EventWriter:
-    """Writes the events of one answer.
+    """Writes the events of one response, one for each output token.
 
-    Each token's text carries a digest of the prompt, so that a test can tell
-    whose answer it reads.
+    Each token's text carries a digest of the prompt, so that a test can check
+    which request a response belongs to.
 
     Args:
       request: The request.
-      body: Its body.
-      count: Tokens of the answer.
-      conduct: What to do wrong.
+      body: The request's body.
+      token_count: Number of output tokens.
+      faults: Faults to inject.
     """
 
     def __init__(
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        count: int,
-        conduct: misbehaviour_lib.Misbehaviour,
+        token_count: int,
+        faults: fault_injection.Faults,
     ) -> None:
-        self._id = request.request_id
+        self._request_id = request.request_id
         self._model = str(body.get("model", ""))
-        self._count = count
-        self._chat = "messages" in body
-        self._object = (
-            "chat.completion.chunk" if self._chat else "text_completion"
+        self._token_count = token_count
+        self._is_chat = "messages" in body
+        self._object_type = (
+            "chat.completion.chunk" if self._is_chat else "text_completion"
         )
-        self._counted = count + int(conduct.wrong_count)
-        self._prompt_tokens = prefix.count_tokens(request.text)
-        digest = xxhash.xxh3_64_hexdigest(request.text.encode())
-        self._word = f" {digest[:8]}"
+        self._reported_tokens = token_count + int(faults.wrong_count)
+        self._prompt_tokens = prefix.count_tokens(request.prompt)
+        digest = xxhash.xxh3_64_hexdigest(request.prompt.encode())
+        self._token_prefix = f" {digest[:8]}"
 
-    def event(self, number: int) -> bytes:
-        """Returns the event of one token."""
-        last = number == self._count
-        text = f"{self._word}-{number}"
+    def event(self, token_number: int) -> bytes:
+        """Returns the event of one token, counted from 1."""
+        is_last = token_number == self._token_count
+        text = f"{self._token_prefix}-{token_number}"
         choice: dict[str, Any] = {"index": 0}
-        if self._chat:
+        if self._is_chat:
             choice["delta"] = {"content": text}
         else:
             choice["text"] = text
-        choice["finish_reason"] = "length" if last else None
+        choice["finish_reason"] = "length" if is_last else None
         fields = {
-            "id": self._id,
-            "object": self._object,
+            "id": self._request_id,
+            "object": self._object_type,
             "created": int(time.time()),
             "model": self._model,
             "choices": [choice],
         }
-        if last:
+        if is_last:
             fields["usage"] = {
                 "prompt_tokens": self._prompt_tokens,
-                "completion_tokens": self._counted,
-                "total_tokens": self._prompt_tokens + self._counted,
+                "completion_tokens": self._reported_tokens,
+                "total_tokens": self._prompt_tokens + self._reported_tokens,
             }
         data = json.dumps(fields)
-        return f"id: {self._id}/{number}\ndata: {data}\n\n".encode()
+        return (
+            f"id: {self._request_id}/{token_number}\ndata: {data}\n\n".encode()
+        )
--- a/src/cowsliprill/standins/misbehaviour.py
+++ b/src/cowsliprill/standins/misbehaviour.py
@@ -1,4 +1,4 @@
-"""How a stand-in misbehaves on request of a test."""
+"""Fault injection: the faults that a test makes a fake endpoint show."""
 
 import dataclasses
 import enum
@@ -9,14 +9,14 @@
 from cowsliprill import errors
 
 
-class MisbehaviourError(errors.CowsliprillError):
-    """Raised for a misbehaviour that no stand-in knows."""
+class FaultsError(errors.CowsliprillError):
+    """Raised for fields that don't describe faults of a fake endpoint."""
 
     code = "unknown_misbehaviour"
 
 
 class CancelFault(enum.StrEnum):
-    """What goes wrong with a cancel order."""
+    """Fault in the handling of a cancellation."""
 
     NONE = ""
     REFUSE = "refuse"
@@ -25,31 +25,34 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Misbehaviour:
-    """What a stand-in does wrong; each field's default is to do it right.
+class Faults:
+    """The faults to inject; each field's default injects none.
 
     Attributes:
-      times: How many requests are affected, 0 for all from now on.
+      times: Number of requests affected, 0 for all from now on.
       slow_factor: Multiplies the time of prefill, decode and service calls.
-      delay_s: Answer is held back for so long after the work is done.
-      refuse: Code of a refusal, `engine_full` or `engine_draining`.
-      cut_refusal_at_byte: The refusal is cut there.
-      cut_before_run: The connection is cut before anything is run.
-      stall_at_token: No token after this one is generated.
-      cut_at_token: The connection is cut after this token.
-      cut_at_byte: The connection is cut after so many bytes of the body.
-      foreign_id: The answer carries another request's id.
-      swap: The answer is that of another request in progress.
+      delay_s: Delay of the response after the work is done.
+      refuse: Error code of a refusal, `engine_full` or `engine_draining`.
+      cut_refusal_at_byte: The connection is closed after so many bytes of the
+        refusal.
+      cut_before_run: The connection is closed before anything is executed.
+      stall_at_token: Generation stops after this token; the stream stays open.
+      cut_at_token: The connection is closed after this token.
+      cut_at_byte: The connection is closed after so many bytes of the body.
+      foreign_id: The response carries another request's id.
+      swap: The response is that of another request.
       omit_end_marker: The stream ends without its end marker.
       wrong_count: `usage.completion_tokens` is one too high.
       repeat_token: A resumed stream begins one token early.
-      stall_export_at_byte: The export of KV cache stops there.
-      cut_export_at_byte: The export of KV cache is cut there.
-      drop_cache_events: Each so-manieth cache event is lost, 0 for none.
-      cache_lag_s: Cache events are published so late.
-      ignore_fencing: An order's fencing number isn't checked.
-      cancel: What goes wrong with cancel orders.
-      cancel_delay_s: How late a late cancel is answered.
+      stall_export_at_byte: The KV cache export stops after so many bytes and
+        keeps its connection open.
+      cut_export_at_byte: The connection of a KV cache export is closed after
+        so many bytes.
+      drop_cache_events: One in so many cache events is lost, 0 for none.
+      cache_lag_s: Delay before a cache event is published.
+      ignore_fencing: Orders with an old fencing token are accepted.
+      cancel: Fault in the handling of cancellations.
+      cancel_delay_s: Delay of a cancellation with `CancelFault.LATE`.
     """
 
     times: int = 0
@@ -75,45 +78,46 @@
     cancel_delay_s: float = 0.0
 
 
-GOOD = Misbehaviour()
+NO_FAULTS = Faults()
 
-_FORM = pydantic.TypeAdapter(Misbehaviour)
-_NAMES = frozenset(field.name for field in dataclasses.fields(Misbehaviour))
+_FAULTS_ADAPTER = pydantic.TypeAdapter(Faults)
+_FIELD_NAMES = frozenset(field.name for field in dataclasses.fields(Faults))
 
 
-class Conduct:
-    """The misbehaviour in force, and for how many requests yet.
+class FaultInjector:
+    """Holds the faults in force and counts the requests they affect.
 
     Attributes:
-      current: In force now.
+      current: The faults in force.
     """
 
     def __init__(self) -> None:
-        self.current = GOOD
-        self._left = 0
+        self.current = NO_FAULTS
+        self._remaining_requests = 0
 
     def set(self, fields: Any) -> None:
-        """Replaces the misbehaviour.
+        """Replaces the faults in force.
 
         Args:
-          fields: JSON object of `Misbehaviour`; an empty one ends it.
+          fields: JSON object with fields of `Faults`; an empty one ends all
+            faults.
 
         Raises:
-          MisbehaviourError: The fields aren't those of `Misbehaviour`.
+          FaultsError: The fields aren't valid fields of `Faults`.
         """
-        if not isinstance(fields, dict) or not fields.keys() <= _NAMES:
-            raise MisbehaviourError(f"not a misbehaviour: {fields!r}")
+        if not isinstance(fields, dict) or not fields.keys() <= _FIELD_NAMES:
+            raise FaultsError(f"unknown fields of faults: {fields!r}")
         try:
-            self.current = _FORM.validate_python(fields)
+            self.current = _FAULTS_ADAPTER.validate_python(fields)
         except pydantic.ValidationError as error:
-            raise MisbehaviourError(str(error)) from error
-        self._left = self.current.times
-
-    def take(self) -> Misbehaviour:
-        """Returns the misbehaviour for one request, and counts it."""
-        taken = self.current
-        if taken.times:
-            self._left -= 1
-            if self._left == 0:
-                self.current = GOOD
-        return taken
+            raise FaultsError(str(error)) from error
+        self._remaining_requests = self.current.times
+
+    def take(self) -> Faults:
+        """Returns the faults for one request and counts the request."""
+        faults = self.current
+        if faults.times:
+            self._remaining_requests -= 1
+            if self._remaining_requests == 0:
+                self.current = NO_FAULTS
+        return faults
--- a/src/cowsliprill/standins/platform.py
+++ b/src/cowsliprill/standins/platform.py
@@ -1,19 +1,24 @@
-"""Stand-in of the platform: values to read and watch, and the VM list.
-
-Readers' interface:
-  `GET /v1/values/NAME` -> the value's bytes, with `X-Revision`; 404 if none.
-  `GET /v1/values/NAME?above=REVISION&wait_s=S` -> the value as soon as its
-  revision is above; after `wait_s` 204.
-  `GET /v1/vms` -> the list of live and leaving VMs.
-Tests' and operators' interface:
+"""A fake platform: a key-value store with long polls, and the VM list.
+
+Interface for clients:
+  `GET /v1/values/NAME` returns the value with its revision in `X-Revision`,
+  or 404 without a value.
+  `GET /v1/values/NAME?above=REVISION&wait_s=S` is a long poll: it returns the
+  value once its revision is greater than REVISION, or 204 after `wait_s`
+  seconds (404 without a value).
+  `GET /v1/vms` returns the list of live and leaving VMs.
+Interface for tests and operators:
   `PUT /standin/values/NAME?revision=N`, `PUT /standin/document` (splits and
-  publishes a whole document), `PUT /standin/vms`, `POST /standin/mode`,
-  `GET /standin/calls`.
-
-Modes: `up`; `down` (`how`: `close`, `503` or `hang`); `slow` (`delay_s`);
-`stale` (answers as of `back` publications before the switch); `half` (the
-first half of each value); `garbage` (bytes that aren't JSON); `flap` (`fail`
-of each `of` calls are cut). Each may be limited to `only`: `values` or `vms`.
+  publishes a whole settings document), `PUT /standin/vms`,
+  `POST /standin/mode`, `GET /standin/calls`.
+
+Failure modes: `up` (no failure); `down` (`how`: `close`, `503` or
+`hang`, which keeps the connection open until the mode changes);
+`slow` (delays each response by `delay_s`); `stale` (returns each value as of
+`back` publications before the mode was set); `half` (truncates each value to
+its first half); `garbage` (returns bytes that aren't JSON); `flap` (closes
+the connection of `fail` in every `of` calls). `only`, with `values` or `vms`,
+limits a mode to one of the two interfaces.
 """
 
 import asyncio
@@ -41,7 +46,7 @@
 @cappa.command(name="platform", help="Run the stand-in of the platform.")
 @dataclasses.dataclass
 class PlatformCommand:
-    """Arguments of the platform's stand-in."""
+    """Arguments of the fake platform."""
 
     host: Annotated[
         str, cappa.Arg(long=True, help="IP number to listen on.")
@@ -62,21 +67,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Value:
-    """A value with its revision."""
+    """A revision of a stored value."""
 
     revision: int
     content: bytes
 
 
 @dataclasses.dataclass(slots=True)
-class Platform:
-    """What the stand-in holds.
+class PlatformState:
+    """Stored values, failure mode and call counts of the fake platform.
 
     Attributes:
-      calls_per_s: Calls answered in a second; the others get 429.
-      mode: How it misbehaves.
-      calls: Counted calls by kind.
-      stopping: Whether waiting watches are to be let go.
+      calls_per_s: Rate limit; calls beyond it in a second get status 429.
+      mode: The failure mode with its parameters, as in the module docstring.
+      calls: Number of calls by kind, and of those over the rate limit.
+      is_stopping: Whether the process stops and long polls must end.
     """
 
     calls_per_s: int = 2_000
@@ -86,140 +91,160 @@
     calls: dict[str, int] = dataclasses.field(
         default_factory=lambda: {"values": 0, "vms": 0, "refused": 0}
     )
-    stopping: bool = False
-    _history: dict[str, list[Value]] = dataclasses.field(default_factory=dict)
-    _frozen: dict[str, Value] = dataclasses.field(default_factory=dict)
-    _publication: publish.Publication | None = None
+    is_stopping: bool = False
+    _revisions_by_name: dict[str, list[Value]] = dataclasses.field(
+        default_factory=dict
+    )
+    _stale_values: dict[str, Value] = dataclasses.field(default_factory=dict)
+    _last_publication: publish.Publication | None = None
     _changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    _second: int = 0
-    _in_second: int = 0
+    _window_start_s: int = 0
+    _calls_in_window: int = 0
 
     def put(self, name: str, content: bytes, revision: int | None) -> None:
-        """Sets a value and wakes the watches."""
-        history = self._history.setdefault(name, [])
+        """Stores a value and wakes the long polls.
+
+        Without a revision, the value gets the next one after its last.
+        """
+        revisions = self._revisions_by_name.setdefault(name, [])
         if revision is None:
-            revision = history[-1].revision + 1 if history else 1
-        history.append(Value(revision, content))
-        self._wake()
+            revision = revisions[-1].revision + 1 if revisions else 1
+        revisions.append(Value(revision, content))
+        self._wake_long_polls()
 
     def publish(self, document: str) -> parts.Head:
-        """Publishes a document as an operator's tool does: head last."""
-        publication = publish.publish(document, self._publication)
+        """Publishes a settings document, with its head last.
+
+        Operators' tools publish in the same order.
+        """
+        publication = publish.publish(document, self._last_publication)
         for text_hash, text in publication.texts_by_hash.items():
             name = parts.PART_PREFIX + text_hash
-            held = self._history.get(name)
-            if held is None or held[-1].content != text.encode():
+            stored_revisions = self._revisions_by_name.get(name)
+            if (
+                stored_revisions is None
+                or stored_revisions[-1].content != text.encode()
+            ):
                 self.put(name, text.encode(), publication.head.revision)
         self.put(
             parts.HEAD_NAME,
             parts.head_text(publication.head).encode(),
             publication.head.revision,
         )
-        self._publication = publication
+        self._last_publication = publication
         return publication.head
 
     def set_mode(self, mode: dict[str, Any]) -> None:
-        """Changes how it misbehaves; waiting watches meet it at once."""
+        """Sets the failure mode, also for long polls in progress."""
         back = mode.get("back", 0)
-        self._frozen = {
-            name: history[max(0, len(history) - 1 - back)]
-            for name, history in self._history.items()
+        self._stale_values = {
+            name: revisions[max(0, len(revisions) - 1 - back)]
+            for name, revisions in self._revisions_by_name.items()
         }
         self.mode = mode
-        self._wake()
+        self._wake_long_polls()
 
     def stop(self) -> None:
-        """Lets all waiting watches go."""
-        self.stopping = True
+        """Ends all long polls in progress."""
+        self.is_stopping = True
         self.set_mode({"mode": "up"})
 
     def mode_for(self, kind: str) -> dict[str, Any]:
-        """Returns the mode that holds for `values` or `vms`."""
+        """Returns the failure mode of `values` or `vms`."""
         only = self.mode.get("only", kind)
         return self.mode if only == kind else {"mode": "up"}
 
     def get(self, name: str) -> Value | None:
-        """Returns a value as a reader gets it in the present mode."""
+        """Returns a value, an old revision in the mode `stale`."""
         kind = "vms" if name == "vms" else "values"
         if self.mode_for(kind)["mode"] == "stale":
-            return self._frozen.get(name)
-        history = self._history.get(name)
-        return history[-1] if history else None
+            return self._stale_values.get(name)
+        revisions = self._revisions_by_name.get(name)
+        return revisions[-1] if revisions else None
 
-    def count(self, kind: str) -> bool:
-        """Counts a call; returns whether it is within the rate."""
+    def admit_call(self, kind: str) -> bool:
+        """Counts a call and returns whether the rate limit admits it."""
         self.calls[kind] += 1
-        second = int(time.monotonic())
-        if second != self._second:
-            self._second, self._in_second = second, 0
-        self._in_second += 1
-        if self._in_second <= self.calls_per_s:
+        current_second = int(time.monotonic())
+        if current_second != self._window_start_s:
+            self._window_start_s, self._calls_in_window = current_second, 0
+        self._calls_in_window += 1
+        if self._calls_in_window <= self.calls_per_s:
             return True
         self.calls["refused"] += 1
         return False
 
-    async def changed(self, timeout_s: float) -> None:
-        """Waits for the next change of a value or the mode."""
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Waits at most `timeout_s` for a change of a value or the mode."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout_s)
         except TimeoutError:
             pass
 
-    def _wake(self) -> None:
+    def _wake_long_polls(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 class _Handler(web.RequestHandler):
-    def initialize(self, platform: Platform) -> None:
+    def initialize(self, platform: PlatformState) -> None:
         self.platform = platform
 
-    async def answer(self, name: str, above: int, wait_s: float) -> None:
-        """Answers a read (`above` -1) or a watch, as the mode says."""
+    async def respond(
+        self, name: str, above_revision: int, wait_s: float
+    ) -> None:
+        """Responds to a read or a long poll, subject to the failure mode.
+
+        Args:
+          name: Name of the value, or `vms`.
+          above_revision: Revision that the value must exceed, -1 for a read.
+          wait_s: Timeout of the long poll in seconds, 0 for a read.
+        """
         kind = "vms" if name == "vms" else "values"
-        if not self.platform.count(kind):
+        if not self.platform.admit_call(kind):
             self.set_status(429)
             return
-        ends_at = time.monotonic() + wait_s
+        deadline = time.monotonic() + wait_s
         while True:
             mode = self.platform.mode_for(kind)
-            if self._fails(mode, self.platform.calls[kind]):
-                await self._fail(mode)
+            if self._is_failing(mode, self.platform.calls[kind]):
+                await self._respond_failure(mode)
                 return
             value = self.platform.get(name)
-            # A stale replica answers with what it has, not knowing better.
+            # A stale replica doesn't know of newer revisions: its old value is
+            # returned at once, also to a long poll for a newer one.
             stale = mode["mode"] == "stale"
-            if value and (value.revision > above or stale):
+            if value and (value.revision > above_revision or stale):
                 break
-            left = ends_at - time.monotonic()
-            if left <= 0 or self.platform.stopping:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0 or self.platform.is_stopping:
                 self.set_status(404 if value is None else 204)
                 return
-            await self.platform.changed(left)
+            await self.platform.wait_for_change(remaining_s)
         if mode["mode"] == "slow":
             await asyncio.sleep(mode.get("delay_s", 1.0))
         self.set_header("X-Revision", str(value.revision))
         self.set_header("Content-Type", "application/json")
-        self.write(_spoilt(value.content, mode))
+        self.write(_corrupted(value.content, mode))
 
-    def _fails(self, mode: dict[str, Any], call: int) -> bool:
+    def _is_failing(self, mode: dict[str, Any], call_number: int) -> bool:
         if mode["mode"] == "flap":
-            return call % mode.get("of", 2) < mode.get("fail", 1)
+            return call_number % mode.get("of", 2) < mode.get("fail", 1)
         return mode["mode"] == "down"
 
-    async def _fail(self, mode: dict[str, Any]) -> None:
+    async def _respond_failure(self, mode: dict[str, Any]) -> None:
         match mode.get("how", "close"):
             case "503":
                 self.set_status(503)
             case "hang":
                 while self.platform.mode == mode:
-                    await self.platform.changed(3600)
+                    await self.platform.wait_for_change(3600)
                 self.detach().close()
             case _:
                 self.detach().close()
 
 
-def _spoilt(content: bytes, mode: dict[str, Any]) -> bytes:
+def _corrupted(content: bytes, mode: dict[str, Any]) -> bytes:
     match mode["mode"]:
         case "half":
             return content[: len(content) // 2]
@@ -231,21 +256,21 @@
 
 class _ValueHandler(_Handler):
     async def get(self, name: str) -> None:
-        above = int(self.get_query_argument("above", "-1"))
+        above_revision = int(self.get_query_argument("above", "-1"))
         wait_s = float(self.get_query_argument("wait_s", "0"))
-        await self.answer(name, above, wait_s)
+        await self.respond(name, above_revision, wait_s)
 
 
 class _VmsHandler(_Handler):
     async def get(self) -> None:
-        await self.answer("vms", -1, 0)
+        await self.respond("vms", -1, 0)
 
 
 class _PutValueHandler(_Handler):
     def put(self, name: str) -> None:
         revision = self.get_query_argument("revision", "")
-        number = int(revision) if revision else None
-        self.platform.put(name, self.request.body, number)
+        revision_number = int(revision) if revision else None
+        self.platform.put(name, self.request.body, revision_number)
 
 
 class _PutVmsHandler(_Handler):
@@ -280,7 +305,9 @@
         self.write(self.platform.calls)
 
 
-def _load(platform: Platform, arguments: PlatformCommand) -> None:
+def _load_initial_values(
+    platform: PlatformState, arguments: PlatformCommand
+) -> None:
     if arguments.document:
         platform.publish(arguments.document.read_text(encoding="utf-8"))
     if arguments.vms:
@@ -288,18 +315,18 @@
 
 
 async def serve(arguments: PlatformCommand) -> None:
-    """Runs the stand-in until it is told to stop.
+    """Serves the fake platform until a stop signal.
 
     Args:
-      arguments: The command's arguments.
+      arguments: The command-line arguments.
     """
-    platform = Platform(calls_per_s=arguments.calls_per_s)
-    _load(platform, arguments)
+    platform = PlatformState(calls_per_s=arguments.calls_per_s)
+    _load_initial_values(platform, arguments)
 
     async def drain() -> None:
         platform.stop()
 
-    shell = process.Process(
+    server_process = process.Process(
         environment_lib.Environment(
             vm="platform",
             availability_zone="platform",
@@ -313,16 +340,16 @@
         status=lambda: {"mode": platform.mode, "calls": platform.calls},
         drain=drain,
     )
-    options = {"platform": platform}
-    shell.listen(
+    handler_arguments = {"platform": platform}
+    server_process.listen(
         [
-            (r"/v1/values/(.+)", _ValueHandler, options),
-            (r"/v1/vms", _VmsHandler, options),
-            (r"/standin/values/(.+)", _PutValueHandler, options),
-            (r"/standin/vms", _PutVmsHandler, options),
-            (r"/standin/document", _PutDocumentHandler, options),
-            (r"/standin/mode", _ModeHandler, options),
-            (r"/standin/calls", _CallsHandler, options),
+            (r"/v1/values/(.+)", _ValueHandler, handler_arguments),
+            (r"/v1/vms", _VmsHandler, handler_arguments),
+            (r"/standin/values/(.+)", _PutValueHandler, handler_arguments),
+            (r"/standin/vms", _PutVmsHandler, handler_arguments),
+            (r"/standin/document", _PutDocumentHandler, handler_arguments),
+            (r"/standin/mode", _ModeHandler, handler_arguments),
+            (r"/standin/calls", _CallsHandler, handler_arguments),
         ]
     )
-    await shell.run_until_stopped()
+    await server_process.run_until_stopped()
--- a/src/cowsliprill/standins/service.py
+++ b/src/cowsliprill/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service, with a journal of what it ran."""
+"""A fake plain service that logs the calls it executes."""
 
 import asyncio
 import dataclasses
@@ -10,21 +10,22 @@
 import cappa
 
 from cowsliprill.engines import protocol
-from cowsliprill.standins import misbehaviour as misbehaviour_lib
+from cowsliprill.standins import misbehaviour as fault_injection
 from cowsliprill.standins import shell
 
 
 @cappa.command(name="service", help="Stand-in of a plain service.")
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServiceCommand:
-    """A plain service's stand-in.
+    """Arguments of a fake plain service.
 
     Attributes:
-      id: Its id.
-      host: IP number to listen on.
-      port: TCP port, 0 for any.
-      seconds_per_call: How long a call takes to run.
-      checks_idempotency_keys: Whether it runs a key at most once.
+      id: Endpoint id.
+      host: IP address to listen on.
+      port: TCP port, 0 for any free one.
+      seconds_per_call: Execution time of a call.
+      checks_idempotency_keys: Whether calls with the same idempotency key are
+        executed only once.
     """
 
     id: Annotated[str, cappa.Arg(long=True)]
@@ -35,15 +36,15 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class JournalEntry:
-    """One call that was run.
+class ExecutedCall:
+    """A call in the log of executed calls.
 
     Attributes:
-      request_id: The call's id.
-      idempotency_key: Its key, empty if none.
+      request_id: Request id, empty without one.
+      idempotency_key: Idempotency key, empty without one.
       method: HTTP method.
       path: Path and query.
-      body_sha256: Digest of its body.
+      body_sha256: SHA-256 digest of the body in hexadecimal digits.
     """
 
     request_id: str
@@ -54,82 +55,84 @@
 
 
 class Service:
-    """The stand-in's state.
+    """A fake plain service, without its HTTP server.
 
     Args:
-      command: Its configuration.
+      command: The service's configuration.
 
     Attributes:
-      command: Its configuration.
-      conduct: Its misbehaviour.
-      journal: Every call that it ran, in order.
+      command: The service's configuration.
+      conduct: Injected faults.
+      journal: Every executed call, in order.
     """
 
     def __init__(self, command: ServiceCommand) -> None:
         self.command = command
-        self.conduct = misbehaviour_lib.Conduct()
-        self.journal: list[JournalEntry] = []
-        self._answers_by_key: dict[str, asyncio.Future[bytes]] = {}
-        self._last_answer = b"{}"
+        self.conduct = fault_injection.FaultInjector()
+        self.journal: list[ExecutedCall] = []
+        self._responses_by_key: dict[str, asyncio.Future[bytes]] = {}
+        self._last_response = b"{}"
 
-    async def run(
+    async def execute(
         self,
-        entry: JournalEntry,
+        call: ExecutedCall,
         body: bytes,
-        conduct: misbehaviour_lib.Misbehaviour,
+        faults: fault_injection.Faults,
     ) -> bytes:
-        """Runs a call, or returns what its key's first run gave.
+        """Executes a call, at most once for each checked idempotency key.
+
+        A repeated key gets the response of its first execution.
 
         Args:
-          entry: The call.
-          body: Its body.
-          conduct: What to do wrong.
+          call: The call.
+          body: The call's body.
+          faults: Faults to inject.
 
         Returns:
-          The answer's body.
+          Body of the response.
         """
-        key = entry.idempotency_key
+        key = call.idempotency_key
         if not key or not self.command.checks_idempotency_keys:
-            return await self._run_once(entry, body, conduct)
-        first = self._answers_by_key.get(key)
-        if first is not None:
-            return await asyncio.shield(first)
-        answer = asyncio.ensure_future(self._run_once(entry, body, conduct))
-        self._answers_by_key[key] = answer
-        return await asyncio.shield(answer)
+            return await self._execute_once(call, body, faults)
+        first_execution = self._responses_by_key.get(key)
+        if first_execution is not None:
+            return await asyncio.shield(first_execution)
+        response = asyncio.ensure_future(self._execute_once(call, body, faults))
+        self._responses_by_key[key] = response
+        return await asyncio.shield(response)
 
     def routes(self) -> list[tuple]:
         """Returns the tornado routes."""
-        service = {"service": self}
+        handler_arguments = {"service": self}
         return [
             (
-                shell.MISBEHAVE_PATH,
-                shell.MisbehaveHandler,
+                shell.FAULTS_PATH,
+                shell.FaultsHandler,
                 {"conduct": self.conduct},
             ),
-            (shell.JOURNAL_PATH, _JournalHandler, service),
-            (r"/.*", _CallHandler, service),
+            (shell.REQUEST_LOG_PATH, _ExecutedCallsHandler, handler_arguments),
+            (r"/.*", _CallHandler, handler_arguments),
         ]
 
-    async def _run_once(
+    async def _execute_once(
         self,
-        entry: JournalEntry,
+        call: ExecutedCall,
         body: bytes,
-        conduct: misbehaviour_lib.Misbehaviour,
+        faults: fault_injection.Faults,
     ) -> bytes:
-        self.journal.append(entry)
-        number = len(self.journal)
-        await asyncio.sleep(self.command.seconds_per_call * conduct.slow_factor)
-        answer = {
+        self.journal.append(call)
+        call_number = len(self.journal)
+        await asyncio.sleep(self.command.seconds_per_call * faults.slow_factor)
+        response = {
             "service": self.command.id,
-            "number": number,
-            "method": entry.method,
-            "path": entry.path,
+            "number": call_number,
+            "method": call.method,
+            "path": call.path,
             "received": body.decode(errors="replace"),
         }
-        last = self._last_answer
-        self._last_answer = json.dumps(answer).encode()
-        return last if conduct.swap else self._last_answer
+        previous_response = self._last_response
+        self._last_response = json.dumps(response).encode()
+        return previous_response if faults.swap else self._last_response
 
 
 class _CallHandler(shell.Handler):
@@ -138,60 +141,60 @@
     def initialize(self, service: Service) -> None:
         self._service = service
 
-    async def _call(self) -> None:
+    async def _handle(self) -> None:
         request = self.request
-        conduct = self._service.conduct.take()
-        if conduct.cut_before_run:
-            self.cut()
+        faults = self._service.conduct.take()
+        if faults.cut_before_run:
+            self.abort_connection()
             return
-        if conduct.refuse:
-            await self.refuse(conduct)
+        if faults.refuse:
+            await self.respond_refusal(faults)
             return
         headers = request.headers
-        entry = JournalEntry(
+        call = ExecutedCall(
             request_id=headers.get(protocol.REQUEST_ID_HEADER, ""),
             idempotency_key=headers.get(protocol.IDEMPOTENCY_KEY_HEADER, ""),
             method=request.method,
             path=request.uri,
             body_sha256=hashlib.sha256(request.body).hexdigest(),
         )
-        answer = await self._service.run(entry, request.body, conduct)
-        await asyncio.sleep(conduct.delay_s)
-        await self._answer(answer, conduct)
+        response = await self._service.execute(call, request.body, faults)
+        await asyncio.sleep(faults.delay_s)
+        await self._respond(response, faults)
 
-    async def _answer(
-        self, answer: bytes, conduct: misbehaviour_lib.Misbehaviour
+    async def _respond(
+        self, response: bytes, faults: fault_injection.Faults
     ) -> None:
-        if conduct.foreign_id:
+        if faults.foreign_id:
             self.set_header(protocol.REQUEST_ID_HEADER, "another.e0.x.1.0")
         self.set_header("Content-Type", "application/json")
-        self.set_header("Content-Length", str(len(answer)))
-        if conduct.cut_at_byte is None:
-            self.finish(answer)
+        self.set_header("Content-Length", str(len(response)))
+        if faults.cut_at_byte is None:
+            self.finish(response)
             return
-        self.write(answer[: conduct.cut_at_byte])
+        self.write(response[: faults.cut_at_byte])
         await self.flush()
-        self.cut()
+        self.abort_connection()
 
-    get = head = post = put = patch = delete = _call
+    get = head = post = put = patch = delete = _handle
 
 
-class _JournalHandler(shell.Handler):
+class _ExecutedCallsHandler(shell.Handler):
     def initialize(self, service: Service) -> None:
         self._service = service
 
     def get(self) -> None:
-        entries: list[dict[str, Any]] = [
-            dataclasses.asdict(entry) for entry in self._service.journal
+        calls: list[dict[str, Any]] = [
+            dataclasses.asdict(call) for call in self._service.journal
         ]
-        self.finish({"ran": entries})
+        self.finish({"ran": calls})
 
 
 async def serve(command: ServiceCommand) -> None:
-    """Serves until SIGTERM.
+    """Serves a fake service until SIGTERM or SIGINT.
 
     Args:
-      command: Its configuration.
+      command: The service's configuration.
     """
     service = Service(command)
     server = shell.Server(service.routes(), command.host, command.port)
--- a/src/cowsliprill/standins/shell.py
+++ b/src/cowsliprill/standins/shell.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of engines and services have in common."""
+"""HTTP server and request handlers shared by fake engines and services."""
 
 import asyncio
 import json
@@ -13,24 +13,24 @@
 from cowsliprill import process
 from cowsliprill.engines import protocol
 from cowsliprill.observability import log as log_lib
-from cowsliprill.standins import misbehaviour as misbehaviour_lib
+from cowsliprill.standins import misbehaviour as fault_injection
 
-MISBEHAVE_PATH = "/standin/misbehave"
-HELD_PATH = "/standin/held"
-JOURNAL_PATH = "/standin/journal"
+FAULTS_PATH = "/standin/misbehave"
+USAGE_PATH = "/standin/held"
+REQUEST_LOG_PATH = "/standin/journal"
 
-_UNAVAILABLE = 503
-_TOO_MANY = 429
+_STATUS_UNAVAILABLE = 503
+_STATUS_TOO_MANY_REQUESTS = 429
 
 
 def refusal_body(code: str) -> bytes:
-    """Writes the body of a refusal.
+    """Returns the body of a refusal.
 
     Args:
-      code: The refusal's code.
+      code: Error code of the refusal.
 
     Returns:
-      JSON that says that nothing was run.
+      JSON that states that the request wasn't executed.
     """
     message = f"stand-in says {code}"
     error = {"code": code, "message": message, "run": "no"}
@@ -38,25 +38,25 @@
 
 
 class Handler(web.RequestHandler):
-    """Answers in JSON and can cut its own connection."""
+    """Base handler: JSON bodies, error responses and aborted connections."""
 
     def set_default_headers(self) -> None:
-        """Leaves out tornado's own headers, but echoes the request's id."""
+        """Removes tornado's `Server` header and echoes the request id."""
         self.clear_header("Server")
         request_id = self.request.headers.get(protocol.REQUEST_ID_HEADER)
         if request_id is not None:
             self.set_header(protocol.REQUEST_ID_HEADER, request_id)
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Logs a fault; a reader that is gone is none."""
+        """Logs an exception, unless the client has disconnected."""
         if not isinstance(value, iostream.StreamClosedError):
             super().log_exception(typ, value, tb)
 
-    def fields(self) -> dict[str, Any]:
-        """Returns the body's JSON object.
+    def json_body(self) -> dict[str, Any]:
+        """Returns the JSON object of the request body.
 
         Raises:
-          web.HTTPError: The body is no JSON object.
+          web.HTTPError: The body isn't a JSON object.
         """
         try:
             fields = json.loads(self.request.body)
@@ -66,45 +66,48 @@
             raise web.HTTPError(400)
         return fields
 
-    def fail(
+    def respond_error(
         self, status: int, code: str, *, run: str = "no", **more: Any
     ) -> None:
-        """Answers with an error.
+        """Responds with an error.
 
         Args:
           status: HTTP status.
-          code: The error's code.
-          run: Whether the request was run: `no` or `unknown`.
+          code: Error code.
+          run: Whether the request was executed: `no` or `unknown`.
           **more: Further fields of the error.
         """
         self.set_status(status)
         error = {"code": code, "message": f"stand-in says {code}", "run": run}
         self.finish({"error": {**error, **more}})
 
-    async def refuse(self, conduct: misbehaviour_lib.Misbehaviour) -> None:
-        """Refuses without running, perhaps dying amid the answer.
+    async def respond_refusal(self, faults: fault_injection.Faults) -> None:
+        """Refuses a request without executing it.
 
         Args:
-          conduct: What to do wrong.
+          faults: Faults to inject: the error code of the refusal, and the
+            byte at which the response is cut, if any.
         """
-        full = conduct.refuse == protocol.CODE_FULL
-        self.set_status(_TOO_MANY if full else _UNAVAILABLE)
-        body = refusal_body(conduct.refuse)
+        is_full = faults.refuse == protocol.CODE_FULL
+        self.set_status(
+            _STATUS_TOO_MANY_REQUESTS if is_full else _STATUS_UNAVAILABLE
+        )
+        body = refusal_body(faults.refuse)
         self.set_header("Content-Type", "application/json")
         self.set_header("Content-Length", str(len(body)))
-        if conduct.cut_refusal_at_byte is None:
+        if faults.cut_refusal_at_byte is None:
             self.finish(body)
             return
-        self.write(body[: conduct.cut_refusal_at_byte])
+        self.write(body[: faults.cut_refusal_at_byte])
         await self.flush()
-        self.cut()
+        self.abort_connection()
 
-    def cut(self) -> None:
-        """Closes the connection without ending the answer."""
+    def abort_connection(self) -> None:
+        """Closes the connection without completing the response."""
         self.request.connection.stream.close()
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answers tornado's own errors in the same form."""
+        """Writes tornado's own errors in the form of the other errors."""
         del kwargs
         self.set_header("Content-Type", "application/json")
         self.finish(
@@ -112,41 +115,41 @@
         )
 
 
-class MisbehaveHandler(Handler):
-    """Sets the misbehaviour."""
+class FaultsHandler(Handler):
+    """Replaces the injected faults of an endpoint."""
 
-    def initialize(self, conduct: misbehaviour_lib.Conduct) -> None:
-        """Takes the conduct to change."""
-        self._conduct = conduct
+    def initialize(self, conduct: fault_injection.FaultInjector) -> None:
+        """Sets the fault injector that requests change."""
+        self._fault_injector = conduct
 
     def post(self) -> None:
-        """Replaces the misbehaviour by the body's fields."""
+        """Replaces the faults in force by those of the body."""
         try:
-            self._conduct.set(self.fields())
-        except misbehaviour_lib.MisbehaviourError as error:
-            self.fail(400, error.code)
+            self._fault_injector.set(self.json_body())
+        except fault_injection.FaultsError as error:
+            self.respond_error(400, error.code)
             return
         self.finish({})
 
 
-def _log_nothing(handler: web.RequestHandler) -> None:
+def _discard_access_log(handler: web.RequestHandler) -> None:
     del handler
 
 
 class Server:
-    """A tornado server on a port that the kernel may pick.
+    """An HTTP server that listens from its construction on.
 
     Args:
       routes: tornado routes.
-      host: IP number to listen on.
-      port: TCP port, 0 for any.
+      host: IP address to listen on.
+      port: TCP port, 0 for any free one.
 
     Attributes:
-      port: The port it listens on.
+      port: TCP port that the server listens on.
     """
 
     def __init__(self, routes: list[tuple], host: str, port: int) -> None:
-        application = web.Application(routes, log_function=_log_nothing)
+        application = web.Application(routes, log_function=_discard_access_log)
         sockets = netutil.bind_sockets(port, host)
         self.port = sockets[0].getsockname()[1]
         self._server = httpserver.HTTPServer(application)
@@ -159,20 +162,20 @@
 
 
 async def run_until_signal(name: str, server: Server, **fields: Any) -> None:
-    """Announces the port, waits for SIGTERM or SIGINT and stops.
+    """Logs the port, waits for SIGTERM or SIGINT and stops the server.
 
     Args:
-      name: The process's name in the log.
+      name: Name of the process in the log.
       server: The server.
-      **fields: Further pairs of the log line.
+      **fields: Further keys and values of the log line of the start.
     """
     log = log_lib.open_log(name)
-    stopping = asyncio.Event()
+    stop_event = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_event.set)
     log.event("started", port=server.port, **fields)
-    await stopping.wait()
+    await stop_event.wait()
     await server.stop()
     log.event("stopped")
     process.block_stop_signals()
--- a/src/cowsliprill/standins/turns.py
+++ b/src/cowsliprill/standins/turns.py
@@ -1,36 +1,38 @@
-"""Turns at something that only one may use at a time."""
+"""An asyncio lock that serves its waiters by priority."""
 
 import asyncio
 import heapq
 import itertools
 
 
-class Turns:
-    """Grants turns one at a time, those of high priority first."""
+class PriorityLock:
+    """Mutual exclusion lock that goes to the waiter of highest priority."""
 
     def __init__(self) -> None:
-        self._busy = False
-        self._count = itertools.count()
-        self._waiting: list[tuple[int, int, asyncio.Future[None]]] = []
+        self._locked = False
+        self._arrivals = itertools.count()
+        self._waiters: list[tuple[int, int, asyncio.Future[None]]] = []
 
     async def acquire(self, priority: int) -> None:
-        """Waits for a turn.
+        """Waits for the lock and takes it.
 
         Args:
           priority: Larger goes first; equals go in order of arrival.
         """
-        if not self._busy:
-            self._busy = True
+        if not self._locked:
+            self._locked = True
             return
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, (-priority, next(self._count), turn))
-        await turn
+        waiter: asyncio.Future[None] = (
+            asyncio.get_running_loop().create_future()
+        )
+        heapq.heappush(self._waiters, (-priority, next(self._arrivals), waiter))
+        await waiter
 
     def release(self) -> None:
-        """Ends a turn."""
-        while self._waiting:
-            turn = heapq.heappop(self._waiting)[2]
-            if not turn.done():
-                turn.set_result(None)
+        """Hands the lock to the next waiter, or unlocks without any."""
+        while self._waiters:
+            waiter = heapq.heappop(self._waiters)[2]
+            if not waiter.done():
+                waiter.set_result(None)
                 return
-        self._busy = False
+        self._locked = False
--- a/tests/standin_fleet.py
+++ b/tests/standin_fleet.py
@@ -1,4 +1,4 @@
-"""Stand-ins of engines and of a plain service within the test's process."""
+"""Fake engines and a fake plain service within the process of a test."""
 
 import contextlib
 import dataclasses
@@ -21,17 +21,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Fleet:
-    """One prefill engine, one decode engine, one service and the clients.
+    """Fake prefill engine, decode engine and plain service, with clients.
 
     Attributes:
-      prefill: The prefill engine's state.
-      decode: The decode engine's state.
-      service: The service's state.
-      prefill_endpoint: Where the prefill engine is.
-      decode_endpoint: Where the decode engine is.
-      service_endpoint: Where the service is.
-      client: Client of engines.
-      service_client: Client of services.
+      prefill: The fake prefill engine.
+      decode: The fake decode engine.
+      service: The fake plain service.
+      prefill_endpoint: Endpoint (address and settings) of the prefill engine.
+      decode_endpoint: Endpoint of the decode engine.
+      service_endpoint: Endpoint of the service.
+      client: Client for engines.
+      service_client: Client for plain services.
     """
 
     prefill: engine.Engine
@@ -44,18 +44,26 @@
     service_client: service_client.ServiceClient
 
     def held(self) -> tuple[int, int]:
-        """Counts slots and KV blocks held at both engines."""
-        memories = (self.prefill.memory, self.decode.memory)
+        """Returns the slots and the KV blocks in use at both engines."""
+        engine_states = (self.prefill.memory, self.decode.memory)
         return (
-            sum(memory.used_slots() for memory in memories),
-            sum(memory.used_blocks() for memory in memories),
+            sum(engine_state.used_slots() for engine_state in engine_states),
+            sum(engine_state.used_blocks() for engine_state in engine_states),
         )
 
     async def start_decode(
-        self, request_id: str = REQUEST_ID, **more: Any
+        self, request_id: str = REQUEST_ID, **body_fields: Any
     ) -> engine_client.token_stream.TokenStream:
-        """Runs a prefill and starts its decode."""
-        body = {**BODY, **more}
+        """Completes a prefill and starts its decode.
+
+        Args:
+          request_id: The request id.
+          **body_fields: Fields to add to `BODY` or to replace there.
+
+        Returns:
+          The token stream.
+        """
+        body = {**BODY, **body_fields}
         result = await self.client.prefill(
             self.prefill_endpoint, request_id, body
         )
@@ -64,7 +72,11 @@
         )
 
     async def cancel(self, request_id: str = REQUEST_ID) -> list[bool]:
-        """Cancels at both engines."""
+        """Cancels a request at both engines.
+
+        Returns:
+          The results of the prefill and the decode engine's cancellation.
+        """
         return [
             await self.client.cancel(endpoint, request_id)
             for endpoint in (self.prefill_endpoint, self.decode_endpoint)
@@ -85,13 +97,13 @@
 
 @contextlib.asynccontextmanager
 async def start(**options: Any) -> AsyncIterator[Fleet]:
-    """Starts all stand-ins.
+    """Starts the fake engines and the service, and stops them on exit.
 
     Args:
       **options: Fields of `EngineCommand` for both engines.
 
     Yields:
-      The fleet.
+      The running fakes with their clients.
     """
     options = {"slots": 4, "seconds_per_token": 0.001, **options}
     engines = [
@@ -100,13 +112,17 @@
         )
         for role in ("prefill", "decode")
     ]
-    plain = service.Service(
+    plain_service = service.Service(
         service.ServiceCommand(
             id="desk", seconds_per_call=0, checks_idempotency_keys=True
         )
     )
-    routes = [engine_handlers.routes(one) for one in engines] + [plain.routes()]
-    servers = [shell.Server(table, "127.0.0.1", 0) for table in routes]
+    routes = [
+        engine_handlers.routes(fake_engine) for fake_engine in engines
+    ] + [plain_service.routes()]
+    servers = [
+        shell.Server(server_routes, "127.0.0.1", 0) for server_routes in routes
+    ]
     endpoints = [
         _endpoint(kind, server.port)
         for kind, server in zip(model.EndpointKind, servers, strict=True)
@@ -116,7 +132,7 @@
         yield Fleet(
             prefill=engines[0],
             decode=engines[1],
-            service=plain,
+            service=plain_service,
             prefill_endpoint=endpoints[0],
             decode_endpoint=endpoints[1],
             service_endpoint=endpoints[2],
@@ -125,7 +141,7 @@
         )
     finally:
         http.close()
-        for one in engines:
-            await one.stop()
+        for fake_engine in engines:
+            await fake_engine.stop()
         for server in servers:
             await server.stop()
