--- a/src/cowsliprill/standins/engine.py
+++ b/src/cowsliprill/standins/engine.py
@@ -13,7 +13,7 @@
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_memory
 from cowsliprill.standins import event_writer
-from cowsliprill.standins import misbehaviour as fault_injection
+from cowsliprill.standins import misbehaviour
 from cowsliprill.standins import turns
 
 _DEFAULT_MAX_TOKENS = 16
@@ -41,7 +41,7 @@
         self.memory = engine_memory.EngineState(
             command.slots, command.kv_blocks, command.cache_blocks
         )
-        self.conduct = fault_injection.FaultInjector()
+        self.conduct = misbehaviour.FaultInjector()
         self.order = engine_model.EngineOrder(
             fencing=0,
             target=model.EngineTarget(
@@ -69,7 +69,7 @@
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> None:
         """Simulates a prefill and offers the prompt's KV cache for export.
 
@@ -137,7 +137,7 @@
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> None:
         """Starts to generate output tokens in a background task.
 
@@ -217,7 +217,7 @@
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> None:
         max_tokens = int(body.get("max_tokens", _DEFAULT_MAX_TOKENS))
         token_interval_s = self.command.seconds_per_token * faults.slow_factor
--- a/src/cowsliprill/standins/engine_handlers.py
+++ b/src/cowsliprill/standins/engine_handlers.py
@@ -14,7 +14,7 @@
 from cowsliprill.engines import protocol
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_memory
-from cowsliprill.standins import misbehaviour as fault_injection
+from cowsliprill.standins import misbehaviour
 from cowsliprill.standins import shell
 
 # An export takes as long as the simulated KV cache takes on the link, but only
@@ -59,7 +59,7 @@
         self,
         request: engine_memory.Request,
         after_token: int,
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> None:
         """Streams a request's events, then the end marker.
 
@@ -100,7 +100,7 @@
     """
 
     def __init__(
-        self, handler: _EngineHandler, faults: fault_injection.Faults
+        self, handler: _EngineHandler, faults: misbehaviour.Faults
     ) -> None:
         self._handler = handler
         self._faults = faults
@@ -161,7 +161,7 @@
         self,
         request_id: str,
         body: dict,
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
         is_decode: bool,
     ) -> None:
         prompt = prefix.prompt_text(body)
@@ -184,7 +184,7 @@
         self,
         request: engine_memory.Request,
         body: dict,
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> None:
         await self._engine.prefill(request, body, faults)
         await asyncio.sleep(faults.delay_s)
@@ -211,7 +211,7 @@
         self,
         request: engine_memory.Request,
         body: dict,
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> None:
         transfer = body["kv_transfer_params"]
         if not await self._engine.fetch_kv_cache(request, transfer):
@@ -298,15 +298,15 @@
         faults = self._engine.conduct.current
         request_id = str(self.json_body()["request_id"])
         match faults.cancel:
-            case fault_injection.CancelFault.REFUSE:
+            case misbehaviour.CancelFault.REFUSE:
                 self._engine.conduct.take()
                 self.respond_error(503, "cancel_refused")
                 return
-            case fault_injection.CancelFault.LOSE:
+            case misbehaviour.CancelFault.LOSE:
                 self._engine.conduct.take()
                 self.abort_connection()
                 return
-            case fault_injection.CancelFault.LATE:
+            case misbehaviour.CancelFault.LATE:
                 self._engine.conduct.take()
                 await asyncio.sleep(faults.cancel_delay_s)
         await self._engine_state.cancel(request_id)
--- a/src/cowsliprill/standins/event_writer.py
+++ b/src/cowsliprill/standins/event_writer.py
@@ -8,7 +8,7 @@
 
 from cowsliprill.engines import prefix
 from cowsliprill.standins import engine_memory
-from cowsliprill.standins import misbehaviour as fault_injection
+from cowsliprill.standins import misbehaviour
 
 
 class EventWriter:
@@ -29,7 +29,7 @@
         request: engine_memory.Request,
         body: dict[str, Any],
         token_count: int,
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> None:
         self._request_id = request.request_id
         self._model = str(body.get("model", ""))
--- a/src/cowsliprill/standins/service.py
+++ b/src/cowsliprill/standins/service.py
@@ -10,7 +10,7 @@
 import cappa
 
 from cowsliprill.engines import protocol
-from cowsliprill.standins import misbehaviour as fault_injection
+from cowsliprill.standins import misbehaviour
 from cowsliprill.standins import shell
 
 
@@ -68,7 +68,7 @@
 
     def __init__(self, command: ServiceCommand) -> None:
         self.command = command
-        self.conduct = fault_injection.FaultInjector()
+        self.conduct = misbehaviour.FaultInjector()
         self.journal: list[ExecutedCall] = []
         self._responses_by_key: dict[str, asyncio.Future[bytes]] = {}
         self._last_response = b"{}"
@@ -77,7 +77,7 @@
         self,
         call: ExecutedCall,
         body: bytes,
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> bytes:
         """Executes a call, at most once for each checked idempotency key.
 
@@ -118,7 +118,7 @@
         self,
         call: ExecutedCall,
         body: bytes,
-        faults: fault_injection.Faults,
+        faults: misbehaviour.Faults,
     ) -> bytes:
         self.journal.append(call)
         call_number = len(self.journal)
@@ -163,7 +163,7 @@
         await self._respond(response, faults)
 
     async def _respond(
-        self, response: bytes, faults: fault_injection.Faults
+        self, response: bytes, faults: misbehaviour.Faults
     ) -> None:
         if faults.foreign_id:
             self.set_header(protocol.REQUEST_ID_HEADER, "another.e0.x.1.0")
