--- a/src/cowsliprill/standins/engine_handlers.py
+++ b/src/cowsliprill/standins/engine_handlers.py
@@ -74,13 +74,13 @@
         self.set_header("Content-Type", "text/event-stream")
         await self.flush()
         sender = _EventSender(self, faults)
-        sent = after_token
+        sent_tokens = after_token
         while not sender.is_closed:
-            await request.wait_for_events(sent)
-            if len(request.events) <= sent:
+            await request.wait_for_events(sent_tokens)
+            if len(request.events) <= sent_tokens:
                 break
-            sent += 1
-            await sender.send(request.events[sent - 1], sent)
+            sent_tokens += 1
+            await sender.send(request.events[sent_tokens - 1], sent_tokens)
         if sender.is_closed:
             return
         if request.stage is not _Stage.FINISHED:
@@ -249,14 +249,14 @@
         )
         self.set_header("Content-Type", "application/octet-stream")
         for chunk_number in range(_EXPORT_CHUNKS):
-            sent = chunk_number * _EXPORT_CHUNK_BYTES
+            sent_bytes = chunk_number * _EXPORT_CHUNK_BYTES
             await self._engine.throttle_link(size_bytes / _EXPORT_CHUNKS)
             if faults.stall_export_at_byte is not None:
                 await self._stall_export(
-                    request, sent, faults.stall_export_at_byte
+                    request, sent_bytes, faults.stall_export_at_byte
                 )
-            cut_at = faults.cut_export_at_byte
-            is_cut = cut_at is not None and sent >= cut_at
+            cut_at_byte = faults.cut_export_at_byte
+            is_cut = cut_at_byte is not None and sent_bytes >= cut_at_byte
             if is_cut or request.stage is not _Stage.EXPORTED:
                 self.abort_connection()
                 return
@@ -266,9 +266,12 @@
         self.finish()
 
     async def _stall_export(
-        self, request: engine_memory.Request, sent: int, stall_at_byte: int
+        self,
+        request: engine_memory.Request,
+        sent_bytes: int,
+        stall_at_byte: int,
     ) -> None:
-        if sent < stall_at_byte:
+        if sent_bytes < stall_at_byte:
             return
         await request.wait_until_left(_Stage.EXPORTED)
 
