--- a/features/support/fake_entry.py
+++ b/features/support/fake_entry.py
@@ -7,10 +7,10 @@
 import sys
 
 from cowsliprill import peers
-from cowsliprill.standins import shell
+from cowsliprill.standins import http_server
 
 
-class _IncarnationHandler(shell.Handler):
+class _IncarnationHandler(http_server.Handler):
     def initialize(self, incarnation: str) -> None:
         self._incarnation = incarnation
 
@@ -24,8 +24,8 @@
         _IncarnationHandler,
         {"incarnation": incarnation},
     )
-    server = shell.Server([route], "127.0.0.1", port)
-    await shell.run_until_signal(incarnation, server)
+    server = http_server.Server([route], "127.0.0.1", port)
+    await http_server.run_until_signal(incarnation, server)
 
 
 if __name__ == "__main__":
--- a/src/cowsliprill/standins/engine.py
+++ b/src/cowsliprill/standins/engine.py
@@ -13,7 +13,7 @@
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_memory
 from cowsliprill.standins import event_writer
-from cowsliprill.standins import misbehaviour
+from cowsliprill.standins import fault_injection
 from cowsliprill.standins import turns
 
 _DEFAULT_MAX_TOKENS = 16
@@ -30,18 +30,18 @@
 
     Attributes:
       command: The engine's configuration.
-      memory: Slots, KV blocks, prefix cache and request log.
-      conduct: Injected faults.
+      state: Slots, KV blocks, prefix cache and request log.
+      faults: Injected faults.
       order: The last accepted order: target role, model and fencing token.
       report: The load report, refreshed every `report_lag_s` seconds.
     """
 
     def __init__(self, command: engine_command.EngineCommand) -> None:
         self.command = command
-        self.memory = engine_memory.EngineState(
+        self.state = engine_memory.EngineState(
             command.slots, command.kv_blocks, command.cache_blocks
         )
-        self.conduct = misbehaviour.FaultInjector()
+        self.faults = fault_injection.FaultInjector()
         self.order = engine_model.EngineOrder(
             fencing=0,
             target=model.EngineTarget(
@@ -69,7 +69,7 @@
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> None:
         """Simulates a prefill and offers the prompt's KV cache for export.
 
@@ -86,7 +86,7 @@
         await self._prefill_lock.acquire(int(body.get("priority", 0)))
         try:
             cached_tokens = (
-                self.memory.count_cached(hashes) * prompt_blocks.BLOCK_TOKENS
+                self.state.count_cached(hashes) * prompt_blocks.BLOCK_TOKENS
             )
             tokens = max(request.prompt_tokens - cached_tokens, 1)
             duration_s = tokens / self.command.prefill_tokens_per_s
@@ -95,7 +95,7 @@
             self._prefill_lock.release()
         if request.stage is not _Stage.PREFILL:
             return
-        self.memory.cache_prompt(hashes)
+        self.state.cache_prompt(hashes)
         await request.set_stage(_Stage.EXPORTED)
         self._start_task(self._evict_export(request))
 
@@ -137,7 +137,7 @@
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> None:
         """Starts to generate output tokens in a background task.
 
@@ -164,12 +164,12 @@
         task.add_done_callback(self._tasks.discard)
 
     def _current_load(self) -> engine_model.LoadReport:
-        used_blocks = self.memory.used_blocks()
+        used_blocks = self.state.used_blocks()
         return engine_model.LoadReport(
-            running=self.memory.used_slots(),
+            running=self.state.used_slots(),
             waiting=0,
-            kv_usage=used_blocks / self.memory.blocks,
-            slots=self.memory.slots,
+            kv_usage=used_blocks / self.state.blocks,
+            slots=self.state.slots,
         )
 
     async def _refresh_report(self) -> None:
@@ -217,7 +217,7 @@
         self,
         request: engine_memory.Request,
         body: dict[str, Any],
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> None:
         max_tokens = int(body.get("max_tokens", _DEFAULT_MAX_TOKENS))
         token_interval_s = self.command.seconds_per_token * faults.slow_factor
--- a/src/cowsliprill/standins/engine_handlers.py
+++ b/src/cowsliprill/standins/engine_handlers.py
@@ -14,8 +14,8 @@
 from cowsliprill.engines import protocol
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_memory
-from cowsliprill.standins import misbehaviour
-from cowsliprill.standins import shell
+from cowsliprill.standins import fault_injection
+from cowsliprill.standins import http_server
 
 # An export takes as long as the simulated KV cache takes on the link, but only
 # this many bytes are sent in place of a real engine's hundreds of megabytes.
@@ -41,25 +41,25 @@
         (protocol.CACHE_EVENTS_PATH, _CacheEventsHandler, handler_arguments),
         (protocol.ORDERS_PATH, _OrdersHandler, handler_arguments),
         (
-            shell.FAULTS_PATH,
-            shell.FaultsHandler,
-            {"conduct": engine.conduct},
+            http_server.FAULTS_PATH,
+            http_server.FaultsHandler,
+            {"faults": engine.faults},
         ),
-        (shell.USAGE_PATH, _UsageHandler, handler_arguments),
-        (shell.REQUEST_LOG_PATH, _RequestLogHandler, handler_arguments),
+        (http_server.USAGE_PATH, _UsageHandler, handler_arguments),
+        (http_server.REQUEST_LOG_PATH, _RequestLogHandler, handler_arguments),
     ]
 
 
-class _EngineHandler(shell.Handler):
+class _EngineHandler(http_server.Handler):
     def initialize(self, engine: engine_lib.Engine) -> None:
         self._engine = engine
-        self._engine_state = engine.memory
+        self._engine_state = engine.state
 
     async def stream_events(
         self,
         request: engine_memory.Request,
         after_token: int,
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> None:
         """Streams a request's events, then the end marker.
 
@@ -100,7 +100,7 @@
     """
 
     def __init__(
-        self, handler: _EngineHandler, faults: misbehaviour.Faults
+        self, handler: _EngineHandler, faults: fault_injection.Faults
     ) -> None:
         self._handler = handler
         self._faults = faults
@@ -138,7 +138,7 @@
 
 class _CompletionHandler(_EngineHandler):
     async def post(self) -> None:
-        faults = self._engine.conduct.take()
+        faults = self._engine.faults.take()
         body = self.json_body()
         request_id = self.request.headers.get(protocol.REQUEST_ID_HEADER, "")
         transfer = body.get("kv_transfer_params") or {}
@@ -161,7 +161,7 @@
         self,
         request_id: str,
         body: dict,
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
         is_decode: bool,
     ) -> None:
         prompt = prompt_blocks.prompt_text(body)
@@ -184,7 +184,7 @@
         self,
         request: engine_memory.Request,
         body: dict,
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> None:
         await self._engine.prefill(request, body, faults)
         await asyncio.sleep(faults.delay_s)
@@ -211,7 +211,7 @@
         self,
         request: engine_memory.Request,
         body: dict,
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> None:
         transfer = body["kv_transfer_params"]
         if not await self._engine.fetch_kv_cache(request, transfer):
@@ -239,7 +239,7 @@
 
 class _ExportHandler(_EngineHandler):
     async def get(self, handle: str) -> None:
-        faults = self._engine.conduct.current
+        faults = self._engine.faults.current
         request = self._engine_state.requests_by_id.get(handle)
         if request is None or request.stage is not _Stage.EXPORTED:
             self.respond_error(410, protocol.CODE_EVICTED)
@@ -278,7 +278,7 @@
 
 class _ResumeHandler(_EngineHandler):
     async def post(self) -> None:
-        faults = self._engine.conduct.take()
+        faults = self._engine.faults.take()
         fields = self.json_body()
         request = self._engine_state.requests_by_id.get(
             str(fields["request_id"])
@@ -298,19 +298,19 @@
 
 class _CancelHandler(_EngineHandler):
     async def post(self) -> None:
-        faults = self._engine.conduct.current
+        faults = self._engine.faults.current
         request_id = str(self.json_body()["request_id"])
         match faults.cancel:
-            case misbehaviour.CancelFault.REFUSE:
-                self._engine.conduct.take()
+            case fault_injection.CancelFault.REFUSE:
+                self._engine.faults.take()
                 self.respond_error(503, "cancel_refused")
                 return
-            case misbehaviour.CancelFault.LOSE:
-                self._engine.conduct.take()
+            case fault_injection.CancelFault.LOSE:
+                self._engine.faults.take()
                 self.abort_connection()
                 return
-            case misbehaviour.CancelFault.LATE:
-                self._engine.conduct.take()
+            case fault_injection.CancelFault.LATE:
+                self._engine.faults.take()
                 await asyncio.sleep(faults.cancel_delay_s)
         await self._engine_state.cancel(request_id)
         self.finish({"request_id": request_id, "held": False})
@@ -325,7 +325,7 @@
                 "stage": request.stage,
                 "age_s": now - request.arrived_at,
             }
-            for request in self._engine_state.held_requests()
+            for request in self._engine_state.active_requests()
         ]
         self.finish({"requests": requests})
 
@@ -338,7 +338,7 @@
 
 class _CacheEventsHandler(_EngineHandler):
     def get(self) -> None:
-        faults = self._engine.conduct.current
+        faults = self._engine.faults.current
         events = self._engine_state.cache_events(
             int(self.get_query_argument("after", "0")),
             faults.cache_lag_s,
@@ -358,7 +358,7 @@
         highest = engine.order.fencing
         is_checked = (
             engine.command.checks_fencing
-            and not engine.conduct.current.ignore_fencing
+            and not engine.faults.current.ignore_fencing
         )
         if is_checked and fencing < highest:
             self.respond_error(
@@ -378,7 +378,7 @@
     def get(self) -> None:
         exported = [
             request
-            for request in self._engine_state.held_requests()
+            for request in self._engine_state.active_requests()
             if request.stage is _Stage.EXPORTED
         ]
         self.finish(
--- a/src/cowsliprill/standins/engine_memory.py
+++ b/src/cowsliprill/standins/engine_memory.py
@@ -124,7 +124,7 @@
         ] = collections.deque(maxlen=_MAX_CACHE_EVENTS)
         self._last_seq = 0
 
-    def held_requests(self) -> list[Request]:
+    def active_requests(self) -> list[Request]:
         """Returns the requests that hold KV blocks."""
         self._active = [
             request for request in self._active if request.holds_kv_blocks
@@ -133,11 +133,11 @@
 
     def used_slots(self) -> int:
         """Returns the number of occupied slots of the batch."""
-        return sum(request.holds_slot for request in self.held_requests())
+        return sum(request.holds_slot for request in self.active_requests())
 
     def used_blocks(self) -> int:
         """Returns the number of KV blocks in use."""
-        return sum(request.blocks for request in self.held_requests())
+        return sum(request.blocks for request in self.active_requests())
 
     def admit(
         self, request_id: str, prompt: str, tokens: int, stage: RequestStage
--- a/src/cowsliprill/standins/engine_server.py
+++ b/src/cowsliprill/standins/engine_server.py
@@ -3,7 +3,7 @@
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_handlers
-from cowsliprill.standins import shell
+from cowsliprill.standins import http_server
 
 Command = engine_command.EngineCommand
 
@@ -16,10 +16,10 @@
     """
     engine = engine_lib.Engine(command)
     engine.start()
-    server = shell.Server(
+    server = http_server.Server(
         engine_handlers.routes(engine), command.host, command.port
     )
-    await shell.run_until_signal(
+    await http_server.run_until_signal(
         f"standin.{command.id}", server, role=command.role
     )
     await engine.stop()
--- a/src/cowsliprill/standins/event_writer.py
+++ b/src/cowsliprill/standins/event_writer.py
@@ -8,7 +8,7 @@
 
 from cowsliprill.engines import prompt_blocks
 from cowsliprill.standins import engine_memory
-from cowsliprill.standins import misbehaviour
+from cowsliprill.standins import fault_injection
 
 
 class EventWriter:
@@ -29,7 +29,7 @@
         request: engine_memory.Request,
         body: dict[str, Any],
         token_count: int,
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> None:
         self._request_id = request.request_id
         self._model = str(body.get("model", ""))
--- a/src/cowsliprill/standins/shell.py
+++ b/src/cowsliprill/standins/http_server.py
@@ -13,7 +13,7 @@
 from cowsliprill import process
 from cowsliprill.engines import protocol
 from cowsliprill.observability import log as log_lib
-from cowsliprill.standins import misbehaviour
+from cowsliprill.standins import fault_injection
 
 FAULTS_PATH = "/standin/misbehave"
 USAGE_PATH = "/standin/held"
@@ -81,7 +81,7 @@
         error = {"code": code, "message": f"stand-in says {code}", "run": run}
         self.finish({"error": {**error, **more}})
 
-    async def respond_refusal(self, faults: misbehaviour.Faults) -> None:
+    async def respond_refusal(self, faults: fault_injection.Faults) -> None:
         """Refuses a request without executing it.
 
         Args:
@@ -118,15 +118,15 @@
 class FaultsHandler(Handler):
     """Replaces the injected faults of an endpoint."""
 
-    def initialize(self, conduct: misbehaviour.FaultInjector) -> None:
+    def initialize(self, faults: fault_injection.FaultInjector) -> None:
         """Sets the fault injector that requests change."""
-        self._fault_injector = conduct
+        self._fault_injector = faults
 
     def post(self) -> None:
         """Replaces the faults in force by those of the body."""
         try:
             self._fault_injector.set(self.json_body())
-        except misbehaviour.FaultsError as error:
+        except fault_injection.FaultsError as error:
             self.respond_error(400, error.code)
             return
         self.finish({})
--- a/src/cowsliprill/standins/service.py
+++ b/src/cowsliprill/standins/service.py
@@ -10,8 +10,8 @@
 import cappa
 
 from cowsliprill.engines import protocol
-from cowsliprill.standins import misbehaviour
-from cowsliprill.standins import shell
+from cowsliprill.standins import fault_injection
+from cowsliprill.standins import http_server
 
 
 @cappa.command(name="service", help="Stand-in of a plain service.")
@@ -62,14 +62,14 @@
 
     Attributes:
       command: The service's configuration.
-      conduct: Injected faults.
-      journal: Every executed call, in order.
+      faults: Injected faults.
+      executed_calls: Every executed call, in order.
     """
 
     def __init__(self, command: ServiceCommand) -> None:
         self.command = command
-        self.conduct = misbehaviour.FaultInjector()
-        self.journal: list[ExecutedCall] = []
+        self.faults = fault_injection.FaultInjector()
+        self.executed_calls: list[ExecutedCall] = []
         self._responses_by_key: dict[str, asyncio.Future[bytes]] = {}
         self._last_response = b"{}"
 
@@ -77,7 +77,7 @@
         self,
         call: ExecutedCall,
         body: bytes,
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> bytes:
         """Executes a call, at most once for each checked idempotency key.
 
@@ -106,11 +106,15 @@
         handler_arguments = {"service": self}
         return [
             (
-                shell.FAULTS_PATH,
-                shell.FaultsHandler,
-                {"conduct": self.conduct},
+                http_server.FAULTS_PATH,
+                http_server.FaultsHandler,
+                {"faults": self.faults},
+            ),
+            (
+                http_server.REQUEST_LOG_PATH,
+                _ExecutedCallsHandler,
+                handler_arguments,
             ),
-            (shell.REQUEST_LOG_PATH, _ExecutedCallsHandler, handler_arguments),
             (r"/.*", _CallHandler, handler_arguments),
         ]
 
@@ -118,10 +122,10 @@
         self,
         call: ExecutedCall,
         body: bytes,
-        faults: misbehaviour.Faults,
+        faults: fault_injection.Faults,
     ) -> bytes:
-        self.journal.append(call)
-        call_number = len(self.journal)
+        self.executed_calls.append(call)
+        call_number = len(self.executed_calls)
         await asyncio.sleep(self.command.seconds_per_call * faults.slow_factor)
         response = {
             "service": self.command.id,
@@ -135,7 +139,7 @@
         return previous_response if faults.swap else self._last_response
 
 
-class _CallHandler(shell.Handler):
+class _CallHandler(http_server.Handler):
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE")
 
     def initialize(self, service: Service) -> None:
@@ -143,7 +147,7 @@
 
     async def _handle(self) -> None:
         request = self.request
-        faults = self._service.conduct.take()
+        faults = self._service.faults.take()
         if faults.cut_before_run:
             self.abort_connection()
             return
@@ -163,7 +167,7 @@
         await self._respond(response, faults)
 
     async def _respond(
-        self, response: bytes, faults: misbehaviour.Faults
+        self, response: bytes, faults: fault_injection.Faults
     ) -> None:
         if faults.foreign_id:
             self.set_header(protocol.REQUEST_ID_HEADER, "another.e0.x.1.0")
@@ -179,13 +183,13 @@
     get = head = post = put = patch = delete = _handle
 
 
-class _ExecutedCallsHandler(shell.Handler):
+class _ExecutedCallsHandler(http_server.Handler):
     def initialize(self, service: Service) -> None:
         self._service = service
 
     def get(self) -> None:
         calls: list[dict[str, Any]] = [
-            dataclasses.asdict(call) for call in self._service.journal
+            dataclasses.asdict(call) for call in self._service.executed_calls
         ]
         self.finish({"ran": calls})
 
@@ -197,7 +201,7 @@
       command: The service's configuration.
     """
     service = Service(command)
-    server = shell.Server(service.routes(), command.host, command.port)
-    await shell.run_until_signal(
+    server = http_server.Server(service.routes(), command.host, command.port)
+    await http_server.run_until_signal(
         f"standin.{command.id}", server, role="service"
     )
--- a/tests/entry_site.py
+++ b/tests/entry_site.py
@@ -31,8 +31,8 @@
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_handlers
+from cowsliprill.standins import http_server
 from cowsliprill.standins import service as service_lib
-from cowsliprill.standins import shell
 
 HOST = "127.0.0.1"
 SECRET = "shared by the VMs"
@@ -113,7 +113,7 @@
         self.received_requests: list[slot_messages.SlotsRequest] = []
         self.cancels: list[slot_messages.Cancellation] = []
         handler_arguments = {"coordinator": self}
-        self.server = shell.Server(
+        self.server = http_server.Server(
             [
                 (peers.SLOTS_PATH, SlotsHandler, handler_arguments),
                 (peers.CANCELS_PATH, CancelsHandler, handler_arguments),
@@ -162,7 +162,7 @@
         self.drain_notice_s = drain_notice_s
         self.coordinator = FakeCoordinator()
         self.engines: dict[str, engine_lib.Engine] = {}
-        self._engine_servers: list[shell.Server] = []
+        self._engine_servers: list[http_server.Server] = []
         self.services: dict[str, service_lib.Service] = {}
         self.endpoints: dict[str, model.Endpoint] = {}
         self.entries: list[core.Entry] = []
@@ -182,7 +182,7 @@
                 link_bytes_per_s=1e9,
             )
         )
-        server = shell.Server(engine_handlers.routes(engine), HOST, 0)
+        server = http_server.Server(engine_handlers.routes(engine), HOST, 0)
         engine.start()
         self._stack.push_async_callback(server.stop)
         self._stack.push_async_callback(engine.stop)
@@ -198,7 +198,7 @@
                 id=endpoint_id, checks_idempotency_keys=checks
             )
         )
-        server = shell.Server(service.routes(), HOST, 0)
+        server = http_server.Server(service.routes(), HOST, 0)
         self._stack.push_async_callback(server.stop)
         self.services[endpoint_id] = service
         self._add_endpoint(endpoint_id, "plain", pool, server.port, 8, checks)
@@ -433,7 +433,7 @@
         await until(
             lambda: (
                 not any(
-                    engine.memory.held_requests()
+                    engine.state.active_requests()
                     for engine in self.engines.values()
                 )
             )
@@ -449,7 +449,7 @@
                 request.stage == stage
                 for name, engine in self.engines.items()
                 if name.startswith(kind)
-                for request in engine.memory.held_requests()
+                for request in engine.state.active_requests()
             )
         )
 
--- a/tests/standin_fleet.py
+++ b/tests/fake_fleet.py
@@ -12,8 +12,8 @@
 from cowsliprill.standins import engine
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_handlers
+from cowsliprill.standins import http_server
 from cowsliprill.standins import service
-from cowsliprill.standins import shell
 
 REQUEST_ID = "vm1.e0.a1.1.0"
 BODY = {"model": "m", "prompt": "a long case file " * 20, "max_tokens": 5}
@@ -43,9 +43,9 @@
     client: engine_client.EngineClient
     service_client: service_client.ServiceClient
 
-    def held(self) -> tuple[int, int]:
+    def used_resources(self) -> tuple[int, int]:
         """Returns the slots and the KV blocks in use at both engines."""
-        engine_states = (self.prefill.memory, self.decode.memory)
+        engine_states = (self.prefill.state, self.decode.state)
         return (
             sum(engine_state.used_slots() for engine_state in engine_states),
             sum(engine_state.used_blocks() for engine_state in engine_states),
@@ -121,7 +121,8 @@
         engine_handlers.routes(fake_engine) for fake_engine in engines
     ] + [plain_service.routes()]
     servers = [
-        shell.Server(server_routes, "127.0.0.1", 0) for server_routes in routes
+        http_server.Server(server_routes, "127.0.0.1", 0)
+        for server_routes in routes
     ]
     endpoints = [
         _endpoint(kind, server.port)
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -4,7 +4,7 @@
 import functools
 
 import pytest
-from tests import standin_fleet
+from tests import fake_fleet
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
@@ -12,9 +12,9 @@
 from cowsliprill.engines import errors
 from cowsliprill.engines import protocol
 from cowsliprill.standins import engine_memory
-from cowsliprill.standins import shell
+from cowsliprill.standins import http_server
 
-_ID = standin_fleet.REQUEST_ID
+_ID = fake_fleet.REQUEST_ID
 _OTHER = "vm2.e0.b2.1.0"
 _Stage = engine_memory.RequestStage
 
@@ -26,7 +26,7 @@
     @functools.wraps(scenario)
     def run(self, *args) -> None:
         async def body() -> None:
-            async with standin_fleet.start(**options) as fleet:
+            async with fake_fleet.start(**options) as fleet:
                 async with asyncio.timeout(20):
                     await scenario(self, fleet, *args)
 
@@ -50,7 +50,7 @@
 
 
 def _expected_events(fleet, request_id: str = _ID) -> bytes:
-    request = fleet.decode.memory.requests_by_id[request_id]
+    request = fleet.decode.state.requests_by_id[request_id]
     return b"".join(request.events)
 
 
@@ -63,7 +63,7 @@
         received = await _read(stream)
         assert received == _expected_events(fleet) + protocol.END_MARKER
         assert stream.validator.last_token == 5
-        assert fleet.held() == (0, 0)
+        assert fleet.used_resources() == (0, 0)
 
     @_with_fleet
     async def test_customers_share_no_cache_blocks(self, fleet) -> None:
@@ -78,7 +78,7 @@
             )
         events = await fleet.client.cache_events(fleet.prefill_endpoint, 0)
         blocks = [event.block for event in events.events]
-        prompt_blocks = len(standin_fleet.BODY["prompt"]) // 64
+        prompt_blocks = len(fake_fleet.BODY["prompt"]) // 64
         assert len(set(blocks)) == len(blocks) == 2 * prompt_blocks
 
 
@@ -100,27 +100,25 @@
 
         @_with_fleet(prefill_tokens_per_s=1e9, link_bytes_per_s=1e9)
         async def scenario(self, fleet) -> None:
-            fleet.prefill.conduct.set(fault)
+            fleet.prefill.faults.set(fault)
             call = asyncio.create_task(fleet.start_decode())
             engine = fleet.prefill if stage is _Stage.PREFILL else fleet.decode
             await _wait_for_stage(engine, stage)
             call.cancel()
             await asyncio.gather(call, return_exceptions=True)
-            assert fleet.held() != (0, 0)
+            assert fleet.used_resources() != (0, 0)
             assert await fleet.cancel() == [True, True]
-            assert fleet.held() == (0, 0)
+            assert fleet.used_resources() == (0, 0)
 
         scenario(None)
 
     @_with_fleet
     async def test_between_prefill_and_transfer(self, fleet) -> None:
         """The caller disconnects just after its prefill has finished."""
-        await fleet.client.prefill(
-            fleet.prefill_endpoint, _ID, standin_fleet.BODY
-        )
-        assert fleet.held()[1] > 0
+        await fleet.client.prefill(fleet.prefill_endpoint, _ID, fake_fleet.BODY)
+        assert fleet.used_resources()[1] > 0
         assert await fleet.cancel() == [True, True]
-        assert fleet.held() == (0, 0)
+        assert fleet.used_resources() == (0, 0)
 
     @_with_fleet(seconds_per_token=0.05)
     async def test_during_decode(self, fleet) -> None:
@@ -135,7 +133,7 @@
         running = await fleet.client.running(fleet.decode_endpoint)
         assert [request.request_id for request in running] == [_ID]
         assert await fleet.cancel() == [True, True]
-        assert fleet.held() == (0, 0)
+        assert fleet.used_resources() == (0, 0)
 
     @_with_fleet
     async def test_cancel_before_its_request(self, fleet) -> None:
@@ -144,7 +142,7 @@
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.start_decode()
         assert caught.value.run is messages.Executed.NO
-        assert fleet.held() == (0, 0)
+        assert fleet.used_resources() == (0, 0)
 
     @pytest.mark.parametrize("fault", ["refuse", "lose"])
     def test_failed_cancel_is_not_reported_as_done(self, fault) -> None:
@@ -156,12 +154,12 @@
         @_with_fleet
         async def scenario(self, fleet) -> None:
             await fleet.client.prefill(
-                fleet.prefill_endpoint, _ID, standin_fleet.BODY
+                fleet.prefill_endpoint, _ID, fake_fleet.BODY
             )
-            fleet.prefill.conduct.set({"cancel": fault, "times": 1})
+            fleet.prefill.faults.set({"cancel": fault, "times": 1})
             assert await fleet.cancel() == [False, True]
             assert await fleet.cancel() == [True, True]
-            assert fleet.held() == (0, 0)
+            assert fleet.used_resources() == (0, 0)
 
         scenario(None)
 
@@ -169,7 +167,7 @@
     async def test_cancel_that_times_out_is_not_reported_as_done(
         self, fleet
     ) -> None:
-        fleet.prefill.conduct.set({"cancel": "late", "cancel_delay_s": 60})
+        fleet.prefill.faults.set({"cancel": "late", "cancel_delay_s": 60})
         assert not await fleet.client.cancel(
             fleet.prefill_endpoint, _ID, timeout_s=0.05
         )
@@ -177,7 +175,7 @@
 
 async def _wait_for_stage(engine, stage) -> engine_memory.Request:
     for _ in range(1_000_000):
-        request = engine.memory.requests_by_id.get(_ID)
+        request = engine.state.requests_by_id.get(_ID)
         if request is not None and request.stage is stage:
             return request
         await asyncio.sleep(0)
@@ -193,12 +191,12 @@
     def test_complete_refusal_proves_not_executed(self, code) -> None:
         @_with_fleet
         async def scenario(self, fleet) -> None:
-            fleet.prefill.conduct.set({"refuse": code})
+            fleet.prefill.faults.set({"refuse": code})
             with pytest.raises(errors.EngineRefused) as caught:
                 await fleet.start_decode()
             assert caught.value.code == code
             assert caught.value.run is messages.Executed.NO
-            assert fleet.prefill.memory.requests_by_id == {}
+            assert fleet.prefill.state.requests_by_id == {}
 
         scenario(None)
 
@@ -214,15 +212,15 @@
     async def test_evicted_prefill(self, fleet) -> None:
         """The decode starts after the exported KV cache has expired."""
         result = await fleet.client.prefill(
-            fleet.prefill_endpoint, _ID, standin_fleet.BODY
+            fleet.prefill_endpoint, _ID, fake_fleet.BODY
         )
         await _wait_for_stage(fleet.prefill, _Stage.EVICTED)
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.client.decode(
-                fleet.decode_endpoint, _ID, standin_fleet.BODY, result
+                fleet.decode_endpoint, _ID, fake_fleet.BODY, result
             )
         assert caught.value.code == protocol.CODE_EVICTED
-        assert fleet.held() == (0, 0)
+        assert fleet.used_resources() == (0, 0)
 
     @_with_fleet
     async def test_truncated_refusal(self, fleet) -> None:
@@ -232,9 +230,9 @@
         only a complete one proves that the request was not executed.
         """
         refusal = {"refuse": protocol.CODE_FULL, "times": 1}
-        length = len(shell.refusal_body(protocol.CODE_FULL))
+        length = len(http_server.refusal_body(protocol.CODE_FULL))
         for end in range(length + 1):
-            fleet.prefill.conduct.set({**refusal, "cut_refusal_at_byte": end})
+            fleet.prefill.faults.set({**refusal, "cut_refusal_at_byte": end})
             with pytest.raises(errors.CallError) as caught:
                 await fleet.start_decode()
             is_refusal = isinstance(caught.value, errors.EngineRefused)
@@ -244,7 +242,7 @@
     @_with_fleet
     async def test_refusal_of_another_request(self, fleet) -> None:
         """An engine sends a refusal that carries another request's id."""
-        fleet.prefill.conduct.set({"foreign_id": True})
+        fleet.prefill.faults.set({"foreign_id": True})
         with pytest.raises(errors.ResponseIdMismatch) as caught:
             await fleet.start_decode()
         assert caught.value.run is messages.Executed.UNKNOWN
@@ -262,7 +260,7 @@
         """
         for number, end in enumerate(range(0, 900, 61)):
             request_id = f"v.e.x.{number}.0"
-            fleet.decode.conduct.set({"cut_at_byte": end, "times": 1})
+            fleet.decode.faults.set({"cut_at_byte": end, "times": 1})
             stream = await fleet.start_decode(request_id)
             received, stream_error = await _read_until_error(stream)
             assert stream_error.resumable
@@ -273,10 +271,10 @@
 
     @_with_fleet
     async def test_resumed_stream_repeats_a_token(self, fleet) -> None:
-        fleet.decode.conduct.set({"cut_at_token": 3, "times": 1})
+        fleet.decode.faults.set({"cut_at_token": 3, "times": 1})
         stream = await fleet.start_decode()
         received, _ = await _read_until_error(stream)
-        fleet.decode.conduct.set({"repeat_token": True})
+        fleet.decode.faults.set({"repeat_token": True})
         await fleet.client.resume(fleet.decode_endpoint, stream)
         received += await _read(stream)
         assert received == _expected_events(fleet) + protocol.END_MARKER
@@ -284,10 +282,10 @@
     @_with_fleet
     async def test_resume_of_an_unknown_request(self, fleet) -> None:
         """The engine was replaced; the new one can't resume the request."""
-        fleet.decode.conduct.set({"cut_at_token": 2, "times": 1})
+        fleet.decode.faults.set({"cut_at_token": 2, "times": 1})
         stream = await fleet.start_decode()
         await _read_until_error(stream)
-        fleet.decode.memory.requests_by_id.clear()
+        fleet.decode.state.requests_by_id.clear()
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.client.resume(fleet.decode_endpoint, stream)
         assert caught.value.code == protocol.CODE_UNKNOWN_REQUEST
@@ -295,13 +293,13 @@
     @_with_fleet
     async def test_stalled_stream(self, fleet) -> None:
         """The engine stops sending while the connection stays open."""
-        fleet.decode.conduct.set({"stall_at_token": 2, "times": 1})
+        fleet.decode.faults.set({"stall_at_token": 2, "times": 1})
         stream = await fleet.start_decode()
         _, stream_error = await _read_until_error(stream)
         assert stream_error.reason is stream_lib.StreamFault.STALLED
         assert stream_error.last_token == 2
         assert await fleet.cancel() == [True, True]
-        assert fleet.held() == (0, 0)
+        assert fleet.used_resources() == (0, 0)
 
     @pytest.mark.parametrize(
         ("fault", "reason"),
@@ -315,7 +313,7 @@
 
         @_with_fleet
         async def scenario(self, fleet) -> None:
-            fleet.decode.conduct.set({fault: True})
+            fleet.decode.faults.set({fault: True})
             stream = await fleet.start_decode()
             received, stream_error = await _read_until_error(stream)
             assert stream_error.reason is reason
@@ -326,7 +324,7 @@
     @_with_fleet
     async def test_response_header_with_another_id(self, fleet) -> None:
         """The response headers of a stream carry another request's id."""
-        fleet.decode.conduct.set({"foreign_id": True})
+        fleet.decode.faults.set({"foreign_id": True})
         with pytest.raises(errors.ResponseIdMismatch):
             await fleet.start_decode()
 
@@ -338,7 +336,7 @@
         )
         async for _ in other:
             break
-        fleet.decode.conduct.set({"swap": True})
+        fleet.decode.faults.set({"swap": True})
         stream = await fleet.start_decode()
         received, stream_error = await _read_until_error(stream)
         assert received == b""
@@ -348,13 +346,13 @@
     @_with_fleet
     async def test_interrupted_transfer(self, fleet) -> None:
         """The KV cache transfer between the engines is interrupted."""
-        fleet.prefill.conduct.set({"cut_export_at_byte": 0})
+        fleet.prefill.faults.set({"cut_export_at_byte": 0})
         with pytest.raises(errors.EngineRefused) as caught:
             await fleet.start_decode()
         assert caught.value.run is messages.Executed.NO
-        assert fleet.decode.memory.used_blocks() == 0
+        assert fleet.decode.state.used_blocks() == 0
         await fleet.cancel()
-        assert fleet.held() == (0, 0)
+        assert fleet.used_resources() == (0, 0)
 
 
 class TestReportsAndOrders:
@@ -378,9 +376,9 @@
         endpoint = fleet.prefill_endpoint
         complete = await fleet.client.cache_events(endpoint, 0)
         assert len(complete.events) == complete.last_seq and not complete.gap
-        fleet.prefill.conduct.set({"drop_cache_events": 2})
+        fleet.prefill.faults.set({"drop_cache_events": 2})
         assert (await fleet.client.cache_events(endpoint, 0)).gap
-        fleet.prefill.conduct.set({"cache_lag_s": 3600})
+        fleet.prefill.faults.set({"cache_lag_s": 3600})
         late = await fleet.client.cache_events(endpoint, 0)
         assert late.events == () and not late.gap
 
@@ -412,7 +410,7 @@
         @_with_fleet
         async def scenario(self, fleet) -> None:
             fleet.service._last_answer = response_body
-            fleet.service.conduct.set({"swap": True})
+            fleet.service.faults.set({"swap": True})
             endpoint = fleet.service_endpoint
             with pytest.raises(errors.CallError):
                 await fleet.client.running(endpoint)
--- a/tests/test_entry_disconnects.py
+++ b/tests/test_entry_disconnects.py
@@ -26,7 +26,7 @@
 def _inject_faults(site: entry_site.Site, kind: str, fields: dict) -> None:
     for name, engine in site.engines.items():
         if name.startswith(kind):
-            engine.conduct.set(fields)
+            engine.faults.set(fields)
 
 
 class TestCallerDisconnects:
@@ -81,7 +81,7 @@
                     response.close()
                 await site.until_free()
                 return sum(
-                    len(engine.memory.requests_by_id)
+                    len(engine.state.requests_by_id)
                     for name, engine in site.engines.items()
                     if name.startswith("prefill")
                 )
@@ -142,7 +142,7 @@
 
 def _held_requests(site: entry_site.Site, kind: str) -> int:
     return sum(
-        len(engine.memory.held_requests())
+        len(engine.state.active_requests())
         for name, engine in site.engines.items()
         if name.startswith(kind)
     )
--- a/tests/test_entry_relay.py
+++ b/tests/test_entry_relay.py
@@ -28,7 +28,7 @@
             for name, engine in site.engines.items():
                 if name.startswith("decode"):
                     for fault in faults:
-                        engine.conduct.set(fault)
+                        engine.faults.set(fault)
             raw_response = await site.open("POST", _COMPLETIONS, body)
             text, ended_cleanly = await answers.read_until_error(raw_response)
             await site.until_free()
@@ -82,7 +82,7 @@
         async def scenario():
             async with entry_site.running(resume=False) as site:
                 for engine in site.engines.values():
-                    engine.conduct.set({"stall_at_token": 3})
+                    engine.faults.set({"stall_at_token": 3})
                 reader, writer = await site.raw_open(_COMPLETIONS, _STREAM)
                 response = b""
                 while len(_TOKEN.findall(response)) < 3:
@@ -149,7 +149,7 @@
             async with entry_site.running() as site:
                 for name, engine in site.engines.items():
                     if name.startswith("decode"):
-                        engine.conduct.set({"swap": True})
+                        engine.faults.set({"swap": True})
                 calls = [
                     site.call(
                         "POST",
@@ -203,7 +203,7 @@
                 return [
                     event
                     for engine in site.engines.values()
-                    for event in engine.memory.cache_events(0, 0.0, 0)
+                    for event in engine.state.cache_events(0, 0.0, 0)
                 ]
 
         blocks = [event.block for event in asyncio.run(scenario())]
@@ -226,7 +226,7 @@
     def test_another_engine_serves(self, kind, fault):
         async def scenario():
             async with entry_site.running() as site:
-                site.engines[f"{kind}-0"].conduct.set(fault)
+                site.engines[f"{kind}-0"].faults.set(fault)
                 responses = [
                     await site.call("POST", _COMPLETIONS, _BODY)
                     for _ in range(6)
@@ -253,7 +253,7 @@
                 delay = {"delay_s": 0.2, "times": 1}
                 for name, engine in site.engines.items():
                     if name.startswith("prefill"):
-                        engine.conduct.set(delay)
+                        engine.faults.set(delay)
                         engine.command = dataclasses.replace(
                             engine.command, export_ttl_s=0.05
                         )
@@ -270,10 +270,10 @@
         async def scenario():
             async with entry_site.running() as site:
                 for engine in site.engines.values():
-                    engine.conduct.set({"refuse": "engine_full"})
+                    engine.faults.set({"refuse": "engine_full"})
                 response = await site.call("POST", _COMPLETIONS, _BODY)
                 requests_by_engine = [
-                    engine.memory.requests_by_id
+                    engine.state.requests_by_id
                     for engine in site.engines.values()
                 ]
                 return response, requests_by_engine
@@ -329,7 +329,7 @@
         request
         for name, engine in site.engines.items()
         if name.startswith("decode")
-        for request in engine.memory.held_requests()
+        for request in engine.state.active_requests()
     )
 
 
@@ -354,7 +354,7 @@
                     *site.engines.values(),
                     *site.services.values(),
                 ]:
-                    stand_in.conduct.set({"cut_before_run": True})
+                    stand_in.faults.set({"cut_before_run": True})
                 call = {
                     "brief": ("POST", _COMPLETIONS, _BODY),
                     "lookup": ("GET", "/services/lookup/bags/1"),
--- a/tests/test_entry_suspension.py
+++ b/tests/test_entry_suspension.py
@@ -33,9 +33,11 @@
             held = [
                 request_id
                 for engine in site.engines.values()
-                for request_id in engine.memory.requests_by_id
+                for request_id in engine.state.requests_by_id
             ]
-            runs = sum(len(each.journal) for each in site.services.values())
+            runs = sum(
+                len(each.executed_calls) for each in site.services.values()
+            )
             return answer, held, runs, site.logs[0].getvalue()
 
     return asyncio.run(scenario())
--- a/tests/test_entry_tickets.py
+++ b/tests/test_entry_tickets.py
@@ -30,12 +30,14 @@
 
 
 def _count_executions(site: entry_site.Site) -> int:
-    return sum(len(service.journal) for service in site.services.values())
+    return sum(
+        len(service.executed_calls) for service in site.services.values()
+    )
 
 
 def _set_service_behavior(site: entry_site.Site, fields: dict) -> None:
     for service in site.services.values():
-        service.conduct.set(fields)
+        service.faults.set(fields)
 
 
 def _run_scenario(steps, entries=1):
@@ -365,7 +367,7 @@
 
         async def steps(site):
             if fault == "refused":
-                site.services["desk-0"].conduct.set({"refuse": "engine_full"})
+                site.services["desk-0"].faults.set({"refuse": "engine_full"})
             else:
                 endpoint = site.endpoints["desk-0"]
                 site.endpoints["desk-0"] = dataclasses.replace(endpoint, port=1)
@@ -396,7 +398,7 @@
 
     def test_idempotent_calls_are_retried(self):
         async def steps(site):
-            site.services["desk-0"].conduct.set({"cut_before_run": True})
+            site.services["desk-0"].faults.set({"cut_before_run": True})
             return [
                 await site.call("GET", "/services/lookup/bags/1")
                 for _ in range(4)
--- a/tests/test_service_client.py
+++ b/tests/test_service_client.py
@@ -5,8 +5,8 @@
 import json
 
 import pytest
+from tests import fake_fleet
 from tests import raw_endpoint
-from tests import standin_fleet
 
 from cowsliprill.decisions import call_state as call_lib
 from cowsliprill.decisions import messages
@@ -14,7 +14,7 @@
 from cowsliprill.engines import errors
 from cowsliprill.engines import http_client
 from cowsliprill.engines import service_client
-from cowsliprill.standins import shell
+from cowsliprill.standins import http_server
 
 _SERVICE = model.Service(
     id="zarqa/pickup",
@@ -40,10 +40,10 @@
 )
 
 
-def _call(conduct: dict) -> tuple[object, call_lib.CallProgress, list]:
+def _call(faults: dict) -> tuple[object, call_lib.CallProgress, list]:
     async def scenario():
-        async with standin_fleet.start() as fleet:
-            fleet.service.conduct.set(conduct)
+        async with fake_fleet.start() as fleet:
+            fleet.service.faults.set(faults)
             progress = call_lib.CallProgress()
             try:
                 outcome = await fleet.service_client.call(
@@ -51,7 +51,7 @@
                 )
             except errors.CallError as error:
                 outcome = error
-            return outcome, progress, fleet.service.journal
+            return outcome, progress, fleet.service.executed_calls
 
     return asyncio.run(scenario())
 
@@ -60,11 +60,11 @@
     """Forwarding of one request and its response."""
 
     def test_forwards_request_and_response_unchanged(self) -> None:
-        response, _, journal = _call({})
+        response, _, executed_calls = _call({})
         assert response.status == 200
         assert json.loads(response.body)["received"] == "bag 7"
-        assert [entry.path for entry in journal] == [_REQUEST.path]
-        assert journal[0].idempotency_key == "k1"
+        assert [entry.path for entry in executed_calls] == [_REQUEST.path]
+        assert executed_calls[0].idempotency_key == "k1"
         assert "Content-Length" not in response.headers
 
     def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
@@ -76,7 +76,7 @@
 
     def test_service_deduplicates_by_idempotency_key(self) -> None:
         async def scenario() -> None:
-            async with standin_fleet.start() as fleet:
+            async with fake_fleet.start() as fleet:
                 responses = [
                     await fleet.service_client.call(
                         fleet.service_endpoint, _SERVICE, _REQUEST
@@ -84,7 +84,7 @@
                     for _ in range(2)
                 ]
                 assert responses[0].body == responses[1].body
-                assert len(fleet.service.journal) == 1
+                assert len(fleet.service.executed_calls) == 1
 
         asyncio.run(scenario())
 
@@ -143,12 +143,12 @@
         A caller repeats a request reported as "not run", so this must be true;
         a needless "unknown" makes the caller check by hand.
         """
-        length = len(shell.refusal_body("engine_draining"))
+        length = len(http_server.refusal_body("engine_draining"))
 
         async def scenario() -> None:
-            async with standin_fleet.start() as fleet:
+            async with fake_fleet.start() as fleet:
                 for end in range(length + 1):
-                    fleet.service.conduct.set(
+                    fleet.service.faults.set(
                         {
                             "refuse": "engine_draining",
                             "cut_refusal_at_byte": end,
@@ -163,12 +163,12 @@
                         caught.value.run is messages.Executed.NO
                     ) is is_refusal
                     assert is_refusal is (end == length)
-                assert fleet.service.journal == []
+                assert fleet.service.executed_calls == []
 
         asyncio.run(scenario())
 
     @pytest.mark.parametrize(
-        ("conduct", "executions"),
+        ("faults", "executions"),
         [
             ({"cut_before_run": True}, 0),
             ({"cut_at_byte": 0}, 1),
@@ -177,14 +177,14 @@
         ],
     )
     def test_only_a_refusal_proves_not_executed(
-        self, conduct, executions
+        self, faults, executions
     ) -> None:
         """The connection is lost before or after the execution."""
-        outcome, progress, journal = _call(conduct)
+        outcome, progress, executed_calls = _call(faults)
         assert isinstance(outcome, errors.CallError)
         assert outcome.run is messages.Executed.UNKNOWN
         assert progress.run is messages.Executed.UNKNOWN
-        assert len(journal) == executions
+        assert len(executed_calls) == executions
 
     def test_progress_records_a_refusal(self) -> None:
         _, progress, _ = _call({"refuse": "engine_draining"})
