--- a/src/cowsliprill/replay/baselines.py
+++ b/src/cowsliprill/replay/baselines.py
@@ -13,7 +13,7 @@
 from cowsliprill.replay import homes
 
 _RETRY_AFTER_S = 1.0
-_NEVER_S = 3600.0
+_NO_WAKEUP_S = 3600.0
 _AFFINITY_BLOCKS = 8
 
 
@@ -28,11 +28,13 @@
     def __init__(self, availability_zone: str, seed: int) -> None:
         del availability_zone
         self.random = random.Random(seed)
-        self.own: collections.Counter[str] = collections.Counter()
-        self._pools: dict[model.EndpointKind, list[str]] = {}
+        self.in_flight_by_engine: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self._endpoint_ids_by_kind: dict[model.EndpointKind, list[str]] = {}
         self._submits_by_id: dict[int, messages.Submit] = {}
         self._starts_by_id: dict[int, messages.Start] = {}
-        self._streaming: set[int] = set()
+        self._streaming_ids: set[int] = set()
 
     def handle(
         self, event: messages.Event, now: float
@@ -42,25 +44,27 @@
         match event:
             case messages.WorldChanged(snapshot, _):
                 for endpoint in snapshot.endpoints_by_id.values():
-                    self._pools.setdefault(endpoint.kind, []).append(
-                        endpoint.id
-                    )
+                    self._endpoint_ids_by_kind.setdefault(
+                        endpoint.kind, []
+                    ).append(endpoint.id)
             case messages.Submit():
                 self._submits_by_id[event.request_id] = event
                 return [self._start(event, 0)]
             case messages.PrefillFinished(request_id):
-                self.own[self._starts_by_id[request_id].prefill_id] -= 1
+                self.in_flight_by_engine[
+                    self._starts_by_id[request_id].prefill_id
+                ] -= 1
             case messages.FirstToken(request_id):
-                self._streaming.add(request_id)
+                self._streaming_ids.add(request_id)
             case messages.Finished(request_id):
-                self._streaming.discard(request_id)
+                self._streaming_ids.discard(request_id)
                 start = self._starts_by_id.pop(request_id)
                 del self._submits_by_id[request_id]
-                self.own[start.decode_id] -= 1
+                self.in_flight_by_engine[start.decode_id] -= 1
             case messages.Cancel(request_id):
                 return self._cancel(request_id)
             case messages.AttemptFailed():
-                return self._failed(event)
+                return self._handle_failure(event)
         return []
 
     def asks(self, now: float) -> list[messages.SlotAsk]:
@@ -70,9 +74,9 @@
 
     def next_wakeup(self, now: float) -> float:
         """Returns a time after every trace."""
-        return now + _NEVER_S
+        return now + _NO_WAKEUP_S
 
-    def pick(
+    def select_engine(
         self,
         submit: messages.Submit,
         kind: model.EndpointKind,
@@ -83,27 +87,27 @@
         raise NotImplementedError
 
     def _start(self, submit: messages.Submit, attempt: int) -> messages.Start:
-        picked = {
-            kind: self.pick(submit, kind, endpoint_ids, attempt)
-            for kind, endpoint_ids in self._pools.items()
+        selected_by_kind = {
+            kind: self.select_engine(submit, kind, endpoint_ids, attempt)
+            for kind, endpoint_ids in self._endpoint_ids_by_kind.items()
         }
         start = messages.Start(
             request_id=submit.request_id,
             attempt=attempt,
-            prefill_id=picked[model.EndpointKind.PREFILL],
-            decode_id=picked[model.EndpointKind.DECODE],
+            prefill_id=selected_by_kind[model.EndpointKind.PREFILL],
+            decode_id=selected_by_kind[model.EndpointKind.DECODE],
         )
         self._starts_by_id[submit.request_id] = start
-        self.own.update(picked.values())
+        self.in_flight_by_engine.update(selected_by_kind.values())
         return start
 
     def _cancel(self, request_id: int) -> list[messages.Action]:
         start = self._starts_by_id.pop(request_id, None)
         self._submits_by_id.pop(request_id, None)
-        self._streaming.discard(request_id)
+        self._streaming_ids.discard(request_id)
         if start is None:
             return []
-        self.own[start.decode_id] -= 1
+        self.in_flight_by_engine[start.decode_id] -= 1
         return [
             messages.CancelAttempt(
                 request_id=request_id,
@@ -112,13 +116,15 @@
             )
         ]
 
-    def _failed(self, event: messages.AttemptFailed) -> list[messages.Action]:
+    def _handle_failure(
+        self, event: messages.AttemptFailed
+    ) -> list[messages.Action]:
         start = self._starts_by_id.pop(event.request_id)
         submit = self._submits_by_id[event.request_id]
-        self.own[start.decode_id] -= 1
+        self.in_flight_by_engine[start.decode_id] -= 1
         if event.stage is messages.Stage.PREFILL:
-            self.own[start.prefill_id] -= 1
-        if event.request_id in self._streaming:
+            self.in_flight_by_engine[start.prefill_id] -= 1
+        if event.request_id in self._streaming_ids:
             del self._submits_by_id[event.request_id]
             return []
         if start.attempt + 1 < submit.service.retries.attempts:
@@ -138,10 +144,12 @@
 
     def __init__(self, availability_zone: str, seed: int) -> None:
         super().__init__(availability_zone, seed)
-        first = self.random.randrange(1000)
-        self._turns = dict.fromkeys(model.EndpointKind, first)
+        first_index = self.random.randrange(1000)
+        self._next_index_by_kind = dict.fromkeys(
+            model.EndpointKind, first_index
+        )
 
-    def pick(
+    def select_engine(
         self,
         submit: messages.Submit,
         kind: model.EndpointKind,
@@ -150,8 +158,8 @@
     ) -> str:
         """Picks the next engine."""
         del submit, attempt
-        self._turns[kind] += 1
-        return endpoint_ids[self._turns[kind] % len(endpoint_ids)]
+        self._next_index_by_kind[kind] += 1
+        return endpoint_ids[self._next_index_by_kind[kind] % len(endpoint_ids)]
 
 
 class LeastOutstanding(Baseline):
@@ -159,15 +167,19 @@
 
     def __init__(self, availability_zone: str, seed: int) -> None:
         super().__init__(availability_zone, seed)
-        self._reported: collections.Counter[str] = collections.Counter()
-        self._own_at_report: collections.Counter[str] = collections.Counter()
+        self._reported_load: collections.Counter[str] = collections.Counter()
+        self._in_flight_at_report: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     def report(self, report: homes.LoadReport) -> None:
         """Takes in a lagging load report."""
-        self._reported[report.endpoint_id] = report.held
-        self._own_at_report[report.endpoint_id] = self.own[report.endpoint_id]
+        self._reported_load[report.endpoint_id] = report.running_jobs
+        self._in_flight_at_report[report.endpoint_id] = (
+            self.in_flight_by_engine[report.endpoint_id]
+        )
 
-    def pick(
+    def select_engine(
         self,
         submit: messages.Submit,
         kind: model.EndpointKind,
@@ -179,9 +191,9 @@
         return min(
             endpoint_ids,
             key=lambda name: (
-                self._reported[name]
-                + self.own[name]
-                - self._own_at_report[name],
+                self._reported_load[name]
+                + self.in_flight_by_engine[name]
+                - self._in_flight_at_report[name],
                 self.random.random(),
             ),
         )
@@ -192,9 +204,9 @@
 
     def __init__(self, availability_zone: str, seed: int) -> None:
         super().__init__(availability_zone, seed)
-        self._turn = self.random.randrange(1000)
+        self._next_index = self.random.randrange(1000)
 
-    def pick(
+    def select_engine(
         self,
         submit: messages.Submit,
         kind: model.EndpointKind,
@@ -202,8 +214,8 @@
         attempt: int,
     ) -> str:
         """Picks by the hash of the first blocks, else the next engine."""
-        self._turn += 1
+        self._next_index += 1
         if kind is model.EndpointKind.PREFILL and submit.prefix_hashes:
-            head = hash(submit.prefix_hashes[:_AFFINITY_BLOCKS])
-            return endpoint_ids[(head + attempt) % len(endpoint_ids)]
-        return endpoint_ids[self._turn % len(endpoint_ids)]
+            prefix_hash = hash(submit.prefix_hashes[:_AFFINITY_BLOCKS])
+            return endpoint_ids[(prefix_hash + attempt) % len(endpoint_ids)]
+        return endpoint_ids[self._next_index % len(endpoint_ids)]
--- a/src/cowsliprill/replay/bound.py
+++ b/src/cowsliprill/replay/bound.py
@@ -15,7 +15,7 @@
 from cowsliprill.replay import trace as traces
 
 
-def most_on_time(
+def max_feasible_jobs(
     jobs: list[tuple[float, float]], capacity_after: Callable[[float], float]
 ) -> int:
     """Finds how many jobs fit at most.
@@ -28,14 +28,14 @@
       The largest number of jobs of which, for every time, those released
       after it cost no more than the capacity from then on.
     """
-    taken: list[float] = []
+    negated_costs: list[float] = []
     total = 0.0
     for released, cost in sorted(jobs, reverse=True):
-        heapq.heappush(taken, -cost)
+        heapq.heappush(negated_costs, -cost)
         total += cost
         if total > capacity_after(released):
-            total += heapq.heappop(taken)
-    return len(taken)
+            total += heapq.heappop(negated_costs)
+    return len(negated_costs)
 
 
 class _Bound:
@@ -47,50 +47,58 @@
         self._endpoints = self._site.endpoints()
         self._services = self._site.service_models()
 
-    def good(self) -> int:
+    def compute(self) -> int:
         """Returns the bound on requests within both targets."""
         decode_jobs = []
         prefill_jobs = []
         link_jobs = []
-        seen: set[int] = set()
+        seen_blocks: set[int] = set()
         for demand in self._trace.demands:
-            prefill_s = self._prefill_s(demand, seen)
-            seen.update(demand.prefix)
+            prefill_s = self._prefill_s(demand, seen_blocks)
+            seen_blocks.update(demand.prefix)
             link_s = demand.prompt_tokens * 100_000 / 4e9
             decode_s = demand.output_tokens * self._site.seconds_per_token
-            if not self._reachable(demand, prefill_s + link_s, decode_s):
+            if not self._can_meet_targets(demand, prefill_s + link_s, decode_s):
                 continue
             decode_jobs.append((demand.at, decode_s + link_s))
             prefill_jobs.append((demand.at, prefill_s))
             link_jobs.append((demand.at, link_s))
         kinds = model.EndpointKind
         return min(
-            most_on_time(decode_jobs, self._capacity(kinds.DECODE)),
-            most_on_time(prefill_jobs, self._capacity(kinds.PREFILL)),
-            most_on_time(link_jobs, self._capacity(kinds.PREFILL)),
+            max_feasible_jobs(
+                decode_jobs, self._capacity_function(kinds.DECODE)
+            ),
+            max_feasible_jobs(
+                prefill_jobs, self._capacity_function(kinds.PREFILL)
+            ),
+            max_feasible_jobs(
+                link_jobs, self._capacity_function(kinds.PREFILL)
+            ),
         )
 
-    def _prefill_s(self, demand: traces.Demand, seen: set[int]) -> float:
+    def _prefill_s(self, demand: traces.Demand, seen_blocks: set[int]) -> float:
         cached = 0
         for block in demand.prefix:
-            if block not in seen:
+            if block not in seen_blocks:
                 break
             cached += sites.BLOCK_TOKENS
         tokens = demand.prompt_tokens - cached
         return 0.01 + tokens / self._site.prefill_tokens_per_s
 
-    def _reachable(
+    def _can_meet_targets(
         self, demand: traces.Demand, start_s: float, decode_s: float
     ) -> bool:
         target = self._services[demand.service].ttft_target_s
         if start_s + self._site.seconds_per_token > target:
             return False
-        needed = start_s + decode_s
-        if demand.gone_after and demand.gone_after < needed:
+        needed_s = start_s + decode_s
+        if demand.gone_after and demand.gone_after < needed_s:
             return False
-        return demand.at + needed < self._trace.duration_s
+        return demand.at + needed_s < self._trace.duration_s
 
-    def _capacity(self, kind: model.EndpointKind) -> Callable[[float], float]:
+    def _capacity_function(
+        self, kind: model.EndpointKind
+    ) -> Callable[[float], float]:
         engines = [
             endpoint
             for endpoint in self._endpoints.values()
@@ -98,32 +106,36 @@
         ]
 
         def capacity_after(time: float) -> float:
-            return sum(self._engine_after(engine, time) for engine in engines)
+            return sum(
+                self._engine_capacity_after(engine, time) for engine in engines
+            )
 
         return capacity_after
 
-    def _engine_after(self, endpoint: model.Endpoint, time: float) -> float:
+    def _engine_capacity_after(
+        self, endpoint: model.Endpoint, time: float
+    ) -> float:
         is_decode = endpoint.kind is model.EndpointKind.DECODE
-        width = endpoint.slots if is_decode else 1
-        useful = self._trace.duration_s - time
+        concurrency = endpoint.slots if is_decode else 1
+        useful_s = self._trace.duration_s - time
         for fault in self._trace.faults:
             if fault.endpoint != endpoint.id or fault.kind == "link":
                 continue
-            lost = max(fault.end - max(fault.start, time), 0.0)
+            lost_s = max(fault.end - max(fault.start, time), 0.0)
             if fault.kind == "slow":
-                lost *= self._slow_share(fault.factor, is_decode)
-            useful -= lost
-        return width * useful
+                lost_s *= self._lost_capacity_fraction(fault.factor, is_decode)
+            useful_s -= lost_s
+        return concurrency * useful_s
 
-    def _slow_share(self, factor: float, is_decode: bool) -> float:
+    def _lost_capacity_fraction(self, factor: float, is_decode: bool) -> float:
         """Returns the share of an engine's worth that slowness costs."""
-        pace = self._site.seconds_per_token * factor
-        if is_decode and pace > self._site.tpot_target_s:
+        token_interval_s = self._site.seconds_per_token * factor
+        if is_decode and token_interval_s > self._site.tpot_target_s:
             return 1.0
         return 0.0 if is_decode else 1 - 1 / factor
 
 
-def good_requests(trace: traces.Trace) -> int:
+def max_good_requests(trace: traces.Trace) -> int:
     """Bounds the goodput of a trace.
 
     Args:
@@ -132,4 +144,4 @@
     Returns:
       A number of requests within both targets that no router can exceed.
     """
-    return _Bound(trace).good()
+    return _Bound(trace).compute()
--- a/src/cowsliprill/replay/catalogue.py
+++ b/src/cowsliprill/replay/catalogue.py
@@ -6,7 +6,7 @@
 from cowsliprill.replay import sites
 from cowsliprill.replay import trace as traces
 
-_NOTE = (
+_TRACE_NOTE = (
     "Synthetic: Poisson arrivals, log-normal lengths, Zipf prefixes, drawn"
     " with a seed; sizes and delays from the brief, the rest assumed."
 )
@@ -34,13 +34,15 @@
     Returns:
       Traces without demands.
     """
-    calm = traces.Trace(name=f"{site}-calm", note=_NOTE, site=site, load=0.5)
+    base = traces.Trace(
+        name=f"{site}-calm", note=_TRACE_NOTE, site=site, load=0.5
+    )
 
     def variant(name: str, **changes: object) -> traces.Trace:
-        return dataclasses.replace(calm, name=f"{site}-{name}", **changes)
+        return dataclasses.replace(base, name=f"{site}-{name}", **changes)
 
     return [
-        calm,
+        base,
         variant("peak-0.7", load=0.7),
         variant("peak-1.0", load=1.0),
         variant("peak-1.3", load=1.3),
--- a/src/cowsliprill/replay/cost.py
+++ b/src/cowsliprill/replay/cost.py
@@ -7,11 +7,11 @@
 from cowsliprill.decisions import model
 from cowsliprill.decisions import scheduler
 
-SIZES = (13, 130, 5_900)
+FLEET_SIZES = (13, 130, 5_900)
 
-_DECISIONS = 2_000
+_REQUEST_COUNT = 2_000
 _LEASE_S = 1e9
-_PREFILL_SHARE = 0.3
+_PREFILL_FRACTION = 0.3
 _SERVICE = model.Service(
     id="u/s", customer="u", name="s", kind=model.ServiceKind.MODEL, pool="g"
 )
@@ -23,19 +23,19 @@
 
     Attributes:
       engines: Engines in the settings.
-      free_us: Per request that is placed at once, to its end, microseconds.
-      scarce_us: Per request that finds all slots taken, microseconds.
-      world_ms: Per change of the settings or the VM list, milliseconds.
+      placed_us: Per request that is placed at once, to its end, microseconds.
+      queued_us: Per request that finds all slots taken, microseconds.
+      cluster_state_ms: Per change of the settings or the VM list, milliseconds.
     """
 
     engines: int
-    free_us: float
-    scarce_us: float
-    world_ms: float
+    placed_us: float
+    queued_us: float
+    cluster_state_ms: float
 
 
 def _snapshot(count: int) -> model.Snapshot:
-    prefills = int(count * _PREFILL_SHARE)
+    prefills = int(count * _PREFILL_FRACTION)
     endpoints = {}
     for number in range(count):
         is_prefill = number < prefills
@@ -61,15 +61,15 @@
 
 
 def _grant_all(subject: scheduler.Scheduler, slots: int, waiting: int) -> None:
-    for ask in subject.asks(0.0):
+    for slot_demand in subject.asks(0.0):
         subject.handle(
             messages.SlotGrant(
-                endpoint_id=ask.endpoint_id,
+                endpoint_id=slot_demand.endpoint_id,
                 slots=slots,
                 expires_at=_LEASE_S,
                 waiting=waiting,
                 used=20 if waiting else 0,
-                sequence=ask.sequence,
+                sequence=slot_demand.sequence,
             ),
             0.0,
         )
@@ -97,42 +97,42 @@
       The cost.
     """
     subject = scheduler.Scheduler("z0", 1)
-    began = time.process_time()
+    started_at = time.process_time()
     subject.handle(
         messages.WorldChanged(_snapshot(engines), model.Fleet()), 0.0
     )
-    world_s = time.process_time() - began
+    cluster_state_s = time.process_time() - started_at
     _grant_all(subject, 4, 0)
-    began = time.process_time()
-    for number in range(_DECISIONS):
+    started_at = time.process_time()
+    for number in range(_REQUEST_COUNT):
         now = number / 10
         subject.handle(_submit(number, now), now)
         subject.handle(messages.PrefillFinished(number), now + 0.02)
         subject.handle(messages.FirstToken(number), now + 0.03)
         subject.handle(messages.Finished(number, 200), now + 0.09)
-    free_s = time.process_time() - began
+    placed_s = time.process_time() - started_at
     _grant_all(subject, 0, 5)
-    began = time.process_time()
-    for number in range(_DECISIONS, 2 * _DECISIONS):
+    started_at = time.process_time()
+    for number in range(_REQUEST_COUNT, 2 * _REQUEST_COUNT):
         now = number / 10
         subject.handle(_submit(number, now), now)
-    scarce_s = time.process_time() - began
+    queued_s = time.process_time() - started_at
     return Cost(
         engines=engines,
-        free_us=free_s / _DECISIONS * 1e6,
-        scarce_us=scarce_s / _DECISIONS * 1e6,
-        world_ms=world_s * 1e3,
+        placed_us=placed_s / _REQUEST_COUNT * 1e6,
+        queued_us=queued_s / _REQUEST_COUNT * 1e6,
+        cluster_state_ms=cluster_state_s * 1e3,
     )
 
 
 def main() -> None:
     """Prints the cost at each size."""
     print("engines  free us/request  scarce us/request  change ms")
-    for size in SIZES:
+    for size in FLEET_SIZES:
         cost = measure(size)
         print(
-            f"{cost.engines:7} {cost.free_us:16.0f} {cost.scarce_us:18.0f}"
-            f" {cost.world_ms:10.1f}"
+            f"{cost.engines:7} {cost.placed_us:16.0f} {cost.queued_us:18.0f}"
+            f" {cost.cluster_state_ms:10.1f}"
         )
 
 
--- a/src/cowsliprill/replay/engines.py
+++ b/src/cowsliprill/replay/engines.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Work:
+class EngineJob:
     """One attempt as the engines see it.
 
     Attributes:
@@ -53,40 +53,44 @@
     """
 
     def __init__(
-        self, endpoint: model.Endpoint, clock: timeline.Timeline
+        self, endpoint: model.Endpoint, clock: timeline.VirtualClock
     ) -> None:
         self.endpoint = endpoint
         self.clock = clock
-        self.slow = 1.0
-        self.lost = False
+        self.slowdown_factor = 1.0
+        self.is_down = False
         self.link_rate = endpoint.link_bytes_per_s
-        self.held: dict[tuple[int, int, int], Work] = {}
-        self.failed_by_key: dict[tuple[int, int, int], Callable[[], None]] = {}
-
-    def accept(self, work: Work, failed: Callable[[], None]) -> bool:
+        self.jobs_by_key: dict[tuple[int, int, int], EngineJob] = {}
+        self.on_failure_by_key: dict[
+            tuple[int, int, int], Callable[[], None]
+        ] = {}
+
+    def try_accept(
+        self, job: EngineJob, on_failure: Callable[[], None]
+    ) -> bool:
         """Takes a slot for the work unless all are taken."""
-        if len(self.held) >= self.endpoint.slots:
+        if len(self.jobs_by_key) >= self.endpoint.slots:
             return False
-        self.held[work.key] = work
-        self.failed_by_key[work.key] = failed
+        self.jobs_by_key[job.key] = job
+        self.on_failure_by_key[job.key] = on_failure
         return True
 
-    def release(self, work: Work) -> None:
+    def release(self, job: EngineJob) -> None:
         """Frees the work's slot, if it has one."""
-        self.held.pop(work.key, None)
-        self.failed_by_key.pop(work.key, None)
+        self.jobs_by_key.pop(job.key, None)
+        self.on_failure_by_key.pop(job.key, None)
 
-    def lose(self) -> None:
+    def crash(self) -> None:
         """Stops answering; all work is gone."""
-        self.lost = True
-        failed = list(self.failed_by_key.values())
-        self.held.clear()
-        self.failed_by_key.clear()
-        for report in failed:
+        self.is_down = True
+        on_failure = list(self.on_failure_by_key.values())
+        self.jobs_by_key.clear()
+        self.on_failure_by_key.clear()
+        for report in on_failure:
             report()
 
 
-def _ignore(blocks: list[int]) -> None:
+def _ignore_blocks(blocks: list[int]) -> None:
     del blocks
 
 
@@ -94,48 +98,50 @@
     """Computes one prompt after another and caches blocks of prompts."""
 
     def __init__(
-        self, endpoint: model.Endpoint, clock: timeline.Timeline
+        self, endpoint: model.Endpoint, clock: timeline.VirtualClock
     ) -> None:
         super().__init__(endpoint, clock)
-        self._queue: collections.deque[tuple[Work, Callable[[], None]]] = (
+        self._queue: collections.deque[tuple[EngineJob, Callable[[], None]]] = (
             collections.deque()
         )
         self._busy = False
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self.on_stored: Callable[[list[int]], None] = _ignore
+        self.on_stored: Callable[[list[int]], None] = _ignore_blocks
 
-    def run(self, work: Work, done: Callable[[], None]) -> None:
+    def run(self, job: EngineJob, on_done: Callable[[], None]) -> None:
         """Computes a prompt in its turn."""
-        self._queue.append((work, done))
-        self._next()
+        self._queue.append((job, on_done))
+        self._start_next()
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         if self._busy or not self._queue:
             return
-        work, done = self._queue.popleft()
-        if work.cancelled or work.key not in self.held:
-            self._next()
+        job, on_done = self._queue.popleft()
+        if job.cancelled or job.key not in self.jobs_by_key:
+            self._start_next()
             return
         self._busy = True
-        work.prefill_started = True
-        tokens = work.prompt_tokens - self._cached_tokens(work.prefix)
-        speed = self.endpoint.prefill_tokens_per_s / self.slow
-        self.clock.after(
+        job.prefill_started = True
+        tokens = job.prompt_tokens - self._cached_tokens(job.prefix)
+        speed = self.endpoint.prefill_tokens_per_s / self.slowdown_factor
+        self.clock.call_after(
             _PREFILL_OVERHEAD_S + tokens / speed,
-            lambda: self._done(work, done),
+            lambda: self._finish_prefill(job, on_done),
         )
 
-    def _done(self, work: Work, done: Callable[[], None]) -> None:
+    def _finish_prefill(
+        self, job: EngineJob, on_done: Callable[[], None]
+    ) -> None:
         self._busy = False
-        if not self.lost:
-            self._store(work.prefix)
-            work.exported_at = self.clock.now
-            if work.key in self.held:
-                self.release(work)
-                done()
-        self._next()
+        if not self.is_down:
+            self._store_blocks(job.prefix)
+            job.exported_at = self.clock.now
+            if job.key in self.jobs_by_key:
+                self.release(job)
+                on_done()
+        self._start_next()
 
     def _cached_tokens(self, prefix: tuple[int, ...]) -> int:
         count = 0
@@ -146,7 +152,7 @@
             count += 1
         return count * sites.BLOCK_TOKENS
 
-    def _store(self, prefix: tuple[int, ...]) -> None:
+    def _store_blocks(self, prefix: tuple[int, ...]) -> None:
         new = [block for block in prefix if block not in self._cache]
         for block in new:
             self._cache[block] = None
@@ -161,10 +167,10 @@
     source: Engine
     target: Engine
     bytes_left: float
-    done: Callable[[], None]
+    on_done: Callable[[], None]
     rate: float = 0.0
 
-    def ends(self) -> tuple[int, int]:
+    def link_keys(self) -> tuple[int, int]:
         """Returns keys of its two engines."""
         return id(self.source), id(self.target)
 
@@ -172,7 +178,7 @@
 class Links:
     """Transfers that share the links of their two engines equally."""
 
-    def __init__(self, clock: timeline.Timeline) -> None:
+    def __init__(self, clock: timeline.VirtualClock) -> None:
         self._clock = clock
         self._transfers: list[_Transfer] = []
         self._updated_at = 0.0
@@ -183,53 +189,61 @@
         source: Engine,
         target: Engine,
         size: float,
-        done: Callable[[], None],
+        on_done: Callable[[], None],
     ) -> None:
         """Starts a transfer of `size` bytes."""
         self._advance()
-        self._transfers.append(_Transfer(source, target, size, done))
-        self.share()
+        self._transfers.append(_Transfer(source, target, size, on_done))
+        self.reallocate()
 
-    def share(self) -> None:
+    def reallocate(self) -> None:
         """Works out the rates anew; called when transfers or links change."""
         self._advance()
-        self._fill()
-        soonest = min(
+        self._allocate_rates()
+        next_completion_s = min(
             (item.bytes_left / item.rate for item in self._transfers),
             default=0.0,
         )
         self._generation += 1
         generation = self._generation
         if self._transfers:
-            self._clock.after(soonest, lambda: self._complete(generation))
+            self._clock.call_after(
+                next_completion_s, lambda: self._complete(generation)
+            )
 
-    def _fill(self) -> None:
+    def _allocate_rates(self) -> None:
         """Gives max-min fair rates: the tightest link fixes its own first."""
         engines = {
             id(engine): engine
             for transfer in self._transfers
             for engine in (transfer.source, transfer.target)
         }
-        left = {key: engine.link_rate for key, engine in engines.items()}
-        open_transfers = list(self._transfers)
-        while open_transfers:
+        free_rate_by_link = {
+            key: engine.link_rate for key, engine in engines.items()
+        }
+        unallocated = list(self._transfers)
+        while unallocated:
             counts = collections.Counter(
-                key for transfer in open_transfers for key in transfer.ends()
+                key for transfer in unallocated for key in transfer.link_keys()
+            )
+            bottleneck = min(
+                counts, key=lambda key: free_rate_by_link[key] / counts[key]
             )
-            tightest = min(counts, key=lambda key: left[key] / counts[key])
-            rate = left[tightest] / counts[tightest]
-            for transfer in list(open_transfers):
-                if tightest in transfer.ends():
+            rate = free_rate_by_link[bottleneck] / counts[bottleneck]
+            for transfer in list(unallocated):
+                if bottleneck in transfer.link_keys():
                     transfer.rate = rate
-                    open_transfers.remove(transfer)
-                    for key in transfer.ends():
-                        left[key] = max(left[key] - rate, 1.0)
+                    unallocated.remove(transfer)
+                    for key in transfer.link_keys():
+                        free_rate_by_link[key] = max(
+                            free_rate_by_link[key] - rate, 1.0
+                        )
 
     def _advance(self) -> None:
-        passed = self._clock.now - self._updated_at
+        elapsed_s = self._clock.now - self._updated_at
         self._updated_at = self._clock.now
         for transfer in self._transfers:
-            transfer.bytes_left -= passed * transfer.rate
+            transfer.bytes_left -= elapsed_s * transfer.rate
 
     def _complete(self, generation: int) -> None:
         if generation != self._generation:
@@ -239,9 +253,9 @@
         self._transfers = [
             item for item in self._transfers if item.bytes_left >= 1.0
         ]
-        self.share()
+        self.reallocate()
         for transfer in complete:
-            transfer.done()
+            transfer.on_done()
 
 
 class DecodeEngine(Engine):
@@ -249,57 +263,69 @@
 
     def run(
         self,
-        work: Work,
+        job: EngineJob,
         source: Engine,
         links: Links,
-        events: "DecodeEvents",
+        callbacks: "DecodeCallbacks",
     ) -> None:
         """Transfers and generates; the slot is taken already."""
-        size = work.prompt_tokens * self.endpoint.kv_bytes_per_token
+        size = job.prompt_tokens * self.endpoint.kv_bytes_per_token
         links.send(
-            source, self, size, lambda: self._fetched(work, source, events)
+            source, self, size, lambda: self._fetched(job, source, callbacks)
         )
 
     def _fetched(
-        self, work: Work, source: Engine, events: "DecodeEvents"
+        self, job: EngineJob, source: Engine, callbacks: "DecodeCallbacks"
     ) -> None:
-        if work.key not in self.held:
+        if job.key not in self.jobs_by_key:
             return
-        age = self.clock.now - work.exported_at
-        if source.lost or age > source.endpoint.export_ttl_s:
-            self.release(work)
-            events.evicted()
+        age = self.clock.now - job.exported_at
+        if source.is_down or age > source.endpoint.export_ttl_s:
+            self.release(job)
+            callbacks.on_evicted()
             return
-        work.used = True
-        pace = self.endpoint.seconds_per_token * self.slow
-        self.clock.after(pace, lambda: self._first(work, events))
-        if work.output_tokens > PROGRESS_TOKENS:
-            self.clock.after(
-                pace * PROGRESS_TOKENS, lambda: self._progress(work, events)
+        job.used = True
+        token_interval_s = (
+            self.endpoint.seconds_per_token * self.slowdown_factor
+        )
+        self.clock.call_after(
+            token_interval_s, lambda: self._emit_first_token(job, callbacks)
+        )
+        if job.output_tokens > PROGRESS_TOKENS:
+            self.clock.call_after(
+                token_interval_s * PROGRESS_TOKENS,
+                lambda: self._emit_progress(job, callbacks),
             )
-        self.clock.after(
-            pace * work.output_tokens, lambda: self._finish(work, events)
+        self.clock.call_after(
+            token_interval_s * job.output_tokens,
+            lambda: self._finish_decode(job, callbacks),
         )
 
-    def _first(self, work: Work, events: "DecodeEvents") -> None:
-        if work.key in self.held:
-            events.first_token()
+    def _emit_first_token(
+        self, job: EngineJob, callbacks: "DecodeCallbacks"
+    ) -> None:
+        if job.key in self.jobs_by_key:
+            callbacks.on_first_token()
 
-    def _progress(self, work: Work, events: "DecodeEvents") -> None:
-        if work.key in self.held:
-            events.progress()
+    def _emit_progress(
+        self, job: EngineJob, callbacks: "DecodeCallbacks"
+    ) -> None:
+        if job.key in self.jobs_by_key:
+            callbacks.on_progress()
 
-    def _finish(self, work: Work, events: "DecodeEvents") -> None:
-        if work.key in self.held:
-            self.release(work)
-            events.finished()
+    def _finish_decode(
+        self, job: EngineJob, callbacks: "DecodeCallbacks"
+    ) -> None:
+        if job.key in self.jobs_by_key:
+            self.release(job)
+            callbacks.on_finished()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DecodeEvents:
+class DecodeCallbacks:
     """Whom a decode engine tells what became of a work."""
 
-    evicted: Callable[[], None]
-    first_token: Callable[[], None]
-    progress: Callable[[], None]
-    finished: Callable[[], None]
+    on_evicted: Callable[[], None]
+    on_first_token: Callable[[], None]
+    on_progress: Callable[[], None]
+    on_finished: Callable[[], None]
--- a/src/cowsliprill/replay/homes.py
+++ b/src/cowsliprill/replay/homes.py
@@ -18,10 +18,10 @@
     """What an engine said of its load some time ago, for the baselines."""
 
     endpoint_id: str
-    held: int
+    running_jobs: int
 
 
-class Home:
+class EndpointCoordinator:
     """Home of one engine.
 
     Args:
@@ -35,7 +35,7 @@
     def __init__(
         self,
         engine: engines.Engine,
-        clock: timeline.Timeline,
+        clock: timeline.VirtualClock,
         rng: random.Random,
         event_gap: float,
         report_lag_s: float,
@@ -46,18 +46,20 @@
         self._engine = engine
         self._clock = clock
         self._random = rng
-        self._event_gap = event_gap
+        self._event_loss_fraction = event_gap
         self._report_lag_s = report_lag_s
-        self._blocks: list[int] = []
-        self._told_by_entry: dict[str, int] = {}
+        self._stored_blocks: list[int] = []
+        self._published_count_by_entry: dict[str, int] = {}
         self._latency_by_entry: dict[str, float] = {}
-        self._senders: dict[str, Callable[[messages.SlotGrant], None]] = {}
-        self.report_to: list[Callable[[LoadReport], None]] = []
+        self._sender_by_entry: dict[
+            str, Callable[[messages.SlotGrant], None]
+        ] = {}
+        self.report_listeners: list[Callable[[LoadReport], None]] = []
         if isinstance(engine, engines.PrefillEngine):
-            engine.on_stored = self._stored
-        self._report()
+            engine.on_stored = self._publish_stored_blocks
+        self._schedule_report()
 
-    def receive(
+    def handle_slot_demand(
         self,
         entry: str,
         ask: messages.SlotAsk,
@@ -67,42 +69,44 @@
         """Answers an ask and tells other entries what it changed for them."""
         now = self._clock.now
         self._latency_by_entry[entry] = now - sent_at
-        self._senders[entry] = send
+        self._sender_by_entry[entry] = send
         self._send(entry, self.ledger.ask(entry, ask, now))
         for name, grant in self.ledger.regrant(now):
             self._send(name, grant)
 
     def _send(self, entry: str, grant: messages.SlotGrant) -> None:
-        told = self._told_by_entry.get(entry, 0)
-        self._told_by_entry[entry] = len(self._blocks)
-        self._senders[entry](
+        published_count = self._published_count_by_entry.get(entry, 0)
+        self._published_count_by_entry[entry] = len(self._stored_blocks)
+        self._sender_by_entry[entry](
             dataclasses.replace(
                 grant,
                 expires_at=grant.expires_at - self._latency_by_entry[entry],
                 report_age_s=self._report_lag_s,
-                prefix_hashes=tuple(self._blocks[told:]),
+                prefix_hashes=tuple(self._stored_blocks[published_count:]),
             )
         )
 
-    def _stored(self, blocks: list[int]) -> None:
-        seen = [
+    def _publish_stored_blocks(self, blocks: list[int]) -> None:
+        received = [
             block
             for block in blocks
-            if self._random.random() >= self._event_gap
+            if self._random.random() >= self._event_loss_fraction
         ]
-        self._clock.after(
+        self._clock.call_after(
             self._random.uniform(*_EVENT_DELAY_S),
-            lambda: self._blocks.extend(seen),
+            lambda: self._stored_blocks.extend(received),
         )
 
-    def _report(self) -> None:
-        if not self._engine.lost:
+    def _schedule_report(self) -> None:
+        if not self._engine.is_down:
             report = LoadReport(
-                self._engine.endpoint.id, len(self._engine.held)
+                self._engine.endpoint.id, len(self._engine.jobs_by_key)
             )
-            self._clock.after(self._report_lag_s, lambda: self._tell(report))
-        self._clock.after(_REPORT_INTERVAL_S, self._report)
+            self._clock.call_after(
+                self._report_lag_s, lambda: self._publish_report(report)
+            )
+        self._clock.call_after(_REPORT_INTERVAL_S, self._schedule_report)
 
-    def _tell(self, report: LoadReport) -> None:
-        for tell in self.report_to:
-            tell(report)
+    def _publish_report(self, report: LoadReport) -> None:
+        for listener in self.report_listeners:
+            listener(report)
--- a/src/cowsliprill/replay/main.py
+++ b/src/cowsliprill/replay/main.py
@@ -21,11 +21,11 @@
 
 _DEFAULT_SEEDS = (1, 2, 3)
 
-OURS = "cowsliprill"
+COWSLIPRILL = "cowsliprill"
 NAIVE = "naive"
 
 POLICIES_BY_NAME: dict[str, policies.PolicyFactory] = {
-    OURS: scheduler.Scheduler,
+    COWSLIPRILL: scheduler.Scheduler,
     "round-robin": baselines.RoundRobin,
     "least-outstanding": baselines.LeastOutstanding,
     "prefix-affinity": baselines.PrefixAffinity,
@@ -35,7 +35,7 @@
 Runs = dict[tuple[str, str], list[report.Figures]]
 
 
-def play(trace: traces.Trace, policy: str, seed: int) -> report.Figures:
+def replay_trace(trace: traces.Trace, policy: str, seed: int) -> report.Figures:
     """Plays one trace with one policy and one seed.
 
     Args:
@@ -46,19 +46,22 @@
     Returns:
       The figures.
     """
-    filled = generate.fill(trace, seed)
+    filled = generate.with_demands(trace, seed)
     result = simulation.Simulation(filled, POLICIES_BY_NAME[policy], seed).run()
-    return report.figures(filled, result, bound.good_requests(filled))
+    return report.figures(filled, result, bound.max_good_requests(filled))
 
 
-def _play_all(
-    loaded: list[traces.Trace], policies: list[str], seeds: list[int], jobs: int
+def _replay_all(
+    loaded_traces: list[traces.Trace],
+    policies: list[str],
+    seeds: list[int],
+    jobs: int,
 ) -> Runs:
     runs: Runs = collections.defaultdict(list)
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         futures = [
-            (trace.name, policy, pool.submit(play, trace, policy, seed))
-            for trace in loaded
+            (trace.name, policy, pool.submit(replay_trace, trace, policy, seed))
+            for trace in loaded_traces
             for policy in policies
             for seed in seeds
         ]
@@ -67,11 +70,11 @@
     return runs
 
 
-def _row(name: str, policy: str, runs: list[report.Figures]) -> str:
+def _format_row(name: str, policy: str, runs: list[report.Figures]) -> str:
     def median(field: str) -> float:
         return report.median(runs, field)
 
-    bounded = median("good") / max(median("bound"), 1)
+    bound_fraction = median("good") / max(median("bound"), 1)
     ttft = sorted(run.ttft_s for run in runs)[len(runs) // 2]
     tpot = sorted(run.tpot_s for run in runs)[len(runs) // 2]
     refused = sorted(run.refused_after_s for run in runs)[len(runs) // 2]
@@ -83,7 +86,7 @@
     urgent_share = urgent[len(urgent) // 2] if urgent else 0.0
     return (
         f"{name:24} {policy:18} {median('demands'):6.0f} {median('good'):6.0f}"
-        f" {bounded:6.1%} {urgent_share:6.1%} {median('prefills'):6.0f}"
+        f" {bound_fraction:6.1%} {urgent_share:6.1%} {median('prefills'):6.0f}"
         f" {median('wasted'):6.0f} {median('wasted_share'):6.2%}"
         f" {median('refusals'):6.0f} {refused[0]:6.2f} {refused[1]:6.2f}"
         f" {median('late_refusal_s') * 1000:6.1f}"
@@ -131,7 +134,7 @@
     """
     try:
         paths = commands.trace_paths(command)
-        loaded = [traces.read(path) for path in paths]
+        loaded_traces = [traces.read(path) for path in paths]
     except errors.CowsliprillError as error:
         print(f"{error.code}: {error.message}", file=sys.stderr)
         return error.exit_code
@@ -141,10 +144,10 @@
         return errors.ExitCode.USAGE
     policies = list(command.policies) or _default_policies(command)
     seeds = list(command.seeds) or list(_DEFAULT_SEEDS)
-    runs = _play_all(loaded, policies, seeds, command.jobs)
+    runs = _replay_all(loaded_traces, policies, seeds, command.jobs)
     print(_HEADER)
     for (name, policy), found in runs.items():
-        print(_row(name, policy, found))
+        print(_format_row(name, policy, found))
     if command.json:
         _write_json(command.json, runs)
     return errors.ExitCode.OK
--- a/src/cowsliprill/replay/naive.py
+++ b/src/cowsliprill/replay/naive.py
@@ -56,7 +56,7 @@
             case messages.Submit():
                 request = _Request(event, now)
                 self._requests_by_id[event.request_id] = request
-                return self._place(now) + self.asks(now)
+                return self._place_queued(now) + self.asks(now)
             case messages.Cancel(request_id):
                 return self._cancel(request_id)
             case messages.PrefillFinished(request_id):
@@ -65,9 +65,9 @@
                 self._set_stage(request_id, messages.Stage.DECODE)
             case messages.Finished(request_id, _):
                 self._requests_by_id.pop(request_id, None)
-                return self._place(now) + self.asks(now)
+                return self._place_queued(now) + self.asks(now)
             case messages.AttemptFailed():
-                return self._fail(event)
+                return self._handle_failure(event)
             case messages.SlotGrant():
                 self._grants_by_endpoint[event.endpoint_id] = event
             case messages.WorldChanged(snapshot, fleet):
@@ -75,7 +75,7 @@
                 self._fleet = fleet
             case messages.HomeUnreachable() | messages.Tick():
                 pass
-        return self._expire(now) + self._place(now)
+        return self._refuse_timed_out(now) + self._place_queued(now)
 
     def asks(self, now: float) -> list[messages.SlotAsk]:
         """States this entry's standing with every endpoint it uses.
@@ -88,27 +88,27 @@
           renewal and whenever `handle` returns some.
         """
         del now
-        wants = collections.Counter(
+        queued_by_customer = collections.Counter(
             request.submit.customer
             for request in self._requests_by_id.values()
             if request.stage is messages.Stage.QUEUED
         )
-        usage = self._usage()
+        usage = self._slots_in_use()
         return [
             messages.SlotAsk(
                 endpoint_id=endpoint.id,
                 in_use=usage[endpoint.id],
-                want=usage[endpoint.id] + wants.total(),
-                customer_wants=tuple(sorted(wants.items())),
+                want=usage[endpoint.id] + queued_by_customer.total(),
+                customer_wants=tuple(sorted(queued_by_customer.items())),
             )
-            for endpoint in self._usable()
+            for endpoint in self._usable_endpoints()
         ]
 
     def next_wakeup(self, now: float) -> float:
         """Returns the time at which the shell must send `Tick`."""
         return now + _IDLE_WAKEUP_S
 
-    def _usable(self) -> list[model.Endpoint]:
+    def _usable_endpoints(self) -> list[model.Endpoint]:
         return [
             endpoint
             for endpoint in self._snapshot.endpoints_by_id.values()
@@ -116,7 +116,7 @@
             and endpoint.id not in self._fleet.leaving_endpoint_ids
         ]
 
-    def _usage(self) -> collections.Counter[str]:
+    def _slots_in_use(self) -> collections.Counter[str]:
         used: collections.Counter[str] = collections.Counter()
         for request in self._requests_by_id.values():
             if request.stage is messages.Stage.QUEUED:
@@ -126,7 +126,7 @@
                 used[request.prefill_id] += 1
         return used
 
-    def _choose(
+    def _select_engine(
         self,
         kind: model.EndpointKind,
         pool: str,
@@ -134,7 +134,7 @@
         now: float,
     ) -> str | None:
         candidates = []
-        for endpoint in self._usable():
+        for endpoint in self._usable_endpoints():
             grant = self._grants_by_endpoint.get(endpoint.id)
             if grant is None or grant.expires_at <= now:
                 continue
@@ -144,15 +144,19 @@
         free, endpoint_id = max(candidates, default=(0, ""))
         return endpoint_id if free > 0 else None
 
-    def _place(self, now: float) -> list[messages.Action]:
+    def _place_queued(self, now: float) -> list[messages.Action]:
         actions: list[messages.Action] = []
-        usage = self._usage()
+        usage = self._slots_in_use()
         for request_id, request in self._requests_by_id.items():
             if request.stage is not messages.Stage.QUEUED:
                 continue
             pool = request.submit.service.pool
-            decode = self._choose(model.EndpointKind.DECODE, pool, usage, now)
-            prefill = self._choose(model.EndpointKind.PREFILL, pool, usage, now)
+            decode = self._select_engine(
+                model.EndpointKind.DECODE, pool, usage, now
+            )
+            prefill = self._select_engine(
+                model.EndpointKind.PREFILL, pool, usage, now
+            )
             if decode is None or prefill is None:
                 continue
             request.stage = messages.Stage.PREFILL
@@ -187,7 +191,9 @@
             )
         ]
 
-    def _fail(self, event: messages.AttemptFailed) -> list[messages.Action]:
+    def _handle_failure(
+        self, event: messages.AttemptFailed
+    ) -> list[messages.Action]:
         request = self._requests_by_id.get(event.request_id)
         actions = self._cancel(event.request_id)
         if request is not None and request.stage is messages.Stage.DECODE:
@@ -201,14 +207,14 @@
         )
         return actions
 
-    def _expire(self, now: float) -> list[messages.Action]:
-        late = [
+    def _refuse_timed_out(self, now: float) -> list[messages.Action]:
+        timed_out_ids = [
             request_id
             for request_id, request in self._requests_by_id.items()
             if request.stage is messages.Stage.QUEUED
             and now - request.arrived_at > request.submit.service.may_wait_s
         ]
-        for request_id in late:
+        for request_id in timed_out_ids:
             del self._requests_by_id[request_id]
         return [
             messages.Refuse(
@@ -216,5 +222,5 @@
                 code=messages.RefusalCode.WAITED_TOO_LONG,
                 retry_after_s=_RETRY_AFTER_S,
             )
-            for request_id in late
+            for request_id in timed_out_ids
         ]
--- a/src/cowsliprill/replay/outcomes.py
+++ b/src/cowsliprill/replay/outcomes.py
@@ -14,28 +14,28 @@
       demand: The demand.
       priority: Of its service.
       submitted_at: Last time the caller came.
-      returns: How often the caller came back.
+      retries: How often the caller came back.
       first_token_at: When its caller saw the first token, 0 if never.
       finished_at: When its caller had it all, 0 if never.
-      refused_after: Time from coming to each refusal.
-      late_refusals: How long after the last possible start, or after the
+      refusal_delays_s: Time from coming to each refusal.
+      refusal_lateness_s: How long after the last possible start, or after the
         failure that caused it, each refusal came.
       failed: Whether its stream was cut after the first token.
-      gone: Whether the caller left before the end.
-      failed_at: Time of the newest failed attempt.
+      abandoned: Whether the caller left before the end.
+      last_failed_at: Time of the newest failed attempt.
     """
 
     demand: traces.Demand
     priority: int
     submitted_at: float
-    returns: int = 0
+    retries: int = 0
     first_token_at: float = 0.0
     finished_at: float = 0.0
-    refused_after: list[float] = dataclasses.field(default_factory=list)
-    late_refusals: list[float] = dataclasses.field(default_factory=list)
-    failed: bool = False
-    gone: bool = False
-    failed_at: float = 0.0
+    refusal_delays_s: list[float] = dataclasses.field(default_factory=list)
+    refusal_lateness_s: list[float] = dataclasses.field(default_factory=list)
+    stream_cut: bool = False
+    abandoned: bool = False
+    last_failed_at: float = 0.0
 
     def ttft_s(self) -> float:
         """Returns the time to first token since the caller last came."""
@@ -48,21 +48,21 @@
 
 
 @dataclasses.dataclass(slots=True)
-class SlotUse:
+class SlotUsage:
     """A decode slot used by an attempt.
 
     Attributes:
       user: Whose request it is.
-      work: The attempt.
+      job: The attempt.
       endpoint_id: The decode engine.
-      began_at: When the slot was taken.
+      acquired_at: When the slot was taken.
       ended_at: When the answer was complete, 0 if it isn't.
     """
 
     user: str
-    work: engines.Work
+    job: engines.EngineJob
     endpoint_id: str
-    began_at: float
+    acquired_at: float
     ended_at: float = 0.0
 
 
@@ -72,18 +72,18 @@
 
     Attributes:
       outcomes: One per demand that arrived.
-      works: Every attempt that reached a prefill engine.
+      jobs: Every attempt that reached a prefill engine.
       runs: Use of decode slots that brought tokens.
       messages_sent: Messages between entries and homes.
       ended_at: Time of the end.
-      unused_at_end: Keys of attempts still on their way at the end.
+      in_flight_keys_at_end: Keys of attempts still on their way at the end.
     """
 
     outcomes: list[Outcome]
-    works: list[engines.Work] = dataclasses.field(default_factory=list)
-    runs: list[SlotUse] = dataclasses.field(default_factory=list)
+    jobs: list[engines.EngineJob] = dataclasses.field(default_factory=list)
+    slot_usages: list[SlotUsage] = dataclasses.field(default_factory=list)
     messages_sent: int = 0
     ended_at: float = 0.0
-    unused_at_end: set[tuple[int, int, int]] = dataclasses.field(
+    in_flight_keys_at_end: set[tuple[int, int, int]] = dataclasses.field(
         default_factory=set
     )
--- a/src/cowsliprill/replay/report.py
+++ b/src/cowsliprill/replay/report.py
@@ -79,7 +79,7 @@
     )
 
 
-def fair_shares(total: float, demand_by_user: dict[str, float]) -> dict:
+def max_min_fair_shares(total: float, demand_by_user: dict[str, float]) -> dict:
     """Splits a total max-min fairly.
 
     Args:
@@ -90,11 +90,11 @@
       What each user's fair share is; no one gets more than it asks for.
     """
     shares = {}
-    left = total
+    remaining = total
     by_demand = sorted(demand_by_user.items(), key=lambda item: item[1])
     for index, (user, demand) in enumerate(by_demand):
-        shares[user] = min(demand, left / (len(by_demand) - index))
-        left -= shares[user]
+        shares[user] = min(demand, remaining / (len(by_demand) - index))
+        remaining -= shares[user]
     return shares
 
 
@@ -126,14 +126,16 @@
         wanted = outcome.demand.output_tokens * site.seconds_per_token
         demand_by_user[user] = demand_by_user.get(user, 0.0) + wanted
     used: dict[str, float] = {}
-    for use in result.runs:
+    for usage in result.slot_usages:
         # Answers still running at the end count as far as they got.
-        running = not use.ended_at and use.work.key in result.unused_at_end
-        ended_at = result.ended_at if running else use.ended_at
+        running = (
+            not usage.ended_at and usage.job.key in result.in_flight_keys_at_end
+        )
+        ended_at = result.ended_at if running else usage.ended_at
         if ended_at:
-            seconds = used.get(use.user, 0.0) + ended_at - use.began_at
-            used[use.user] = seconds
-    fair = fair_shares(sum(used.values()), demand_by_user)
+            seconds = used.get(usage.user, 0.0) + ended_at - usage.acquired_at
+            used[usage.user] = seconds
+    fair = max_min_fair_shares(sum(used.values()), demand_by_user)
     shares = {
         user: round(used.get(user, 0.0) / share, 3) if share else 1.0
         for user, share in sorted(fair.items())
@@ -155,35 +157,37 @@
       The figures.
     """
     site = sites.SITES_BY_NAME[trace.site]
-    seen = result.outcomes
-    good = [_is_good(outcome, site) for outcome in seen]
-    started = [work for work in result.works if work.prefill_started]
+    all_outcomes = result.outcomes
+    good = [_is_good(outcome, site) for outcome in all_outcomes]
+    started = [job for job in result.jobs if job.prefill_started]
     wasted = sum(
-        not work.used and work.key not in result.unused_at_end
-        for work in started
+        not job.used and job.key not in result.in_flight_keys_at_end
+        for job in started
     )
     shares, fairness = _shares(result, site)
-    first = [item for item in seen if item.first_token_at]
-    finished = [item for item in seen if item.finished_at]
-    after = [time for item in seen for time in item.refused_after]
-    late = [time for item in seen for time in item.late_refusals]
+    with_first_token = [item for item in all_outcomes if item.first_token_at]
+    finished = [item for item in all_outcomes if item.finished_at]
+    delays_s = [time for item in all_outcomes for time in item.refusal_delays_s]
+    lateness_s = [
+        time for item in all_outcomes for time in item.refusal_lateness_s
+    ]
     return Figures(
-        demands=len(seen),
+        demands=len(all_outcomes),
         good=sum(good),
         finished=len(finished),
-        good_share=round(sum(good) / max(len(seen), 1), 4),
+        good_share=round(sum(good) / max(len(all_outcomes), 1), 4),
         bound=bound,
         prefills=len(started),
         wasted=wasted,
         wasted_share=round(wasted / max(len(started), 1), 4),
-        refusals=len(after),
-        refused_after_s=quantiles(after),
-        late_refusal_s=round(max(late, default=0.0), 4),
-        ttft_s=quantiles(item.ttft_s() for item in first),
+        refusals=len(delays_s),
+        refused_after_s=quantiles(delays_s),
+        late_refusal_s=round(max(lateness_s, default=0.0), 4),
+        ttft_s=quantiles(item.ttft_s() for item in with_first_token),
         tpot_s=quantiles(item.tpot_s() for item in finished),
-        by_user=_rates([item.demand.user for item in seen], good),
-        by_service=_rates([item.demand.service for item in seen], good),
-        by_priority=_rates([str(item.priority) for item in seen], good),
+        by_user=_rates([item.demand.user for item in all_outcomes], good),
+        by_service=_rates([item.demand.service for item in all_outcomes], good),
+        by_priority=_rates([str(item.priority) for item in all_outcomes], good),
         share_by_user=shares,
         fairness=fairness,
         messages=result.messages_sent,
--- a/src/cowsliprill/replay/shell.py
+++ b/src/cowsliprill/replay/shell.py
@@ -12,10 +12,10 @@
 from cowsliprill.replay import policy as policies
 from cowsliprill.replay import timeline
 
-_RENEW_S = 0.5
+_LEASE_RENEWAL_INTERVAL_S = 0.5
 
 
-class World(Protocol):
+class SimulationContext(Protocol):
     """What an entry needs of the simulation.
 
     Attributes:
@@ -24,20 +24,20 @@
       result: Where to note what happens.
       services_by_id: The services.
       engines_by_id: The engines.
-      homes_by_id: The home of each engine.
+      coordinators_by_endpoint_id: The home of each engine.
     """
 
-    clock: timeline.Timeline
+    clock: timeline.VirtualClock
     links: engines.Links
     result: outcomes.Result
     services_by_id: dict[str, model.Service]
     engines_by_id: dict[str, engines.Engine]
-    homes_by_id: dict[str, homes.Home]
+    coordinators_by_endpoint_id: dict[str, homes.EndpointCoordinator]
 
-    def delay(self, zone: str, engine: engines.Engine) -> float:
+    def delay(self, availability_zone: str, engine: engines.Engine) -> float:
         """Returns the time of a message one way, in seconds."""
 
-    def refused(
+    def record_refusal(
         self, outcome: outcomes.Outcome, action: messages.Refuse
     ) -> None:
         """Notes a refusal."""
@@ -45,39 +45,43 @@
 
 @dataclasses.dataclass(slots=True)
 class _Attempt:
-    work: engines.Work
+    job: engines.EngineJob
     action: messages.Start
-    over: bool = False
+    ended: bool = False
 
 
-class Entry:
+class EntryProcess:
     """Performs a policy's actions and reports events to it.
 
     Args:
       number: Number of the entry.
-      zone: Its availability zone.
+      availability_zone: Its availability zone.
       policy: What decides.
-      world: The simulation.
+      context: The simulation.
     """
 
     def __init__(
-        self, number: int, zone: str, policy: policies.Policy, world: World
+        self,
+        number: int,
+        availability_zone: str,
+        policy: policies.Policy,
+        context: SimulationContext,
     ) -> None:
         self.name = f"vm{number}.e0.replay"
         self.number = number
-        self.zone = zone
+        self.availability_zone = availability_zone
         self.policy = policy
-        self.world = world
+        self.context = context
         self._attempts_by_request: dict[int, _Attempt] = {}
         self._outcomes_by_request: dict[int, outcomes.Outcome] = {}
         self._wakeup_at = float("inf")
-        self._renew()
+        self._renew_leases()
 
     def submit(self, request_id: int, outcome: outcomes.Outcome) -> None:
         """Takes a caller's request."""
         self._outcomes_by_request[request_id] = outcome
         demand = outcome.demand
-        service = self.world.services_by_id[demand.service]
+        service = self.context.services_by_id[demand.service]
         self.deliver(
             messages.Submit(
                 request_id=request_id,
@@ -87,7 +91,7 @@
                 output_tokens=demand.output_limit,
                 prefix_hashes=demand.prefix,
                 priority=service.priority,
-                deadline=self.world.clock.now + service.ttft_target_s,
+                deadline=self.context.clock.now + service.ttft_target_s,
             )
         )
 
@@ -95,12 +99,12 @@
         """Takes note that a caller has left."""
         if request_id in self._outcomes_by_request:
             self.deliver(messages.Cancel(request_id))
-            self._forget(request_id)
+            self._remove_request(request_id)
 
     def deliver(self, event: messages.Event) -> None:
         """Gives an event to the policy and does what it says."""
-        now = self.world.clock.now
-        asks = []
+        now = self.context.clock.now
+        slot_demands = []
         for action in self.policy.handle(event, now):
             match action:
                 case messages.Start():
@@ -110,194 +114,210 @@
                 case messages.CancelAttempt():
                     self._cancel_attempt(action)
                 case messages.SlotAsk():
-                    asks.append(action)
-        self._send_asks(asks)
+                    slot_demands.append(action)
+        self._send_slot_demands(slot_demands)
         self._schedule_tick()
 
     def _schedule_tick(self) -> None:
-        clock = self.world.clock
-        due = self.policy.next_wakeup(clock.now)
-        if due >= self._wakeup_at:
+        clock = self.context.clock
+        wakeup_at = self.policy.next_wakeup(clock.now)
+        if wakeup_at >= self._wakeup_at:
             return
-        self._wakeup_at = due
-        clock.at(due, lambda: self._tick(due))
+        self._wakeup_at = wakeup_at
+        clock.call_at(wakeup_at, lambda: self._tick(wakeup_at))
 
-    def _tick(self, due: float) -> None:
-        if due == self._wakeup_at:
+    def _tick(self, wakeup_at: float) -> None:
+        if wakeup_at == self._wakeup_at:
             self._wakeup_at = float("inf")
             self.deliver(messages.Tick())
 
-    def _renew(self) -> None:
-        self._send_asks(self.policy.asks(self.world.clock.now))
-        self.world.clock.after(_RENEW_S, self._renew)
+    def _renew_leases(self) -> None:
+        self._send_slot_demands(self.policy.asks(self.context.clock.now))
+        self.context.clock.call_after(
+            _LEASE_RENEWAL_INTERVAL_S, self._renew_leases
+        )
 
-    def _send_asks(self, asks: list[messages.SlotAsk]) -> None:
-        sent_at = self.world.clock.now
-        for ask in asks:
-            self.world.result.messages_sent += 1
-            engine = self.world.engines_by_id[ask.endpoint_id]
-            delay = self.world.delay(self.zone, engine)
-            home = self.world.homes_by_id[ask.endpoint_id]
+    def _send_slot_demands(self, slot_demands: list[messages.SlotAsk]) -> None:
+        sent_at = self.context.clock.now
+        for slot_demand in slot_demands:
+            self.context.result.messages_sent += 1
+            engine = self.context.engines_by_id[slot_demand.endpoint_id]
+            delay = self.context.delay(self.availability_zone, engine)
+            coordinator = self.context.coordinators_by_endpoint_id[
+                slot_demand.endpoint_id
+            ]
 
             def send(grant: messages.SlotGrant, delay: float = delay) -> None:
-                self.world.result.messages_sent += 1
-                self.world.clock.after(delay, lambda: self.deliver(grant))
-
-            def receive(
-                ask: messages.SlotAsk = ask,
-                home: homes.Home = home,
+                self.context.result.messages_sent += 1
+                self.context.clock.call_after(
+                    delay, lambda: self.deliver(grant)
+                )
+
+            def handle_slot_demand(
+                slot_demand: messages.SlotAsk = slot_demand,
+                coordinator: homes.EndpointCoordinator = coordinator,
                 send: Callable[[messages.SlotGrant], None] = send,
             ) -> None:
-                home.receive(self.name, ask, sent_at, send)
+                coordinator.handle_slot_demand(
+                    self.name, slot_demand, sent_at, send
+                )
 
-            self.world.clock.after(delay, receive)
+            self.context.clock.call_after(delay, handle_slot_demand)
 
-    def _forget(self, request_id: int) -> None:
+    def _remove_request(self, request_id: int) -> None:
         self._outcomes_by_request.pop(request_id, None)
         attempt = self._attempts_by_request.pop(request_id, None)
         if attempt:
-            attempt.over = True
+            attempt.ended = True
 
     def _refuse(self, action: messages.Refuse) -> None:
         outcome = self._outcomes_by_request[action.request_id]
-        self._forget(action.request_id)
-        self.world.refused(outcome, action)
+        self._remove_request(action.request_id)
+        self.context.record_refusal(outcome, action)
 
     def _cancel_attempt(self, action: messages.CancelAttempt) -> None:
         attempt = self._attempts_by_request.get(action.request_id)
         if attempt is None or attempt.action.attempt != action.attempt:
             return
-        attempt.over = True
+        attempt.ended = True
         for endpoint_id in action.endpoint_ids:
-            engine = self.world.engines_by_id[endpoint_id]
-            delay = self.world.delay(self.zone, engine)
-            self.world.clock.after(
-                delay, lambda engine=engine: _drop(engine, attempt.work)
+            engine = self.context.engines_by_id[endpoint_id]
+            delay = self.context.delay(self.availability_zone, engine)
+            self.context.clock.call_after(
+                delay, lambda engine=engine: _cancel_job(engine, attempt.job)
             )
 
     def _start(self, action: messages.Start) -> None:
         outcome = self._outcomes_by_request[action.request_id]
-        work = engines.Work(
+        job = engines.EngineJob(
             key=(self.number, action.request_id, action.attempt),
             prompt_tokens=outcome.demand.prompt_tokens,
             output_tokens=outcome.demand.output_tokens,
             prefix=outcome.demand.prefix,
         )
-        attempt = _Attempt(work, action)
+        attempt = _Attempt(job, action)
         self._attempts_by_request[action.request_id] = attempt
-        self.world.result.works.append(work)
-        engine = self.world.engines_by_id[action.prefill_id]
-        delay = self.world.delay(self.zone, engine)
-        self.world.clock.after(delay, lambda: self._prefill(attempt))
+        self.context.result.jobs.append(job)
+        engine = self.context.engines_by_id[action.prefill_id]
+        delay = self.context.delay(self.availability_zone, engine)
+        self.context.clock.call_after(
+            delay, lambda: self._start_prefill(attempt)
+        )
 
-    def _prefill(self, attempt: _Attempt) -> None:
-        engine = self.world.engines_by_id[attempt.action.prefill_id]
+    def _start_prefill(self, attempt: _Attempt) -> None:
+        engine = self.context.engines_by_id[attempt.action.prefill_id]
         assert isinstance(engine, engines.PrefillEngine)
         stage = messages.Stage.PREFILL
-        if attempt.work.cancelled:
+        if attempt.job.cancelled:
             return
-        if engine.lost:
-            self._failed(attempt, stage, engine, refused=False)
-        elif engine.accept(
-            attempt.work,
-            lambda: self._failed(attempt, stage, engine, refused=False),
+        if engine.is_down:
+            self._report_failure(attempt, stage, engine, refused=False)
+        elif engine.try_accept(
+            attempt.job,
+            lambda: self._report_failure(attempt, stage, engine, refused=False),
         ):
-            delay = self.world.delay(self.zone, engine)
+            delay = self.context.delay(self.availability_zone, engine)
             engine.run(
-                attempt.work,
-                lambda: self.world.clock.after(
-                    delay, lambda: self._prefilled(attempt)
+                attempt.job,
+                lambda: self.context.clock.call_after(
+                    delay, lambda: self._handle_prefill_finished(attempt)
                 ),
             )
         else:
-            self._failed(attempt, stage, engine, refused=True)
+            self._report_failure(attempt, stage, engine, refused=True)
 
-    def _prefilled(self, attempt: _Attempt) -> None:
-        if attempt.over:
+    def _handle_prefill_finished(self, attempt: _Attempt) -> None:
+        if attempt.ended:
             return
         self.deliver(messages.PrefillFinished(attempt.action.request_id))
-        if attempt.over:
+        if attempt.ended:
             return
-        engine = self.world.engines_by_id[attempt.action.decode_id]
-        delay = self.world.delay(self.zone, engine)
-        self.world.clock.after(delay, lambda: self._decode(attempt))
+        engine = self.context.engines_by_id[attempt.action.decode_id]
+        delay = self.context.delay(self.availability_zone, engine)
+        self.context.clock.call_after(
+            delay, lambda: self._start_decode(attempt)
+        )
 
-    def _decode(self, attempt: _Attempt) -> None:
-        engine = self.world.engines_by_id[attempt.action.decode_id]
+    def _start_decode(self, attempt: _Attempt) -> None:
+        engine = self.context.engines_by_id[attempt.action.decode_id]
         assert isinstance(engine, engines.DecodeEngine)
         stage = messages.Stage.DECODE
-        if attempt.work.cancelled:
+        if attempt.job.cancelled:
             return
 
-        def failed() -> None:
-            self._failed(attempt, stage, engine, refused=False)
+        def on_failure() -> None:
+            self._report_failure(attempt, stage, engine, refused=False)
 
-        if engine.lost:
-            failed()
-        elif not engine.accept(attempt.work, failed):
-            self._failed(attempt, stage, engine, refused=True)
+        if engine.is_down:
+            on_failure()
+        elif not engine.try_accept(attempt.job, on_failure):
+            self._report_failure(attempt, stage, engine, refused=True)
         else:
-            self._generate(attempt, engine)
+            self._run_decode(attempt, engine)
 
-    def _generate(
+    def _run_decode(
         self, attempt: _Attempt, engine: engines.DecodeEngine
     ) -> None:
-        source = self.world.engines_by_id[attempt.action.prefill_id]
-        delay = self.world.delay(self.zone, engine)
-        clock = self.world.clock
+        source = self.context.engines_by_id[attempt.action.prefill_id]
+        delay = self.context.delay(self.availability_zone, engine)
+        clock = self.context.clock
         user = self._outcomes_by_request[attempt.action.request_id].demand.user
 
-        self.world.result.runs.append(
-            outcomes.SlotUse(user, attempt.work, engine.endpoint.id, clock.now)
+        self.context.result.slot_usages.append(
+            outcomes.SlotUsage(user, attempt.job, engine.endpoint.id, clock.now)
         )
-        use = self.world.result.runs[-1]
+        usage = self.context.result.slot_usages[-1]
 
-        def evicted() -> None:
-            self._failed(
+        def on_evicted() -> None:
+            self._report_failure(
                 attempt, messages.Stage.TRANSFER, source, refused=False
             )
 
-        def finished() -> None:
-            use.ended_at = clock.now
-            clock.after(delay, lambda: self._finished(attempt))
+        def on_finished() -> None:
+            usage.ended_at = clock.now
+            clock.call_after(delay, lambda: self._finished(attempt))
 
         engine.run(
-            attempt.work,
+            attempt.job,
             source,
-            self.world.links,
-            engines.DecodeEvents(
-                evicted,
-                lambda: clock.after(delay, lambda: self._first_token(attempt)),
-                lambda: clock.after(delay, lambda: self._progress(attempt)),
-                finished,
+            self.context.links,
+            engines.DecodeCallbacks(
+                on_evicted,
+                lambda: clock.call_after(
+                    delay, lambda: self._first_token(attempt)
+                ),
+                lambda: clock.call_after(
+                    delay, lambda: self._progress(attempt)
+                ),
+                on_finished,
             ),
         )
 
     def _first_token(self, attempt: _Attempt) -> None:
-        if not attempt.over:
+        if not attempt.ended:
             request_id = attempt.action.request_id
             outcome = self._outcomes_by_request[request_id]
-            outcome.first_token_at = self.world.clock.now
+            outcome.first_token_at = self.context.clock.now
             self.deliver(messages.FirstToken(request_id))
 
     def _progress(self, attempt: _Attempt) -> None:
-        if not attempt.over:
+        if not attempt.ended:
             request_id = attempt.action.request_id
             tokens = engines.PROGRESS_TOKENS
             self.deliver(messages.Progress(request_id, tokens))
 
     def _finished(self, attempt: _Attempt) -> None:
-        if attempt.over:
+        if attempt.ended:
             return
         request_id = attempt.action.request_id
         outcome = self._outcomes_by_request[request_id]
-        outcome.finished_at = self.world.clock.now
-        self._forget(request_id)
+        outcome.finished_at = self.context.clock.now
+        self._remove_request(request_id)
         self.deliver(
             messages.Finished(request_id, outcome.demand.output_tokens)
         )
 
-    def _failed(
+    def _report_failure(
         self,
         attempt: _Attempt,
         stage: messages.Stage,
@@ -305,15 +325,15 @@
         *,
         refused: bool,
     ) -> None:
-        delay = self.world.delay(self.zone, engine)
+        delay = self.context.delay(self.availability_zone, engine)
 
         def report() -> None:
-            if attempt.over:
+            if attempt.ended:
                 return
-            attempt.over = True
+            attempt.ended = True
             request_id = attempt.action.request_id
             outcome = self._outcomes_by_request[request_id]
-            outcome.failed_at = self.world.clock.now
+            outcome.last_failed_at = self.context.clock.now
             event = messages.AttemptFailed(
                 request_id=request_id,
                 endpoint_id=engine.endpoint.id,
@@ -322,15 +342,15 @@
             )
             if outcome.first_token_at:
                 # The answer was cut: this replay doesn't resume streams.
-                outcome.failed = True
+                outcome.stream_cut = True
                 self.deliver(event)
-                self._forget(request_id)
+                self._remove_request(request_id)
             else:
                 self.deliver(event)
 
-        self.world.clock.after(delay, report)
+        self.context.clock.call_after(delay, report)
 
 
-def _drop(engine: engines.Engine, work: engines.Work) -> None:
-    work.cancelled = True
-    engine.release(work)
+def _cancel_job(engine: engines.Engine, job: engines.EngineJob) -> None:
+    job.cancelled = True
+    engine.release(job)
--- a/src/cowsliprill/replay/simulation.py
+++ b/src/cowsliprill/replay/simulation.py
@@ -13,8 +13,8 @@
 from cowsliprill.replay import timeline
 from cowsliprill.replay import trace as traces
 
-_LOCAL_DELAY_S = 0.0002
-_RETURNS_MAX = 2
+_SAME_ZONE_DELAY_S = 0.0002
+_MAX_RETRIES = 2
 
 
 class Simulation:
@@ -22,27 +22,30 @@
 
     Args:
       trace: A trace with its demands.
-      factory: Makes the policy of an entry from its zone and a seed.
+      policy_factory: Makes the policy of an entry from its zone and a seed.
       seed: Seed of the callers' and the homes' random numbers.
     """
 
     def __init__(
-        self, trace: traces.Trace, factory: policies.PolicyFactory, seed: int
+        self,
+        trace: traces.Trace,
+        policy_factory: policies.PolicyFactory,
+        seed: int,
     ) -> None:
         self.trace = trace
         self.site = sites.SITES_BY_NAME[trace.site]
-        self.clock = timeline.Timeline()
+        self.clock = timeline.VirtualClock()
         self.links = engines.Links(self.clock)
         self.result = outcomes.Result([])
         snapshot = self.site.snapshot()
         self.services_by_id = snapshot.services_by_id
         self.engines_by_id = {
-            endpoint.id: self._engine(endpoint)
+            endpoint.id: self._make_engine(endpoint)
             for endpoint in snapshot.endpoints_by_id.values()
         }
         self._random = random.Random(f"callers/{seed}")
-        self.homes_by_id = {
-            name: homes.Home(
+        self.coordinators_by_endpoint_id = {
+            name: homes.EndpointCoordinator(
                 engine,
                 self.clock,
                 random.Random(f"{name}/{seed}"),
@@ -51,19 +54,22 @@
             )
             for name, engine in self.engines_by_id.items()
         }
-        zones = self.site.zones
+        availability_zones = self.site.availability_zones
         self._entries = [
-            shell.Entry(
+            shell.EntryProcess(
                 number,
-                zones[number % len(zones)],
-                factory(zones[number % len(zones)], seed * 1000 + number),
+                availability_zones[number % len(availability_zones)],
+                policy_factory(
+                    availability_zones[number % len(availability_zones)],
+                    seed * 1000 + number,
+                ),
                 self,
             )
-            for number in range(self.site.entries)
+            for number in range(self.site.entry_processes)
         ]
         for entry in self._entries:
             entry.deliver(messages.WorldChanged(snapshot, self._fleet()))
-            self._subscribe(entry.policy)
+            self._subscribe_to_reports(entry.policy)
         self._request_id = 0
 
     def run(self) -> outcomes.Result:
@@ -73,43 +79,52 @@
           What happened until then.
         """
         for demand in self.trace.demands:
-            self.clock.at(demand.at, lambda demand=demand: self._arrive(demand))
+            self.clock.call_at(
+                demand.at, lambda demand=demand: self._handle_arrival(demand)
+            )
         for fault in self.trace.faults:
-            self.clock.at(fault.start, lambda fault=fault: self._begin(fault))
-            self.clock.at(fault.end, lambda fault=fault: self._end(fault))
+            self.clock.call_at(
+                fault.start, lambda fault=fault: self._start_fault(fault)
+            )
+            self.clock.call_at(
+                fault.end, lambda fault=fault: self._end_fault(fault)
+            )
         self.clock.run_until(self.trace.duration_s)
         self.result.ended_at = self.clock.now
         for engine in self.engines_by_id.values():
-            self.result.unused_at_end.update(engine.held)
-        self.result.unused_at_end.update(
-            work.key
-            for work in self.result.works
-            if self.clock.now - work.exported_at < 1.0
+            self.result.in_flight_keys_at_end.update(engine.jobs_by_key)
+        self.result.in_flight_keys_at_end.update(
+            job.key
+            for job in self.result.jobs
+            if self.clock.now - job.exported_at < 1.0
         )
         return self.result
 
-    def delay(self, zone: str, engine: engines.Engine) -> float:
+    def delay(self, availability_zone: str, engine: engines.Engine) -> float:
         """Returns the time of a message one way, in seconds."""
-        if zone == engine.endpoint.availability_zone:
-            return _LOCAL_DELAY_S
-        return self.site.zone_delay_s
+        if availability_zone == engine.endpoint.availability_zone:
+            return _SAME_ZONE_DELAY_S
+        return self.site.cross_zone_delay_s
 
-    def refused(
+    def record_refusal(
         self, outcome: outcomes.Outcome, action: messages.Refuse
     ) -> None:
         """Notes a refusal; the caller comes back a bounded number of times."""
         now = self.clock.now
         service = self.services_by_id[outcome.demand.service]
-        last_start = outcome.submitted_at + service.ttft_target_s
-        cause = max(min(last_start, now), outcome.failed_at)
-        outcome.refused_after.append(now - outcome.submitted_at)
-        if now > last_start or outcome.failed_at > outcome.submitted_at:
-            outcome.late_refusals.append(now - cause)
+        latest_start_at = outcome.submitted_at + service.ttft_target_s
+        caused_at = max(min(latest_start_at, now), outcome.last_failed_at)
+        outcome.refusal_delays_s.append(now - outcome.submitted_at)
+        if (
+            now > latest_start_at
+            or outcome.last_failed_at > outcome.submitted_at
+        ):
+            outcome.refusal_lateness_s.append(now - caused_at)
         else:
-            outcome.late_refusals.append(0.0)
-        if outcome.returns < _RETURNS_MAX:
-            outcome.returns += 1
-            self.clock.after(
+            outcome.refusal_lateness_s.append(0.0)
+        if outcome.retries < _MAX_RETRIES:
+            outcome.retries += 1
+            self.clock.call_after(
                 action.retry_after_s, lambda: self._submit(outcome)
             )
 
@@ -118,7 +133,7 @@
             model.Vm(
                 id=f"vm{entry.number}",
                 host="127.0.0.1",
-                availability_zone=entry.zone,
+                availability_zone=entry.availability_zone,
                 role=model.VmRole.ENTRY,
                 entry_ports=(1,),
             )
@@ -126,25 +141,25 @@
         ]
         return model.Fleet(version=1, vms_by_id={vm.id: vm for vm in vms})
 
-    def _subscribe(self, policy: policies.Policy) -> None:
+    def _subscribe_to_reports(self, policy: policies.Policy) -> None:
         report = getattr(policy, "report", None)
         if report is not None:
-            for home in self.homes_by_id.values():
-                home.report_to.append(report)
+            for coordinator in self.coordinators_by_endpoint_id.values():
+                coordinator.report_listeners.append(report)
 
-    def _engine(self, endpoint: model.Endpoint) -> engines.Engine:
+    def _make_engine(self, endpoint: model.Endpoint) -> engines.Engine:
         if endpoint.kind is model.EndpointKind.PREFILL:
             return engines.PrefillEngine(endpoint, self.clock)
         return engines.DecodeEngine(endpoint, self.clock)
 
-    def _arrive(self, demand: traces.Demand) -> None:
+    def _handle_arrival(self, demand: traces.Demand) -> None:
         service = self.services_by_id[demand.service]
         outcome = outcomes.Outcome(demand, service.priority, self.clock.now)
         self.result.outcomes.append(outcome)
         self._submit(outcome)
 
     def _submit(self, outcome: outcomes.Outcome) -> None:
-        if outcome.gone:
+        if outcome.abandoned:
             return
         outcome.submitted_at = self.clock.now
         self._request_id += 1
@@ -152,32 +167,35 @@
         entry = self._random.choice(self._entries)
         entry.submit(request_id, outcome)
         if outcome.demand.gone_after:
-            self.clock.after(
+            self.clock.call_after(
                 outcome.demand.gone_after,
-                lambda: self._leave(entry, request_id, outcome),
+                lambda: self._abandon(entry, request_id, outcome),
             )
 
-    def _leave(
-        self, entry: shell.Entry, request_id: int, outcome: outcomes.Outcome
+    def _abandon(
+        self,
+        entry: shell.EntryProcess,
+        request_id: int,
+        outcome: outcomes.Outcome,
     ) -> None:
-        if not outcome.finished_at and not outcome.gone:
-            outcome.gone = True
+        if not outcome.finished_at and not outcome.abandoned:
+            outcome.abandoned = True
             entry.cancel(request_id)
 
-    def _begin(self, fault: traces.Fault) -> None:
+    def _start_fault(self, fault: traces.Fault) -> None:
         engine = self.engines_by_id[fault.endpoint]
         match fault.kind:
             case "lost":
-                engine.lose()
+                engine.crash()
             case "slow":
-                engine.slow = fault.factor
+                engine.slowdown_factor = fault.factor
             case "link":
                 engine.link_rate /= fault.factor
-                self.links.share()
+                self.links.reallocate()
 
-    def _end(self, fault: traces.Fault) -> None:
+    def _end_fault(self, fault: traces.Fault) -> None:
         engine = self.engines_by_id[fault.endpoint]
-        engine.lost = False
-        engine.slow = 1.0
+        engine.is_down = False
+        engine.slowdown_factor = 1.0
         engine.link_rate = engine.endpoint.link_bytes_per_s
-        self.links.share()
+        self.links.reallocate()
--- a/src/cowsliprill/replay/sites.py
+++ b/src/cowsliprill/replay/sites.py
@@ -19,11 +19,11 @@
 
     Attributes:
       name: Its name.
-      zones: Availability zones.
-      zone_delay_s: One way, between availability zones.
-      entries: Number of entry processes.
-      prefill: Number of prefill engines.
-      decode: Number of decode engines.
+      availability_zones: Availability zones.
+      cross_zone_delay_s: One way, between availability zones.
+      entry_processes: Number of entry processes.
+      prefill_engines: Number of prefill engines.
+      decode_engines: Number of decode engines.
       prefill_tokens_per_s: Speed of a prefill engine.
       seconds_per_token: Time between tokens of one stream.
       prompt_median: Median length of a prompt, tokens.
@@ -33,17 +33,17 @@
       ttft_target_s: Target for the time to first token.
       tpot_target_s: Target for the time between tokens.
       user: The user that declares the services.
-      children: Its child users, the callers.
+      child_customers: Its child users, the callers.
       wasted_prefill_weight: How much an unused prefill costs its services.
       services: Names of the common and the high-priority service.
     """
 
     name: str
-    zones: tuple[str, ...]
-    zone_delay_s: float
-    entries: int = 8
-    prefill: int
-    decode: int
+    availability_zones: tuple[str, ...]
+    cross_zone_delay_s: float
+    entry_processes: int = 8
+    prefill_engines: int
+    decode_engines: int
     prefill_tokens_per_s: float
     seconds_per_token: float = 0.025
     prompt_median: float
@@ -53,7 +53,7 @@
     ttft_target_s: float
     tpot_target_s: float = 0.04
     user: str
-    children: tuple[str, ...]
+    child_customers: tuple[str, ...]
     wasted_prefill_weight: float
     services: tuple[str, str]
 
@@ -61,11 +61,11 @@
         """Returns the engines by id."""
         engines = [
             self._endpoint(model.EndpointKind.PREFILL, number)
-            for number in range(self.prefill)
+            for number in range(self.prefill_engines)
         ]
         engines += [
             self._endpoint(model.EndpointKind.DECODE, number)
-            for number in range(self.decode)
+            for number in range(self.decode_engines)
         ]
         return {engine.id: engine for engine in engines}
 
@@ -79,7 +79,7 @@
         """Returns the settings that the schedulers get."""
         users = {
             child: model.Customer(id=child, parent=self.user)
-            for child in self.children
+            for child in self.child_customers
         }
         users[self.user] = model.Customer(id=self.user)
         return model.Snapshot(
@@ -99,7 +99,9 @@
             kind=kind,
             host="127.0.0.1",
             port=1,
-            availability_zone=self.zones[(number + offset) % len(self.zones)],
+            availability_zone=self.availability_zones[
+                (number + offset) % len(self.availability_zones)
+            ],
             pool=POOL,
             slots=4 if is_prefill else 20,
             prefill_tokens_per_s=self.prefill_tokens_per_s,
@@ -127,25 +129,25 @@
 SITES_BY_NAME = {
     "umurongo": Site(
         name="umurongo",
-        zones=("nyarugenge", "gasabo", "kicukiro", "remera"),
-        zone_delay_s=0.001,
-        prefill=2,
-        decode=3,
+        availability_zones=("nyarugenge", "gasabo", "kicukiro", "remera"),
+        cross_zone_delay_s=0.001,
+        prefill_engines=2,
+        decode_engines=3,
         prefill_tokens_per_s=24_000.0,
         prompt_median=3_000.0,
         output_median=200.0,
         ttft_target_s=2.0,
         user="umurongo",
         wasted_prefill_weight=0.2,
-        children=tuple(f"umurongo/firm-{name}" for name in "abcd"),
+        child_customers=tuple(f"umurongo/firm-{name}" for name in "abcd"),
         services=("brief", "brief-now"),
     ),
     "zarqa": Site(
         name="zarqa",
-        zones=("abdoun", "shmeisani", "marka", "tabarbour"),
-        zone_delay_s=0.0015,
-        prefill=4,
-        decode=5,
+        availability_zones=("abdoun", "shmeisani", "marka", "tabarbour"),
+        cross_zone_delay_s=0.0015,
+        prefill_engines=4,
+        decode_engines=5,
         prefill_tokens_per_s=28_000.0,
         prompt_median=3_400.0,
         output_median=160.0,
@@ -153,7 +155,7 @@
         ttft_target_s=4.0,
         user="zarqa",
         wasted_prefill_weight=1.0,
-        children=("zarqa/bagroute", "zarqa/handover"),
+        child_customers=("zarqa/bagroute", "zarqa/handover"),
         services=("summary", "summary-express"),
     ),
 }
--- a/src/cowsliprill/replay/timeline.py
+++ b/src/cowsliprill/replay/timeline.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 
-class Timeline:
+class VirtualClock:
     """Runs callbacks in order of time, and of insertion at the same time.
 
     Attributes:
@@ -16,15 +16,15 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._inserted = 0
 
-    def at(self, time: float, callback: Callable[[], None]) -> None:
+    def call_at(self, time: float, callback: Callable[[], None]) -> None:
         """Calls back at a time, or now if that has passed."""
         self._inserted += 1
         entry = (max(time, self.now), self._inserted, callback)
         heapq.heappush(self._heap, entry)
 
-    def after(self, delay: float, callback: Callable[[], None]) -> None:
+    def call_after(self, delay: float, callback: Callable[[], None]) -> None:
         """Calls back after a delay in seconds."""
-        self.at(self.now + delay, callback)
+        self.call_at(self.now + delay, callback)
 
     def run_until(self, end: float) -> None:
         """Runs everything due before `end`."""
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -63,14 +63,14 @@
             )
         )
         floats = [(float(at), float(cost)) for at, cost in jobs]
-        assert bound.most_on_time(floats, capacity_after) == best
+        assert bound.max_feasible_jobs(floats, capacity_after) == best
 
 
 class TestTraces:
     """Files of traces."""
 
     def test_written_traces_read_back_the_same(self, tmp_path) -> None:
-        trace = generate.fill(_short(duration_s=1.0), 1)
+        trace = generate.with_demands(_short(duration_s=1.0), 1)
         path = tmp_path / "t.jsonl"
         traces.write(trace, path)
         assert traces.read(path) == trace
@@ -92,7 +92,7 @@
     """Links and engines in virtual time."""
 
     def test_two_transfers_share_a_link(self) -> None:
-        clock = timeline.Timeline()
+        clock = timeline.VirtualClock()
         links = engines.Links(clock)
         endpoints = sites.SITES_BY_NAME["umurongo"].endpoints()
         source, first, second = (
@@ -111,16 +111,18 @@
 
     @pytest.mark.parametrize("policy", list(main.POLICIES_BY_NAME))
     def test_no_policy_beats_the_bound(self, policy) -> None:
-        figures = main.play(_short(load=1.5), policy, 1)
+        figures = main.replay_trace(_short(load=1.5), policy, 1)
         assert 0 < figures.good <= figures.bound
         assert figures.good <= figures.demands
 
     def test_equal_seeds_give_equal_figures(self) -> None:
-        runs = [main.play(_short(), main.OURS, 7) for _ in range(2)]
+        runs = [
+            main.replay_trace(_short(), main.COWSLIPRILL, 7) for _ in range(2)
+        ]
         assert runs[0] == runs[1]
 
     def test_calm_traffic_is_served_without_waste(self) -> None:
-        figures = main.play(_short(load=0.4), main.OURS, 2)
+        figures = main.replay_trace(_short(load=0.4), main.COWSLIPRILL, 2)
         assert figures.wasted == 0
         assert figures.refusals == 0
 
@@ -130,7 +132,9 @@
         A caller that is given up on but not told loses the time in which it
         could do without, or come back.
         """
-        figures = main.play(_short(load=3.0, duration_s=20.0), main.OURS, 3)
+        figures = main.replay_trace(
+            _short(load=3.0, duration_s=20.0), main.COWSLIPRILL, 3
+        )
         assert figures.refusals > 0
         assert figures.late_refusal_s <= 0.01
 
@@ -146,15 +150,15 @@
             command.ReplayCommand(
                 traces=[trace],
                 seeds=[1],
-                policies=[main.OURS],
+                policies=[main.COWSLIPRILL],
                 json=path,
                 jobs=1,
             )
         )
         assert code == 0
         (found,) = json.loads(path.read_text(encoding="utf-8"))
-        assert found["policy"] == main.OURS
-        assert main.OURS in capsys.readouterr().out
+        assert found["policy"] == main.COWSLIPRILL
+        assert main.COWSLIPRILL in capsys.readouterr().out
 
     def test_no_trace_is_a_usage_error(self, capsys) -> None:
         assert main.run(command.ReplayCommand()) == 2
