--- a/src/cowsliprill/replay/__init__.py
+++ b/src/cowsliprill/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of traces through the decision code in virtual time."""
+"""Trace-driven simulation of the scheduler in virtual time."""
--- a/src/cowsliprill/replay/__main__.py
+++ b/src/cowsliprill/replay/__main__.py
@@ -1,4 +1,4 @@
-"""Runs `replay` by itself: `python -m cowsliprill.replay`."""
+"""Entry point of `python -m cowsliprill.replay`."""
 
 import sys
 
--- a/src/cowsliprill/replay/baselines.py
+++ b/src/cowsliprill/replay/baselines.py
@@ -1,8 +1,8 @@
-"""Simple routers to compare with, and the naive version of the scheduler.
+"""Baseline load-balancing policies to compare the scheduler with.
 
-None knows of slot leases but the naive version. They start at once, go to the
-next engine when one is full or fails, up to the service's number of attempts,
-and refuse then. That is how common proxies behave.
+The baselines behave like common proxies: they use no slot leases and no queue,
+start every request at once, retry on another pick when an engine is full or
+fails, and refuse the request after the service's maximum number of attempts.
 """
 
 import collections
@@ -14,15 +14,15 @@
 
 _RETRY_AFTER_S = 1.0
 _NO_WAKEUP_S = 3600.0
-_AFFINITY_BLOCKS = 8
+_HASHED_PREFIX_BLOCKS = 8
 
 
 class Baseline:
-    """Starts each request at once on engines that a subclass picks.
+    """Starts each request at once on engines that a subclass selects.
 
     Args:
-      availability_zone: Unused; baselines take part in the same interface.
-      seed: Seed of its random numbers.
+      availability_zone: Unused; part of the interface of a policy.
+      seed: Seed of the policy's random numbers.
     """
 
     def __init__(self, availability_zone: str, seed: int) -> None:
@@ -39,7 +39,7 @@
     def handle(
         self, event: messages.Event, now: float
     ) -> list[messages.Action]:
-        """Takes one event."""
+        """Handles one event and returns the actions to perform."""
         del now
         match event:
             case messages.WorldChanged(snapshot, _):
@@ -68,12 +68,12 @@
         return []
 
     def asks(self, now: float) -> list[messages.SlotAsk]:
-        """Returns nothing: a baseline asks for no slots."""
+        """Returns an empty list: a baseline leases no slots."""
         del now
         return []
 
     def next_wakeup(self, now: float) -> float:
-        """Returns a time after every trace."""
+        """Returns a time after the end of every trace: no tick is needed."""
         return now + _NO_WAKEUP_S
 
     def select_engine(
@@ -83,7 +83,7 @@
         endpoint_ids: list[str],
         attempt: int,
     ) -> str:
-        """Picks an engine for a request."""
+        """Returns the id of the engine for an attempt of a request."""
         raise NotImplementedError
 
     def _start(self, submit: messages.Submit, attempt: int) -> messages.Start:
@@ -140,7 +140,7 @@
 
 
 class RoundRobin(Baseline):
-    """Takes the engines in turn."""
+    """Round-robin over the engines of each kind, from a random start."""
 
     def __init__(self, availability_zone: str, seed: int) -> None:
         super().__init__(availability_zone, seed)
@@ -156,14 +156,18 @@
         endpoint_ids: list[str],
         attempt: int,
     ) -> str:
-        """Picks the next engine."""
+        """Returns the next engine in turn."""
         del submit, attempt
         self._next_index_by_kind[kind] += 1
         return endpoint_ids[self._next_index_by_kind[kind] % len(endpoint_ids)]
 
 
 class LeastOutstanding(Baseline):
-    """Takes the engine with the least load: last report and its own since."""
+    """Selects the engine with the fewest outstanding requests.
+
+    The load of an engine is its last reported load plus the change since then
+    in the requests that this policy has in flight there.
+    """
 
     def __init__(self, availability_zone: str, seed: int) -> None:
         super().__init__(availability_zone, seed)
@@ -173,7 +177,7 @@
         )
 
     def report(self, report: homes.LoadReport) -> None:
-        """Takes in a lagging load report."""
+        """Records a load report, which arrives with a delay."""
         self._reported_load[report.endpoint_id] = report.running_jobs
         self._in_flight_at_report[report.endpoint_id] = (
             self.in_flight_by_engine[report.endpoint_id]
@@ -186,7 +190,7 @@
         endpoint_ids: list[str],
         attempt: int,
     ) -> str:
-        """Picks the least loaded engine, at random among equals."""
+        """Returns the least loaded engine; ties are broken at random."""
         del submit, kind, attempt
         return min(
             endpoint_ids,
@@ -200,7 +204,7 @@
 
 
 class PrefixAffinity(Baseline):
-    """Sends equal prefixes to the same prefill engine; decode in turn."""
+    """Selects prefill engines by prefix hash, decode engines round-robin."""
 
     def __init__(self, availability_zone: str, seed: int) -> None:
         super().__init__(availability_zone, seed)
@@ -213,9 +217,13 @@
         endpoint_ids: list[str],
         attempt: int,
     ) -> str:
-        """Picks by the hash of the first blocks, else the next engine."""
+        """Returns an engine by prefix hash, or the next one in turn.
+
+        Only prefill attempts of prompts with prefix blocks use the hash. Each
+        retry moves on to the next engine.
+        """
         self._next_index += 1
         if kind is model.EndpointKind.PREFILL and submit.prefix_hashes:
-            prefix_hash = hash(submit.prefix_hashes[:_AFFINITY_BLOCKS])
+            prefix_hash = hash(submit.prefix_hashes[:_HASHED_PREFIX_BLOCKS])
             return endpoint_ids[(prefix_hash + attempt) % len(endpoint_ids)]
         return endpoint_ids[self._next_index % len(endpoint_ids)]
--- a/src/cowsliprill/replay/bound.py
+++ b/src/cowsliprill/replay/bound.py
@@ -1,10 +1,11 @@
-"""A bound on goodput that no router can beat, worked out from a trace.
-
-It looks at one resource at a time (decode slots, prefill engines, links),
-lets work be split over all engines of a kind at will, knows the future and
-the true length of every answer, and asks only that work be done between its
-arrival and the end of the trace. Then the most requests that fit are found
-exactly by the Moore-Hodgson rule, run backwards from the end.
+"""Upper bound on the goodput that any router can reach on a trace.
+
+The bound relaxes the scheduling problem. Each resource (decode slots, prefill
+engines, links) is considered alone, work may be split freely over all engines
+of a kind, future arrivals and true output lengths are known, and work only has
+to be done between its arrival and the end of the trace. The maximum number of
+requests that fit is then exact: the Moore-Hodgson algorithm, run backwards from
+the end of the trace, finds it.
 """
 
 import heapq
@@ -18,15 +19,16 @@
 def max_feasible_jobs(
     jobs: list[tuple[float, float]], capacity_after: Callable[[float], float]
 ) -> int:
-    """Finds how many jobs fit at most.
+    """Returns the maximum number of jobs that fit into the capacity.
 
     Args:
       jobs: Pairs of release time and cost.
-      capacity_after: Capacity from a time to the end.
+      capacity_after: Returns the capacity between a time and the end.
 
     Returns:
-      The largest number of jobs of which, for every time, those released
-      after it cost no more than the capacity from then on.
+      The size of the largest feasible set of jobs. A set is feasible if, for
+      every time, the jobs released from then on cost no more than the capacity
+      that remains.
     """
     negated_costs: list[float] = []
     total = 0.0
@@ -39,7 +41,7 @@
 
 
 class _Bound:
-    """The three resources of one trace."""
+    """Computes the bound of one trace from its three resources."""
 
     def __init__(self, trace: traces.Trace) -> None:
         self._trace = trace
@@ -48,7 +50,7 @@
         self._services = self._site.service_models()
 
     def compute(self) -> int:
-        """Returns the bound on requests within both targets."""
+        """Returns the bound on the requests that meet both latency targets."""
         decode_jobs = []
         prefill_jobs = []
         link_jobs = []
@@ -128,7 +130,12 @@
         return concurrency * useful_s
 
     def _lost_capacity_fraction(self, factor: float, is_decode: bool) -> float:
-        """Returns the share of an engine's worth that slowness costs."""
+        """Returns the fraction of an engine's capacity that a slowdown costs.
+
+        A decode engine loses all of it once its time per token exceeds the
+        TPOT target, and nothing below that. A prefill engine loses capacity in
+        proportion to its speed.
+        """
         token_interval_s = self._site.seconds_per_token * factor
         if is_decode and token_interval_s > self._site.tpot_target_s:
             return 1.0
@@ -136,12 +143,12 @@
 
 
 def max_good_requests(trace: traces.Trace) -> int:
-    """Bounds the goodput of a trace.
+    """Returns an upper bound on the goodput of a trace.
 
     Args:
-      trace: A trace with its demands.
+      trace: A trace with demands.
 
     Returns:
-      A number of requests within both targets that no router can exceed.
+      A number of requests within both latency targets that no router exceeds.
     """
     return _Bound(trace).compute()
--- a/src/cowsliprill/replay/catalogue.py
+++ b/src/cowsliprill/replay/catalogue.py
@@ -1,4 +1,7 @@
-"""The recipes of the committed traces; `python -m` writes them."""
+"""Parameters of the synthetic traces that are committed below `traces/`.
+
+`python -m cowsliprill.replay.catalogue` writes the files.
+"""
 
 import dataclasses
 
@@ -26,13 +29,13 @@
 
 
 def recipes(site: str) -> list[traces.Trace]:
-    """Returns the recipes of one site's traces.
+    """Returns the synthetic traces of one site.
 
     Args:
       site: A key of `sites.SITES_BY_NAME`.
 
     Returns:
-      Traces without demands.
+      Trace headers without demands, which are generated from a seed.
     """
     base = traces.Trace(
         name=f"{site}-calm", note=_TRACE_NOTE, site=site, load=0.5
@@ -71,7 +74,7 @@
 
 
 def write_all() -> None:
-    """Writes every recipe below `traces/`."""
+    """Writes the trace headers of all sites below `traces/`."""
     for site in sites.SITES_BY_NAME:
         for trace in recipes(site):
             path = command.TRACES_FOLDER / f"{trace.name}.jsonl"
--- a/src/cowsliprill/replay/command.py
+++ b/src/cowsliprill/replay/command.py
@@ -1,4 +1,4 @@
-"""The `replay` command's arguments."""
+"""Command-line arguments of the `replay` command."""
 
 import dataclasses
 import pathlib
@@ -17,16 +17,16 @@
 )
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplayCommand:
-    """Plays traces and prints figures beside baselines and a bound.
+    """Replays traces and compares policies with baselines and a bound.
 
     Attributes:
       traces: Trace files.
-      all: Whether to play every trace of `traces/`.
-      seeds: Seeds; figures of the table are medians over these.
-      policies: Names of policies to play; all if none is named, but for the
-        naive one, which is slow, with `all`.
-      json: Where to write all figures as JSON.
-      jobs: Processes that share the work.
+      all: Whether to replay every trace of `traces/`.
+      seeds: Random seeds; the printed table shows medians over the seeds.
+      policies: Names of the policies to replay. By default all of them, except
+        that `all` leaves out the naive policy, which is slow.
+      json: File to which all metrics are written as JSON.
+      jobs: Number of worker processes.
     """
 
     traces: Annotated[list[pathlib.Path], cappa.Arg(help="Trace files.")] = (
@@ -48,16 +48,16 @@
 
 
 def trace_paths(command: ReplayCommand) -> list[pathlib.Path]:
-    """Returns the files that a command names.
+    """Returns the paths of the traces to replay.
 
     Args:
-      command: The command.
+      command: Parsed command-line arguments.
 
     Returns:
-      Paths of traces.
+      Paths of trace files.
 
     Raises:
-      trace.TraceError: It names none.
+      trace.TraceError: The arguments select no trace.
     """
     paths = list(command.traces)
     if command.all:
--- a/src/cowsliprill/replay/cost.py
+++ b/src/cowsliprill/replay/cost.py
@@ -1,4 +1,7 @@
-"""Measures the processor time of a decision: `python -m` prints a table."""
+"""Benchmark of the CPU time of scheduling decisions.
+
+`python -m cowsliprill.replay.cost` prints a table by fleet size.
+"""
 
 import dataclasses
 import time
@@ -10,7 +13,7 @@
 FLEET_SIZES = (13, 130, 5_900)
 
 _REQUEST_COUNT = 2_000
-_LEASE_S = 1e9
+_LEASE_EXPIRES_AT_S = 1e9
 _PREFILL_FRACTION = 0.3
 _SERVICE = model.Service(
     id="u/s", customer="u", name="s", kind=model.ServiceKind.MODEL, pool="g"
@@ -19,13 +22,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Processor time at one size of the fleet.
+    """CPU time at one fleet size.
 
     Attributes:
-      engines: Engines in the settings.
-      placed_us: Per request that is placed at once, to its end, microseconds.
-      queued_us: Per request that finds all slots taken, microseconds.
-      cluster_state_ms: Per change of the settings or the VM list, milliseconds.
+      engines: Number of engines in the settings.
+      placed_us: Microseconds per request that is placed at once, over all its
+        events.
+      queued_us: Microseconds per request that is queued because all slots are
+        taken.
+      cluster_state_ms: Milliseconds per change of the settings or of the VM
+        list.
     """
 
     engines: int
@@ -66,7 +72,7 @@
             messages.SlotGrant(
                 endpoint_id=slot_demand.endpoint_id,
                 slots=slots,
-                expires_at=_LEASE_S,
+                expires_at=_LEASE_EXPIRES_AT_S,
                 waiting=waiting,
                 used=20 if waiting else 0,
                 sequence=slot_demand.sequence,
@@ -88,13 +94,13 @@
 
 
 def measure(engines: int) -> Cost:
-    """Measures one size.
+    """Measures the CPU time at one fleet size.
 
     Args:
-      engines: Engines in the settings.
+      engines: Number of engines in the settings.
 
     Returns:
-      The cost.
+      The measured CPU times.
     """
     subject = scheduler.Scheduler("z0", 1)
     started_at = time.process_time()
@@ -126,7 +132,7 @@
 
 
 def main() -> None:
-    """Prints the cost at each size."""
+    """Prints the CPU times at each fleet size."""
     print("engines  free us/request  scarce us/request  change ms")
     for size in FLEET_SIZES:
         cost = measure(size)
--- a/src/cowsliprill/replay/engines.py
+++ b/src/cowsliprill/replay/engines.py
@@ -1,7 +1,8 @@
-"""Fakes of engines and links in virtual time.
+"""Simulated engines and network links in virtual time.
 
-Just what the decisions depend on: slots, the time of a prefill, its eviction,
-shared links, a prefix cache. No batching model beyond that.
+The model covers what scheduling decisions depend on: slots, prefill time,
+expiry of exported KV caches, shared links and a prefix cache. There is no
+further model of batching.
 """
 
 import collections
@@ -12,26 +13,26 @@
 from cowsliprill.replay import sites
 from cowsliprill.replay import timeline
 
-_CACHE_BLOCKS = 600
+_PREFIX_CACHE_BLOCKS = 600
 _PREFILL_OVERHEAD_S = 0.01
 
-# Tokens after which the shell reports a stream's progress.
+# Output tokens after which the I/O layer reports the progress of a stream.
 PROGRESS_TOKENS = 16
 
 
 @dataclasses.dataclass(slots=True)
 class EngineJob:
-    """One attempt as the engines see it.
+    """The work of one attempt of a request on the engines.
 
     Attributes:
-      key: Unique key of the attempt.
+      key: Unique key of the attempt: entry process, request and attempt.
       prompt_tokens: Length of the prompt.
-      output_tokens: Tokens to generate.
+      output_tokens: Number of tokens to generate.
       prefix: Hashes of the prompt's blocks.
-      cancelled: Whether it was cancelled.
-      prefill_started: Whether computing began.
-      used: Whether the decode engine used the prefill's result.
-      exported_at: When the prefill finished.
+      cancelled: Whether the attempt was cancelled.
+      prefill_started: Whether the prefill engine began to compute.
+      used: Whether the decode engine used the exported KV cache.
+      exported_at: Virtual time at which the prefill finished, in seconds.
     """
 
     key: tuple[int, int, int]
@@ -45,11 +46,11 @@
 
 
 class Engine:
-    """What both kinds of engine have: slots, speed and faults.
+    """Base class of both kinds of engine: slots, speed and faults.
 
     Args:
-      endpoint: Its settings.
-      clock: The virtual time.
+      endpoint: Settings of the engine.
+      clock: Virtual clock.
     """
 
     def __init__(
@@ -68,7 +69,15 @@
     def try_accept(
         self, job: EngineJob, on_failure: Callable[[], None]
     ) -> bool:
-        """Takes a slot for the work unless all are taken."""
+        """Acquires a slot for a job.
+
+        Args:
+          job: The job.
+          on_failure: Called if the engine crashes while the job holds a slot.
+
+        Returns:
+          False if all slots are taken.
+        """
         if len(self.jobs_by_key) >= self.endpoint.slots:
             return False
         self.jobs_by_key[job.key] = job
@@ -76,12 +85,12 @@
         return True
 
     def release(self, job: EngineJob) -> None:
-        """Frees the work's slot, if it has one."""
+        """Releases the job's slot; does nothing if the job holds none."""
         self.jobs_by_key.pop(job.key, None)
         self.on_failure_by_key.pop(job.key, None)
 
     def crash(self) -> None:
-        """Stops answering; all work is gone."""
+        """Marks the engine as down and fails all of its jobs."""
         self.is_down = True
         on_failure = list(self.on_failure_by_key.values())
         self.jobs_by_key.clear()
@@ -95,7 +104,11 @@
 
 
 class PrefillEngine(Engine):
-    """Computes one prompt after another and caches blocks of prompts."""
+    """Prefills prompts one at a time and keeps an LRU prefix cache.
+
+    Attributes:
+      on_stored: Called with the block hashes that enter the prefix cache.
+    """
 
     def __init__(
         self, endpoint: model.Endpoint, clock: timeline.VirtualClock
@@ -111,7 +124,7 @@
         self.on_stored: Callable[[list[int]], None] = _ignore_blocks
 
     def run(self, job: EngineJob, on_done: Callable[[], None]) -> None:
-        """Computes a prompt in its turn."""
+        """Queues a prefill; `on_done` is called when it has finished."""
         self._queue.append((job, on_done))
         self._start_next()
 
@@ -156,7 +169,7 @@
         new = [block for block in prefix if block not in self._cache]
         for block in new:
             self._cache[block] = None
-        while len(self._cache) > _CACHE_BLOCKS:
+        while len(self._cache) > _PREFIX_CACHE_BLOCKS:
             self._cache.popitem(last=False)
         if new:
             self.on_stored(new)
@@ -171,12 +184,12 @@
     rate: float = 0.0
 
     def link_keys(self) -> tuple[int, int]:
-        """Returns keys of its two engines."""
+        """Returns the keys of the links of both engines."""
         return id(self.source), id(self.target)
 
 
 class Links:
-    """Transfers that share the links of their two engines equally."""
+    """KV cache transfers that share the engines' links max-min fairly."""
 
     def __init__(self, clock: timeline.VirtualClock) -> None:
         self._clock = clock
@@ -191,13 +204,16 @@
         size: float,
         on_done: Callable[[], None],
     ) -> None:
-        """Starts a transfer of `size` bytes."""
+        """Starts a transfer of `size` bytes; `on_done` is called at its end."""
         self._advance()
         self._transfers.append(_Transfer(source, target, size, on_done))
         self.reallocate()
 
     def reallocate(self) -> None:
-        """Works out the rates anew; called when transfers or links change."""
+        """Recomputes all transfer rates and schedules the next completion.
+
+        Must be called whenever the transfers or the link rates change.
+        """
         self._advance()
         self._allocate_rates()
         next_completion_s = min(
@@ -212,7 +228,11 @@
             )
 
     def _allocate_rates(self) -> None:
-        """Gives max-min fair rates: the tightest link fixes its own first."""
+        """Assigns max-min fair rates by progressive filling.
+
+        The link with the smallest rate per transfer is the bottleneck and fixes
+        the rates of its transfers first.
+        """
         engines = {
             id(engine): engine
             for transfer in self._transfers
@@ -259,7 +279,7 @@
 
 
 class DecodeEngine(Engine):
-    """Fetches a KV cache into a slot and generates tokens."""
+    """Fetches the KV cache of a prefilled prompt and generates tokens."""
 
     def run(
         self,
@@ -268,7 +288,7 @@
         links: Links,
         callbacks: "DecodeCallbacks",
     ) -> None:
-        """Transfers and generates; the slot is taken already."""
+        """Runs transfer and decode of a job that already holds a slot."""
         size = job.prompt_tokens * self.endpoint.kv_bytes_per_token
         links.send(
             source, self, size, lambda: self._fetched(job, source, callbacks)
@@ -323,7 +343,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DecodeCallbacks:
-    """Whom a decode engine tells what became of a work."""
+    """Callbacks by which a decode engine reports the progress of a job.
+
+    Attributes:
+      on_evicted: The exported KV cache expired or its engine is down.
+      on_first_token: The first token was generated.
+      on_progress: `PROGRESS_TOKENS` tokens were generated.
+      on_finished: All tokens were generated.
+    """
 
     on_evicted: Callable[[], None]
     on_first_token: Callable[[], None]
--- a/src/cowsliprill/replay/generate.py
+++ b/src/cowsliprill/replay/generate.py
@@ -1,4 +1,4 @@
-"""Draws synthetic demands from a trace's recipe with a seed."""
+"""Generator of synthetic demands from the parameters of a trace and a seed."""
 
 import dataclasses
 import itertools
@@ -20,13 +20,14 @@
 
 
 def capacity_per_s(site: sites.Site) -> float:
-    """Returns the requests a second that a fleet can serve on average.
+    """Returns the mean request rate that a fleet can serve.
 
     Args:
-      site: The fleet and the mean lengths of what it is asked.
+      site: The fleet and the length distributions of its requests.
 
     Returns:
-      The smaller of what the decode slots and the prefill engines allow.
+      Requests per second: the smaller of the rates that the decode slots and
+      the prefill engines allow.
     """
     output = _lognormal_mean(site.output_median, site.output_sigma)
     slot_s_per_request = output * site.seconds_per_token + _MEAN_TRANSFER_S
@@ -40,13 +41,13 @@
 
 
 def _hot_prefix(user: str, number: int) -> tuple[int, ...]:
-    # Blocks are salted by user, so no two users share one.
+    # Seeded by user, so that no two users share a prefix block.
     rng = random.Random(f"{user}/{number}")
     return tuple(rng.getrandbits(48) for _ in range(_HOT_PREFIX_BLOCKS))
 
 
 class _Generator:
-    """Draws one trace's demands."""
+    """Generates the demands of one trace."""
 
     def __init__(self, trace: traces.Trace, seed: int) -> None:
         self._trace = trace
@@ -117,14 +118,14 @@
 
 
 def with_demands(trace: traces.Trace, seed: int) -> traces.Trace:
-    """Returns the trace with demands.
+    """Returns a trace with its demands generated.
 
     Args:
-      trace: A trace; if it has demands already it is returned as it is.
+      trace: A trace; one that already has demands is returned unchanged.
       seed: Seed of the random numbers.
 
     Returns:
-      The trace with demands by time.
+      The trace with demands in order of arrival.
     """
     if trace.demands:
         return trace
--- a/src/cowsliprill/replay/homes.py
+++ b/src/cowsliprill/replay/homes.py
@@ -1,4 +1,8 @@
-"""The homes of the engines in a replay: slot ledgers and cache news."""
+"""Simulated coordinators of the engines in a replay.
+
+A coordinator leases the slots of one engine, forwards its prefix cache events
+and publishes its load reports.
+"""
 
 import dataclasses
 import random
@@ -9,27 +13,32 @@
 from cowsliprill.replay import engines
 from cowsliprill.replay import timeline
 
-_EVENT_DELAY_S = (0.2, 1.5)
+_EVENT_DELAY_RANGE_S = (0.2, 1.5)
 _REPORT_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine said of its load some time ago, for the baselines."""
+    """Load of an engine as the baselines receive it, with a delay.
+
+    Attributes:
+      endpoint_id: Id of the engine.
+      running_jobs: Number of jobs that held a slot at the time of the report.
+    """
 
     endpoint_id: str
     running_jobs: int
 
 
 class EndpointCoordinator:
-    """Home of one engine.
+    """Coordinator of one engine.
 
     Args:
       engine: The engine.
-      clock: The virtual time.
-      rng: Random numbers of this home.
-      event_gap: Share of cache events that are lost.
-      report_lag_s: Age of load reports on arrival.
+      clock: Virtual clock.
+      rng: Random number generator of this coordinator.
+      event_gap: Fraction of cache events that are lost.
+      report_lag_s: Age of load reports on arrival, in seconds.
     """
 
     def __init__(
@@ -62,15 +71,25 @@
     def handle_slot_demand(
         self,
         entry: str,
-        ask: messages.SlotAsk,
+        slot_demand: messages.SlotAsk,
         sent_at: float,
         send: Callable[[messages.SlotGrant], None],
     ) -> None:
-        """Answers an ask and tells other entries what it changed for them."""
+        """Handles a slot demand of an entry process.
+
+        Grants go to that entry process and to all others whose share of the
+        slots changes.
+
+        Args:
+          entry: Name of the entry process.
+          slot_demand: The slot demand.
+          sent_at: Virtual time at which the demand was sent, in seconds.
+          send: Sends a grant to the entry process.
+        """
         now = self._clock.now
         self._latency_by_entry[entry] = now - sent_at
         self._sender_by_entry[entry] = send
-        self._send(entry, self.ledger.ask(entry, ask, now))
+        self._send(entry, self.ledger.ask(entry, slot_demand, now))
         for name, grant in self.ledger.regrant(now):
             self._send(name, grant)
 
@@ -93,7 +112,7 @@
             if self._random.random() >= self._event_loss_fraction
         ]
         self._clock.call_after(
-            self._random.uniform(*_EVENT_DELAY_S),
+            self._random.uniform(*_EVENT_DELAY_RANGE_S),
             lambda: self._stored_blocks.extend(received),
         )
 
--- a/src/cowsliprill/replay/main.py
+++ b/src/cowsliprill/replay/main.py
@@ -1,4 +1,4 @@
-"""Runs the `replay` command."""
+"""Implementation of the `replay` command."""
 
 import collections
 import concurrent.futures
@@ -36,15 +36,15 @@
 
 
 def replay_trace(trace: traces.Trace, policy: str, seed: int) -> report.Figures:
-    """Plays one trace with one policy and one seed.
+    """Replays one trace with one policy and one seed.
 
     Args:
-      trace: The trace.
+      trace: The trace, with or without demands.
       policy: A key of `POLICIES_BY_NAME`.
-      seed: The seed.
+      seed: Random seed.
 
     Returns:
-      The figures.
+      The metrics of the run.
     """
     filled = generate.with_demands(trace, seed)
     result = simulation.Simulation(filled, POLICIES_BY_NAME[policy], seed).run()
@@ -109,9 +109,9 @@
         {
             "trace": name,
             "policy": policy,
-            "runs": [dataclasses.asdict(run) for run in found],
+            "runs": [dataclasses.asdict(run) for run in policy_runs],
         }
-        for (name, policy), found in runs.items()
+        for (name, policy), policy_runs in runs.items()
     ]
     path.write_text(json.dumps(document, indent=1) + "\n", encoding="utf-8")
 
@@ -124,13 +124,13 @@
 
 
 def run(command: commands.ReplayCommand) -> int:
-    """Plays traces, prints a table and writes JSON if asked.
+    """Replays traces, prints a table and optionally writes JSON.
 
     Args:
-      command: The arguments.
+      command: Parsed command-line arguments.
 
     Returns:
-      The exit code.
+      The exit code of the process.
     """
     try:
         paths = commands.trace_paths(command)
@@ -146,8 +146,8 @@
     seeds = list(command.seeds) or list(_DEFAULT_SEEDS)
     runs = _replay_all(loaded_traces, policies, seeds, command.jobs)
     print(_HEADER)
-    for (name, policy), found in runs.items():
-        print(_format_row(name, policy, found))
+    for (name, policy), policy_runs in runs.items():
+        print(_format_row(name, policy, policy_runs))
     if command.json:
         _write_json(command.json, runs)
     return errors.ExitCode.OK
--- a/src/cowsliprill/replay/naive.py
+++ b/src/cowsliprill/replay/naive.py
@@ -1,7 +1,8 @@
-"""The naive version of the scheduler, to compare and to test against.
+"""Reference implementation of the scheduler, for comparison and tests.
 
-First come, first served; the engines with the most free leased slots; waits
-as long as the service allows and refuses then. Slow, plain and obvious.
+Requests are served first come, first served, each on the engines with the most
+free leased slots, and are refused when they have been queued for the service's
+maximum wait. The code favors simplicity over speed.
 """
 
 import collections
@@ -25,11 +26,11 @@
 
 
 class NaiveScheduler:
-    """Places the model requests of one entry process.
+    """Schedules the model requests of one entry process.
 
     Args:
-      availability_zone: Where this process runs.
-      seed: Seed of its random numbers.
+      availability_zone: Availability zone of the entry process.
+      seed: Random seed; unused, since every choice is deterministic.
     """
 
     def __init__(self, availability_zone: str, seed: int) -> None:
@@ -43,14 +44,14 @@
     def handle(
         self, event: messages.Event, now: float
     ) -> list[messages.Action]:
-        """Takes one event.
+        """Handles one event.
 
         Args:
-          event: What happened.
-          now: Time, seconds, on the clock of all other times here.
+          event: The event.
+          now: Current time in seconds.
 
         Returns:
-          What the shell has to do, in order.
+          The actions that the I/O layer must perform, in order.
         """
         match event:
             case messages.Submit():
@@ -78,14 +79,15 @@
         return self._refuse_timed_out(now) + self._place_queued(now)
 
     def asks(self, now: float) -> list[messages.SlotAsk]:
-        """States this entry's standing with every endpoint it uses.
+        """Returns the current slot demands of this entry process.
 
         Args:
-          now: Time, seconds.
+          now: Current time in seconds.
 
         Returns:
-          One ask per endpoint; the shell sends them to the homes, at each
-          renewal and whenever `handle` returns some.
+          One slot demand per usable endpoint. The I/O layer sends the demands
+          to the coordinators at each lease renewal and whenever `handle`
+          returns some.
         """
         del now
         queued_by_customer = collections.Counter(
@@ -105,7 +107,7 @@
         ]
 
     def next_wakeup(self, now: float) -> float:
-        """Returns the time at which the shell must send `Tick`."""
+        """Returns the time at which the I/O layer must deliver `Tick`."""
         return now + _IDLE_WAKEUP_S
 
     def _usable_endpoints(self) -> list[model.Endpoint]:
--- a/src/cowsliprill/replay/outcomes.py
+++ b/src/cowsliprill/replay/outcomes.py
@@ -1,4 +1,4 @@
-"""What a replay notes of demands, attempts and slots."""
+"""Records of demands, attempts and slot usage in a replay."""
 
 import dataclasses
 
@@ -8,21 +8,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What became of one demand.
+    """Outcome of one demand. All times are virtual and in seconds.
 
     Attributes:
       demand: The demand.
-      priority: Of its service.
-      submitted_at: Last time the caller came.
-      retries: How often the caller came back.
-      first_token_at: When its caller saw the first token, 0 if never.
-      finished_at: When its caller had it all, 0 if never.
-      refusal_delays_s: Time from coming to each refusal.
-      refusal_lateness_s: How long after the last possible start, or after the
-        failure that caused it, each refusal came.
-      failed: Whether its stream was cut after the first token.
-      abandoned: Whether the caller left before the end.
-      last_failed_at: Time of the newest failed attempt.
+      priority: Priority of the demand's service.
+      submitted_at: Time of the caller's last submission.
+      retries: Number of times the caller submitted again after a refusal.
+      first_token_at: Time at which the caller received the first token, 0 if
+        never.
+      finished_at: Time at which the caller received the last token, 0 if never.
+      refusal_delays_s: Time from submission to refusal, for each refusal.
+      refusal_lateness_s: For each refusal, its delay after its cause: after the
+        latest useful start or after the failed attempt; 0 for a refusal before
+        either.
+      stream_cut: Whether the stream was cut after the first token.
+      abandoned: Whether the caller disconnected before the end of the output.
+      last_failed_at: Time of the last failed attempt, 0 if none failed.
     """
 
     demand: traces.Demand
@@ -38,25 +40,25 @@
     last_failed_at: float = 0.0
 
     def ttft_s(self) -> float:
-        """Returns the time to first token since the caller last came."""
+        """Returns the time from the last submission to the first token."""
         return self.first_token_at - self.submitted_at
 
     def tpot_s(self) -> float:
-        """Returns the mean time between tokens."""
+        """Returns the mean time between output tokens in seconds."""
         tokens = max(self.demand.output_tokens - 1, 1)
         return (self.finished_at - self.first_token_at) / tokens
 
 
 @dataclasses.dataclass(slots=True)
 class SlotUsage:
-    """A decode slot used by an attempt.
+    """Usage of a decode slot by one attempt.
 
     Attributes:
-      user: Whose request it is.
-      job: The attempt.
-      endpoint_id: The decode engine.
-      acquired_at: When the slot was taken.
-      ended_at: When the answer was complete, 0 if it isn't.
+      user: Customer that sent the request.
+      job: The attempt's job.
+      endpoint_id: Id of the decode engine.
+      acquired_at: Time at which the slot was acquired.
+      ended_at: Time at which the output was complete, 0 if it never was.
     """
 
     user: str
@@ -68,15 +70,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What a replay saw.
+    """Result of a replay.
 
     Attributes:
-      outcomes: One per demand that arrived.
-      jobs: Every attempt that reached a prefill engine.
-      runs: Use of decode slots that brought tokens.
-      messages_sent: Messages between entries and homes.
-      ended_at: Time of the end.
-      in_flight_keys_at_end: Keys of attempts still on their way at the end.
+      outcomes: One outcome per demand that arrived.
+      jobs: The job of every attempt that was started.
+      slot_usages: One record per job that acquired a decode slot.
+      messages_sent: Messages between entry processes and coordinators.
+      ended_at: Virtual time of the end, in seconds.
+      in_flight_keys_at_end: Keys of jobs that held a slot at the end or whose
+        KV cache was exported in the last second; unused ones among them do not
+        count as wasted.
     """
 
     outcomes: list[Outcome]
--- a/src/cowsliprill/replay/policy.py
+++ b/src/cowsliprill/replay/policy.py
@@ -1,4 +1,4 @@
-"""The interface of whatever a replay plays."""
+"""Interface of the scheduling policies that a replay compares."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,18 +7,18 @@
 
 
 class Policy(Protocol):
-    """What a replay needs of `scheduler.Scheduler` or of a baseline."""
+    """A scheduling policy: `scheduler.Scheduler` or a baseline."""
 
     def handle(
         self, event: messages.Event, now: float
     ) -> list[messages.Action]:
-        """Takes an event and says what to do."""
+        """Handles an event and returns the actions to perform, in order."""
 
     def asks(self, now: float) -> list[messages.SlotAsk]:
-        """States this entry's standing with every endpoint."""
+        """Returns the slot demands of this entry process, one per endpoint."""
 
     def next_wakeup(self, now: float) -> float:
-        """Says when to send `Tick`."""
+        """Returns the time at which `Tick` must be delivered."""
 
 
 PolicyFactory = Callable[[str, int], Policy]
--- a/src/cowsliprill/replay/report.py
+++ b/src/cowsliprill/replay/report.py
@@ -1,4 +1,4 @@
-"""Figures of a replay, for tables and JSON."""
+"""Metrics of a replay, for the printed table and for JSON."""
 
 import collections
 import dataclasses
@@ -14,7 +14,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Rate:
-    """Good requests out of demands."""
+    """Goodput of a group of demands.
+
+    Attributes:
+      good: Demands that were served within both latency targets.
+      demands: All demands of the group.
+    """
 
     good: int
     demands: int
@@ -22,29 +27,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Figures:
-    """Figures of one run.
+    """Metrics of one run. Ratios are between 0 and 1 unless noted.
 
     Attributes:
-      demands: Requests that callers wanted, returns not counted again.
-      good: Those answered whole, within both targets counted from when the
-        caller last came, before the trace's end.
-      finished: Those answered whole, late ones included.
-      good_share: `good` over `demands`.
-      bound: No router can have more good ones.
-      prefills: Prefills on which an engine began to work.
-      wasted: Those of them whose results were never used.
-      wasted_share: `wasted` over `prefills`.
-      refusals: Refusals, each return's counted.
-      refused_after_s: Time to refusal, p50, p95, p99.
-      late_refusal_s: Worst time from a refusal's cause to the refusal.
-      ttft_s: Time to first token, p50, p95, p99.
-      tpot_s: Time between tokens, p50, p95, p99.
-      by_user: Goodput of each user.
-      by_service: Goodput of each service.
-      by_priority: Goodput of each priority.
-      share_by_user: Decode slot time of each user over its fair share.
-      fairness: The least of these.
-      messages: Messages between entries and homes.
+      demands: Demands that arrived; a retry after a refusal counts as the same
+        demand.
+      good: Demands that finished before the end of the trace within both
+        latency targets, counted from the caller's last submission.
+      finished: Demands that finished, including those past their targets.
+      good_share: `good` divided by `demands`.
+      bound: Upper bound on `good` for any router.
+      prefills: Prefills that an engine began to compute.
+      wasted: Prefills whose KV cache was never used.
+      wasted_share: `wasted` divided by `prefills`.
+      refusals: Refusals, including those of retries.
+      refused_after_s: Time from submission to refusal: p50, p95, p99.
+      late_refusal_s: Maximum time from a refusal's cause to the refusal.
+      ttft_s: Time to first token: p50, p95, p99.
+      tpot_s: Time per output token: p50, p95, p99.
+      by_user: Goodput by calling customer.
+      by_service: Goodput by service.
+      by_priority: Goodput by priority.
+      share_by_user: Decode slot time of each calling customer divided by its
+        max-min fair share; can exceed 1.
+      fairness: Minimum of `share_by_user`.
+      messages: Messages between entry processes and coordinators.
     """
 
     demands: int
@@ -69,7 +76,7 @@
 
 
 def quantiles(values: Iterable[float]) -> tuple[float, ...]:
-    """Returns p50, p95 and p99 by nearest rank, zeros for no values."""
+    """Returns p50, p95 and p99 by nearest rank, or zeros for no values."""
     ordered = sorted(values)
     if not ordered:
         return tuple(0.0 for _ in _QUANTILES)
@@ -80,14 +87,14 @@
 
 
 def max_min_fair_shares(total: float, demand_by_user: dict[str, float]) -> dict:
-    """Splits a total max-min fairly.
+    """Splits a total by max-min fairness.
 
     Args:
-      total: What there is.
-      demand_by_user: What each user asks for.
+      total: The amount to split.
+      demand_by_user: Demand of each customer.
 
     Returns:
-      What each user's fair share is; no one gets more than it asks for.
+      The fair share of each customer, at most its demand.
     """
     shares = {}
     remaining = total
@@ -123,15 +130,15 @@
     demand_by_user: dict[str, float] = {}
     for outcome in result.outcomes:
         user = outcome.demand.user
-        wanted = outcome.demand.output_tokens * site.seconds_per_token
-        demand_by_user[user] = demand_by_user.get(user, 0.0) + wanted
+        demand_s = outcome.demand.output_tokens * site.seconds_per_token
+        demand_by_user[user] = demand_by_user.get(user, 0.0) + demand_s
     used: dict[str, float] = {}
     for usage in result.slot_usages:
-        # Answers still running at the end count as far as they got.
-        running = (
+        # Decodes still running at the end count up to the end.
+        is_running = (
             not usage.ended_at and usage.job.key in result.in_flight_keys_at_end
         )
-        ended_at = result.ended_at if running else usage.ended_at
+        ended_at = result.ended_at if is_running else usage.ended_at
         if ended_at:
             seconds = used.get(usage.user, 0.0) + ended_at - usage.acquired_at
             used[usage.user] = seconds
@@ -146,15 +153,15 @@
 def figures(
     trace: traces.Trace, result: outcomes.Result, bound: int
 ) -> Figures:
-    """Works out the figures of a run.
+    """Computes the metrics of a run.
 
     Args:
-      trace: What was played.
-      result: What happened.
-      bound: The bound on goodput.
+      trace: The replayed trace.
+      result: The result of the run.
+      bound: Upper bound on the goodput.
 
     Returns:
-      The figures.
+      The metrics.
     """
     site = sites.SITES_BY_NAME[trace.site]
     all_outcomes = result.outcomes
@@ -195,5 +202,5 @@
 
 
 def median(runs: list[Figures], name: str) -> float:
-    """Returns the median of one figure over runs of different seeds."""
+    """Returns the median of one metric over runs with different seeds."""
     return statistics.median(getattr(run, name) for run in runs)
--- a/src/cowsliprill/replay/shell.py
+++ b/src/cowsliprill/replay/shell.py
@@ -1,4 +1,4 @@
-"""The shell round one policy in a replay, in place of an entry process."""
+"""Simulated entry process: the I/O layer of one policy in a replay."""
 
 import dataclasses
 from collections.abc import Callable
@@ -16,15 +16,15 @@
 
 
 class SimulationContext(Protocol):
-    """What an entry needs of the simulation.
+    """Parts of the simulation that an entry process uses.
 
     Attributes:
-      clock: The virtual time.
-      links: The links between engines.
-      result: Where to note what happens.
-      services_by_id: The services.
-      engines_by_id: The engines.
-      coordinators_by_endpoint_id: The home of each engine.
+      clock: Virtual clock.
+      links: Links between the engines.
+      result: Receives the records of the run.
+      services_by_id: Services by id.
+      engines_by_id: Simulated engines by endpoint id.
+      coordinators_by_endpoint_id: Coordinators by endpoint id.
     """
 
     clock: timeline.VirtualClock
@@ -35,12 +35,12 @@
     coordinators_by_endpoint_id: dict[str, homes.EndpointCoordinator]
 
     def delay(self, availability_zone: str, engine: engines.Engine) -> float:
-        """Returns the time of a message one way, in seconds."""
+        """Returns the one-way network delay to an engine in seconds."""
 
     def record_refusal(
         self, outcome: outcomes.Outcome, action: messages.Refuse
     ) -> None:
-        """Notes a refusal."""
+        """Records a refusal."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -51,12 +51,12 @@
 
 
 class EntryProcess:
-    """Performs a policy's actions and reports events to it.
+    """Performs the actions of a policy and delivers events to the policy.
 
     Args:
-      number: Number of the entry.
-      availability_zone: Its availability zone.
-      policy: What decides.
+      number: Index of the entry process.
+      availability_zone: Availability zone of the entry process.
+      policy: Scheduling policy.
       context: The simulation.
     """
 
@@ -78,7 +78,7 @@
         self._renew_leases()
 
     def submit(self, request_id: int, outcome: outcomes.Outcome) -> None:
-        """Takes a caller's request."""
+        """Submits a caller's request to the policy."""
         self._outcomes_by_request[request_id] = outcome
         demand = outcome.demand
         service = self.context.services_by_id[demand.service]
@@ -96,13 +96,13 @@
         )
 
     def cancel(self, request_id: int) -> None:
-        """Takes note that a caller has left."""
+        """Cancels a request whose caller has disconnected."""
         if request_id in self._outcomes_by_request:
             self.deliver(messages.Cancel(request_id))
             self._remove_request(request_id)
 
     def deliver(self, event: messages.Event) -> None:
-        """Gives an event to the policy and does what it says."""
+        """Delivers an event to the policy and performs the returned actions."""
         now = self.context.clock.now
         slot_demands = []
         for action in self.policy.handle(event, now):
@@ -341,7 +341,7 @@
                 refused=refused,
             )
             if outcome.first_token_at:
-                # The answer was cut: this replay doesn't resume streams.
+                # The stream is cut: the replay does not resume streams.
                 outcome.stream_cut = True
                 self.deliver(event)
                 self._remove_request(request_id)
--- a/src/cowsliprill/replay/simulation.py
+++ b/src/cowsliprill/replay/simulation.py
@@ -1,4 +1,8 @@
-"""Plays a trace through schedulers, homes and fake engines."""
+"""Discrete-event simulation of a trace.
+
+Entry processes with a scheduling policy, coordinators and engines exchange
+messages in virtual time.
+"""
 
 import random
 
@@ -18,12 +22,13 @@
 
 
 class Simulation:
-    """One trace, one policy, one seed.
+    """Simulation of one trace with one policy and one seed.
 
     Args:
-      trace: A trace with its demands.
-      policy_factory: Makes the policy of an entry from its zone and a seed.
-      seed: Seed of the callers' and the homes' random numbers.
+      trace: A trace with demands.
+      policy_factory: Creates the policy of an entry process from its
+        availability zone and a seed.
+      seed: Seed of the random numbers of callers, coordinators and policies.
     """
 
     def __init__(
@@ -73,10 +78,10 @@
         self._request_id = 0
 
     def run(self) -> outcomes.Result:
-        """Plays the trace to its end.
+        """Runs the simulation to the end of the trace.
 
         Returns:
-          What happened until then.
+          The result of the run.
         """
         for demand in self.trace.demands:
             self.clock.call_at(
@@ -101,7 +106,7 @@
         return self.result
 
     def delay(self, availability_zone: str, engine: engines.Engine) -> float:
-        """Returns the time of a message one way, in seconds."""
+        """Returns the one-way network delay to an engine in seconds."""
         if availability_zone == engine.endpoint.availability_zone:
             return _SAME_ZONE_DELAY_S
         return self.site.cross_zone_delay_s
@@ -109,7 +114,11 @@
     def record_refusal(
         self, outcome: outcomes.Outcome, action: messages.Refuse
     ) -> None:
-        """Notes a refusal; the caller comes back a bounded number of times."""
+        """Records a refusal and schedules the caller's retry.
+
+        A caller submits again after `retry_after_s`, at most `_MAX_RETRIES`
+        times.
+        """
         now = self.clock.now
         service = self.services_by_id[outcome.demand.service]
         latest_start_at = outcome.submitted_at + service.ttft_target_s
--- a/src/cowsliprill/replay/sites.py
+++ b/src/cowsliprill/replay/sites.py
@@ -1,8 +1,9 @@
-"""The two users' fleets at today's sizes, as the brief gives them.
+"""Fleets and workloads of the simulated sites.
 
-The brief gives the numbers of engines, zones and slots, the delays and that a
-prefill costs as much as many tens of output tokens. Speeds, lengths and link
-rates are chosen to agree with it and are not measured on real engines.
+The requirements fix the numbers of engines, availability zones and slots, the
+network delays, and that a prefill costs as much as many tens of output tokens.
+Engine speeds, prompt and output lengths and link rates are assumptions that
+agree with these requirements, not figures of real engines.
 """
 
 import dataclasses
@@ -15,27 +16,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Site:
-    """One user's fleet and what its callers ask for.
+    """The fleet of one customer and the workload of its callers.
 
     Attributes:
-      name: Its name.
+      name: Name of the site.
       availability_zones: Availability zones.
-      cross_zone_delay_s: One way, between availability zones.
+      cross_zone_delay_s: One-way network delay between availability zones.
       entry_processes: Number of entry processes.
       prefill_engines: Number of prefill engines.
       decode_engines: Number of decode engines.
-      prefill_tokens_per_s: Speed of a prefill engine.
-      seconds_per_token: Time between tokens of one stream.
+      prefill_tokens_per_s: Prompt tokens per second of a prefill engine.
+      seconds_per_token: Time per output token of one stream.
       prompt_median: Median length of a prompt, tokens.
-      prompt_sigma: Sigma of its log-normal distribution.
-      output_median: Median length of an answer, tokens.
-      output_sigma: Sigma of its log-normal distribution.
-      ttft_target_s: Target for the time to first token.
-      tpot_target_s: Target for the time between tokens.
-      user: The user that declares the services.
-      child_customers: Its child users, the callers.
-      wasted_prefill_weight: How much an unused prefill costs its services.
-      services: Names of the common and the high-priority service.
+      prompt_sigma: Sigma of the log-normal distribution of prompt lengths.
+      output_median: Median length of an output, tokens.
+      output_sigma: Sigma of the log-normal distribution of output lengths.
+      ttft_target_s: Target time to first token (TTFT).
+      tpot_target_s: Target time per output token (TPOT).
+      user: Id of the customer that declares the services.
+      child_customers: Ids of its child customers, which call the services.
+      wasted_prefill_weight: Cost of a wasted prefill in the services' settings.
+      services: Names of the default and the high-priority service.
     """
 
     name: str
@@ -76,7 +77,7 @@
         return {service.id: service for service in services}
 
     def snapshot(self) -> model.Snapshot:
-        """Returns the settings that the schedulers get."""
+        """Returns the settings snapshot that the policies receive."""
         users = {
             child: model.Customer(id=child, parent=self.user)
             for child in self.child_customers
--- a/src/cowsliprill/replay/timeline.py
+++ b/src/cowsliprill/replay/timeline.py
@@ -1,14 +1,14 @@
-"""Virtual time: a heap of callbacks."""
+"""Virtual clock: an event queue of scheduled callbacks."""
 
 import heapq
 from collections.abc import Callable
 
 
 class VirtualClock:
-    """Runs callbacks in order of time, and of insertion at the same time.
+    """Runs callbacks in order of time; ties run in order of insertion.
 
     Attributes:
-      now: The virtual time, seconds.
+      now: Virtual time in seconds.
     """
 
     def __init__(self) -> None:
@@ -17,17 +17,17 @@
         self._inserted = 0
 
     def call_at(self, time: float, callback: Callable[[], None]) -> None:
-        """Calls back at a time, or now if that has passed."""
+        """Schedules a callback at a time, or now if the time has passed."""
         self._inserted += 1
         entry = (max(time, self.now), self._inserted, callback)
         heapq.heappush(self._heap, entry)
 
     def call_after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Calls back after a delay in seconds."""
+        """Schedules a callback after a delay in seconds."""
         self.call_at(self.now + delay, callback)
 
     def run_until(self, end: float) -> None:
-        """Runs everything due before `end`."""
+        """Runs all callbacks due before `end` and advances `now` to `end`."""
         while self._heap and self._heap[0][0] < end:
             self.now, _, callback = heapq.heappop(self._heap)
             callback()
--- a/src/cowsliprill/replay/trace.py
+++ b/src/cowsliprill/replay/trace.py
@@ -1,8 +1,8 @@
-"""Traces: what callers ask for and what fails, as JSON lines.
+"""Trace files: workload and injected faults, as JSON lines.
 
-The first line is the header, a `Trace` without its requests. Each further line
-is one `Demand`. A file that has only the header is synthetic: its demands are
-drawn from the header's recipe with a seed (see `generate`).
+The first line is the header, a `Trace` without demands. Each further line is
+one `Demand`. A file with only a header is a synthetic trace: `generate` draws
+its demands from the parameters in the header and a seed.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class TraceError(errors.CowsliprillError):
-    """Raised for a trace that can't be read."""
+    """Raised for a trace that is missing or invalid."""
 
     code = "trace_invalid"
     exit_code = errors.ExitCode.USAGE
@@ -21,19 +21,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """One request that a caller wants answered.
+    """One request of a caller.
 
-    A caller that is refused comes back; that is the same demand.
+    Retries after a refusal belong to the same demand.
 
     Attributes:
-      at: When it first arrives, seconds from the start.
-      user: The calling user.
+      at: Time of the first arrival in seconds from the start of the trace.
+      user: Id of the calling customer.
       service: Id of the service.
       prompt_tokens: Length of the prompt.
-      output_limit: Tokens asked for at most.
-      output_tokens: Tokens that the engine will generate.
-      prefix: Hashes of the prompt's blocks, first block first.
-      gone_after: The caller leaves this long after arrival; 0 means never.
+      output_limit: Maximum number of output tokens that the caller requests.
+      output_tokens: Number of output tokens that the engine generates.
+      prefix: Hashes of the prompt's blocks, in order.
+      gone_after: Seconds after submission at which the caller disconnects;
+        0 means never.
     """
 
     at: float
@@ -48,14 +49,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Fault:
-    """Something that goes wrong at one endpoint.
+    """A fault injected at one endpoint.
 
     Attributes:
-      kind: `lost`, `slow` (engine) or `link` (its link).
+      kind: `lost` (the engine is down), `slow` (the engine is slower) or
+        `link` (its network link is slower).
       endpoint: Id of the endpoint.
-      start: When it begins, seconds.
-      end: When it ends, seconds.
-      factor: By how much it is slower.
+      start: Start in seconds from the start of the trace.
+      end: End in seconds from the start of the trace.
+      factor: Factor by which the engine or the link is slower.
     """
 
     kind: str
@@ -70,19 +72,20 @@
     """A trace and the conditions under which it is replayed.
 
     Attributes:
-      name: Its name.
-      note: Where it comes from.
-      site: Which user's fleet it is played against, a key of `sites`.
-      duration_s: Arrivals and measurement end then.
+      name: Name of the trace.
+      note: Origin of the trace.
+      site: Simulated fleet, a key of `sites.SITES_BY_NAME`.
+      duration_s: Time at which arrivals and measurement end.
       load: Offered load as a multiple of the fleet's capacity.
-      burst: Factor on the lengths of prompts in the middle fifth.
-      cancel_share: Share of callers in the middle fifth who leave early.
-      hot_prefixes: Share of the prompts that open with a popular prefix.
-      skew: Factor on the first user's demand.
-      report_lag_s: Age of load reports on arrival.
-      event_gap: Share of cache events that are lost.
-      faults: What goes wrong.
-      demands: The requests, by time; empty in a header.
+      burst: Factor on the prompt lengths in the middle fifth of the trace.
+      cancel_share: Fraction of the callers in the middle fifth of the trace
+        that disconnect early.
+      hot_prefixes: Fraction of the prompts that start with a popular prefix.
+      skew: Factor on the request rate of the first customer.
+      report_lag_s: Age of load reports on arrival, in seconds.
+      event_gap: Fraction of cache events that are lost.
+      faults: Injected faults.
+      demands: Demands in order of arrival; empty in a header.
     """
 
     name: str
@@ -101,7 +104,7 @@
 
 
 def read(path: pathlib.Path) -> Trace:
-    """Reads a trace.
+    """Reads a trace file.
 
     Args:
       path: A file of JSON lines.
@@ -110,7 +113,7 @@
       The trace; without demands if the file has only a header.
 
     Raises:
-      TraceError: The file is missing or not a trace.
+      TraceError: The file is missing or is not a valid trace.
     """
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
@@ -127,7 +130,7 @@
 
 
 def write(trace: Trace, path: pathlib.Path) -> None:
-    """Writes a trace.
+    """Writes a trace file.
 
     Args:
       trace: The trace.
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Tests of the replay: its bound, its traces and its fakes."""
+"""Tests of the trace replay: bound, trace files, engines and command."""
 
 import itertools
 import json
@@ -31,7 +31,7 @@
 
 
 class TestBound:
-    """The most requests that fit."""
+    """Upper bound on the number of requests that fit."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None, max_examples=80
@@ -44,7 +44,7 @@
             max_size=7,
         )
     )
-    def test_equals_trying_every_subset(self, jobs) -> None:
+    def test_bound_equals_exhaustive_search(self, jobs) -> None:
         def capacity_after(time: float) -> float:
             return 10 - time
 
@@ -67,31 +67,31 @@
 
 
 class TestTraces:
-    """Files of traces."""
+    """Reading and writing of trace files."""
 
-    def test_written_traces_read_back_the_same(self, tmp_path) -> None:
+    def test_written_trace_is_read_back_unchanged(self, tmp_path) -> None:
         trace = generate.with_demands(_short(duration_s=1.0), 1)
         path = tmp_path / "t.jsonl"
         traces.write(trace, path)
         assert traces.read(path) == trace
 
-    def test_the_committed_recipes_are_the_catalogues(self) -> None:
+    def test_committed_traces_match_the_catalogue(self) -> None:
         for site in sites.SITES_BY_NAME:
             for recipe in catalogue.recipes(site):
                 path = command.TRACES_FOLDER / f"{recipe.name}.jsonl"
                 assert traces.read(path) == recipe
 
-    def test_a_broken_file_is_named(self, tmp_path) -> None:
+    def test_error_for_invalid_file_names_the_path(self, tmp_path) -> None:
         path = tmp_path / "t.jsonl"
         path.write_text("{", encoding="utf-8")
         with pytest.raises(traces.TraceError, match="t.jsonl"):
             traces.read(path)
 
 
-class TestFakes:
-    """Links and engines in virtual time."""
+class TestSimulatedEngines:
+    """Simulated links and engines in virtual time."""
 
-    def test_two_transfers_share_a_link(self) -> None:
+    def test_concurrent_transfers_share_link_bandwidth(self) -> None:
         clock = timeline.VirtualClock()
         links = engines.Links(clock)
         endpoints = sites.SITES_BY_NAME["umurongo"].endpoints()
@@ -107,30 +107,31 @@
 
 
 class TestRuns:
-    """Whole runs of short traces."""
+    """End-to-end replays of short traces."""
 
     @pytest.mark.parametrize("policy", list(main.POLICIES_BY_NAME))
-    def test_no_policy_beats_the_bound(self, policy) -> None:
+    def test_goodput_of_no_policy_exceeds_the_bound(self, policy) -> None:
         figures = main.replay_trace(_short(load=1.5), policy, 1)
         assert 0 < figures.good <= figures.bound
         assert figures.good <= figures.demands
 
-    def test_equal_seeds_give_equal_figures(self) -> None:
+    def test_equal_seeds_give_equal_metrics(self) -> None:
         runs = [
             main.replay_trace(_short(), main.COWSLIPRILL, 7) for _ in range(2)
         ]
         assert runs[0] == runs[1]
 
-    def test_calm_traffic_is_served_without_waste(self) -> None:
+    def test_low_load_causes_no_waste_and_no_refusals(self) -> None:
         figures = main.replay_trace(_short(load=0.4), main.COWSLIPRILL, 2)
         assert figures.wasted == 0
         assert figures.refusals == 0
 
-    def test_refusals_at_overload_come_at_once(self) -> None:
-        """Twice as much is asked for as there are slots.
+    def test_overload_refusals_are_immediate(self) -> None:
+        """Guards against late refusals under overload.
 
-        A caller that is given up on but not told loses the time in which it
-        could do without, or come back.
+        The offered load is a multiple of the capacity. A caller that the
+        scheduler can no longer serve but does not refuse at once loses the time
+        in which it could fall back or retry.
         """
         figures = main.replay_trace(
             _short(load=3.0, duration_s=20.0), main.COWSLIPRILL, 3
@@ -140,9 +141,9 @@
 
 
 class TestCommand:
-    """The command line."""
+    """Command-line interface."""
 
-    def test_it_writes_figures(self, tmp_path, capsys) -> None:
+    def test_writes_metrics_as_json(self, tmp_path, capsys) -> None:
         trace = tmp_path / "t.jsonl"
         traces.write(_short(duration_s=4.0), trace)
         path = pathlib.Path(tmp_path / "out.json")
@@ -160,6 +161,6 @@
         assert found["policy"] == main.COWSLIPRILL
         assert main.COWSLIPRILL in capsys.readouterr().out
 
-    def test_no_trace_is_a_usage_error(self, capsys) -> None:
+    def test_missing_trace_argument_is_a_usage_error(self, capsys) -> None:
         assert main.run(command.ReplayCommand()) == 2
         assert "trace_invalid" in capsys.readouterr().err
