--- a/src/cowsliprill/replay/baselines.py
+++ b/src/cowsliprill/replay/baselines.py
@@ -1,8 +1,8 @@
 """Baseline load-balancing policies to compare the scheduler with.
 
 The baselines behave like common proxies: they use no slot leases and no queue,
-start every request at once, retry on another pick when an engine is full or
-fails, and refuse the request after the service's maximum number of attempts.
+start every request at once, retry on another engine when one is full or fails,
+and refuse the request after the service's maximum number of attempts.
 """
 
 import collections
--- a/src/cowsliprill/replay/bound.py
+++ b/src/cowsliprill/replay/bound.py
@@ -40,7 +40,7 @@
     return len(negated_costs)
 
 
-class _Bound:
+class _GoodputBound:
     """Computes the bound of one trace from its three resources."""
 
     def __init__(self, trace: traces.Trace) -> None:
@@ -151,4 +151,4 @@
     Returns:
       A number of requests within both latency targets that no router exceeds.
     """
-    return _Bound(trace).compute()
+    return _GoodputBound(trace).compute()
--- a/src/cowsliprill/replay/catalogue.py
+++ b/src/cowsliprill/replay/catalogue.py
@@ -28,7 +28,7 @@
     )
 
 
-def recipes(site: str) -> list[traces.Trace]:
+def synthetic_traces(site: str) -> list[traces.Trace]:
     """Returns the synthetic traces of one site.
 
     Args:
@@ -76,7 +76,7 @@
 def write_all() -> None:
     """Writes the trace headers of all sites below `traces/`."""
     for site in sites.SITES_BY_NAME:
-        for trace in recipes(site):
+        for trace in synthetic_traces(site):
             path = command.TRACES_FOLDER / f"{trace.name}.jsonl"
             traces.write(trace, path)
 
--- a/src/cowsliprill/replay/generate.py
+++ b/src/cowsliprill/replay/generate.py
@@ -19,7 +19,7 @@
     return median * math.exp(sigma * sigma / 2)
 
 
-def capacity_per_s(site: sites.Site) -> float:
+def max_requests_per_s(site: sites.Site) -> float:
     """Returns the mean request rate that a fleet can serve.
 
     Args:
@@ -36,8 +36,8 @@
         engine.slots for engine in engines if engine.kind.value == "decode"
     )
     prompt = _lognormal_mean(site.prompt_median, site.prompt_sigma)
-    prefills = site.prefill_engines * site.prefill_tokens_per_s / prompt
-    return min(slots / slot_s_per_request, prefills)
+    prefills_per_s = site.prefill_engines * site.prefill_tokens_per_s / prompt
+    return min(slots / slot_s_per_request, prefills_per_s)
 
 
 def _hot_prefix(user: str, number: int) -> tuple[int, ...]:
@@ -55,10 +55,10 @@
         self._random = random.Random(f"{trace.name}/{seed}")
         self._burst_window = (trace.duration_s * 0.4, trace.duration_s * 0.6)
         weights = [1 / rank for rank in range(1, _HOT_PREFIX_COUNT + 1)]
-        self._hot_weights = list(itertools.accumulate(weights))
+        self._hot_prefix_cum_weights = list(itertools.accumulate(weights))
 
     def demands(self) -> list[traces.Demand]:
-        rate = self._trace.load * capacity_per_s(self._site)
+        rate = self._trace.load * max_requests_per_s(self._site)
         drawn = []
         at = self._random.expovariate(rate)
         while at < self._trace.duration_s:
@@ -78,7 +78,7 @@
         output = self._draw_lognormal(
             self._site.output_median, self._site.output_sigma
         )
-        steps = math.ceil(output * 1.15 / _OUTPUT_LIMIT_STEP_TOKENS)
+        limit_steps = math.ceil(output * 1.15 / _OUTPUT_LIMIT_STEP_TOKENS)
         gone_after = 0.0
         if in_burst_window and self._random.random() < self._trace.cancel_share:
             gone_after = self._random.uniform(0.05, 3.0)
@@ -89,7 +89,7 @@
             user=user,
             service=f"{self._site.user}/{service}",
             prompt_tokens=prompt,
-            output_limit=steps * _OUTPUT_LIMIT_STEP_TOKENS,
+            output_limit=limit_steps * _OUTPUT_LIMIT_STEP_TOKENS,
             output_tokens=output,
             prefix=self._draw_prefix(user, prompt),
             gone_after=gone_after,
@@ -107,7 +107,8 @@
         blocks: tuple[int, ...] = ()
         if self._random.random() < self._trace.hot_prefixes:
             number = self._random.choices(
-                range(_HOT_PREFIX_COUNT), cum_weights=self._hot_weights
+                range(_HOT_PREFIX_COUNT),
+                cum_weights=self._hot_prefix_cum_weights,
             )[0]
             blocks = _hot_prefix(user, number)
         count = prompt // sites.BLOCK_TOKENS
--- a/src/cowsliprill/replay/main.py
+++ b/src/cowsliprill/replay/main.py
@@ -32,10 +32,12 @@
     NAIVE: naive.NaiveScheduler,
 }
 
-Runs = dict[tuple[str, str], list[report.Figures]]
+MetricsByRun = dict[tuple[str, str], list[report.ReplayMetrics]]
 
 
-def replay_trace(trace: traces.Trace, policy: str, seed: int) -> report.Figures:
+def replay_trace(
+    trace: traces.Trace, policy: str, seed: int
+) -> report.ReplayMetrics:
     """Replays one trace with one policy and one seed.
 
     Args:
@@ -48,7 +50,9 @@
     """
     filled = generate.with_demands(trace, seed)
     result = simulation.Simulation(filled, POLICIES_BY_NAME[policy], seed).run()
-    return report.figures(filled, result, bound.max_good_requests(filled))
+    return report.compute_metrics(
+        filled, result, bound.max_good_requests(filled)
+    )
 
 
 def _replay_all(
@@ -56,8 +60,8 @@
     policies: list[str],
     seeds: list[int],
     jobs: int,
-) -> Runs:
-    runs: Runs = collections.defaultdict(list)
+) -> MetricsByRun:
+    runs: MetricsByRun = collections.defaultdict(list)
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         futures = [
             (trace.name, policy, pool.submit(replay_trace, trace, policy, seed))
@@ -70,7 +74,9 @@
     return runs
 
 
-def _format_row(name: str, policy: str, runs: list[report.Figures]) -> str:
+def _format_row(
+    name: str, policy: str, runs: list[report.ReplayMetrics]
+) -> str:
     def median(field: str) -> float:
         return report.median(runs, field)
 
@@ -104,14 +110,14 @@
 )
 
 
-def _write_json(path: pathlib.Path, runs: Runs) -> None:
+def _write_json(path: pathlib.Path, runs: MetricsByRun) -> None:
     document = [
         {
             "trace": name,
             "policy": policy,
-            "runs": [dataclasses.asdict(run) for run in policy_runs],
+            "runs": [dataclasses.asdict(run) for run in run_metrics],
         }
-        for (name, policy), policy_runs in runs.items()
+        for (name, policy), run_metrics in runs.items()
     ]
     path.write_text(json.dumps(document, indent=1) + "\n", encoding="utf-8")
 
@@ -146,8 +152,8 @@
     seeds = list(command.seeds) or list(_DEFAULT_SEEDS)
     runs = _replay_all(loaded_traces, policies, seeds, command.jobs)
     print(_HEADER)
-    for (name, policy), policy_runs in runs.items():
-        print(_format_row(name, policy, policy_runs))
+    for (name, policy), run_metrics in runs.items():
+        print(_format_row(name, policy, run_metrics))
     if command.json:
         _write_json(command.json, runs)
     return errors.ExitCode.OK
--- a/src/cowsliprill/replay/report.py
+++ b/src/cowsliprill/replay/report.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Rate:
+class Goodput:
     """Goodput of a group of demands.
 
     Attributes:
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Figures:
+class ReplayMetrics:
     """Metrics of one run. Ratios are between 0 and 1 unless noted.
 
     Attributes:
@@ -67,9 +67,9 @@
     late_refusal_s: float
     ttft_s: tuple[float, ...]
     tpot_s: tuple[float, ...]
-    by_user: dict[str, Rate]
-    by_service: dict[str, Rate]
-    by_priority: dict[str, Rate]
+    by_user: dict[str, Goodput]
+    by_service: dict[str, Goodput]
+    by_priority: dict[str, Goodput]
     share_by_user: dict[str, float]
     fairness: float
     messages: int
@@ -113,18 +113,18 @@
     )
 
 
-def _rates(keys: list[str], good: list[bool]) -> dict[str, Rate]:
+def _goodput_by_key(keys: list[str], good: list[bool]) -> dict[str, Goodput]:
     demands = collections.Counter(keys)
     successes = collections.Counter(
-        key for key, ok in zip(keys, good, strict=True) if ok
+        key for key, is_good in zip(keys, good, strict=True) if is_good
     )
     return {
-        key: Rate(good=successes[key], demands=count)
+        key: Goodput(good=successes[key], demands=count)
         for key, count in sorted(demands.items())
     }
 
 
-def _shares(
+def _slot_time_shares(
     result: outcomes.Result, site: sites.Site
 ) -> tuple[dict[str, float], float]:
     demand_by_user: dict[str, float] = {}
@@ -132,7 +132,7 @@
         user = outcome.demand.user
         demand_s = outcome.demand.output_tokens * site.seconds_per_token
         demand_by_user[user] = demand_by_user.get(user, 0.0) + demand_s
-    used: dict[str, float] = {}
+    slot_s_by_user: dict[str, float] = {}
     for usage in result.slot_usages:
         # Decodes still running at the end count up to the end.
         is_running = (
@@ -140,19 +140,25 @@
         )
         ended_at = result.ended_at if is_running else usage.ended_at
         if ended_at:
-            seconds = used.get(usage.user, 0.0) + ended_at - usage.acquired_at
-            used[usage.user] = seconds
-    fair = max_min_fair_shares(sum(used.values()), demand_by_user)
+            seconds = (
+                slot_s_by_user.get(usage.user, 0.0)
+                + ended_at
+                - usage.acquired_at
+            )
+            slot_s_by_user[usage.user] = seconds
+    fair_share_by_user = max_min_fair_shares(
+        sum(slot_s_by_user.values()), demand_by_user
+    )
     shares = {
-        user: round(used.get(user, 0.0) / share, 3) if share else 1.0
-        for user, share in sorted(fair.items())
+        user: round(slot_s_by_user.get(user, 0.0) / share, 3) if share else 1.0
+        for user, share in sorted(fair_share_by_user.items())
     }
     return shares, min(shares.values(), default=1.0)
 
 
-def figures(
+def compute_metrics(
     trace: traces.Trace, result: outcomes.Result, bound: int
-) -> Figures:
+) -> ReplayMetrics:
     """Computes the metrics of a run.
 
     Args:
@@ -171,14 +177,14 @@
         not job.used and job.key not in result.in_flight_keys_at_end
         for job in started
     )
-    shares, fairness = _shares(result, site)
+    shares, fairness = _slot_time_shares(result, site)
     with_first_token = [item for item in all_outcomes if item.first_token_at]
     finished = [item for item in all_outcomes if item.finished_at]
     delays_s = [time for item in all_outcomes for time in item.refusal_delays_s]
     lateness_s = [
         time for item in all_outcomes for time in item.refusal_lateness_s
     ]
-    return Figures(
+    return ReplayMetrics(
         demands=len(all_outcomes),
         good=sum(good),
         finished=len(finished),
@@ -192,15 +198,21 @@
         late_refusal_s=round(max(lateness_s, default=0.0), 4),
         ttft_s=quantiles(item.ttft_s() for item in with_first_token),
         tpot_s=quantiles(item.tpot_s() for item in finished),
-        by_user=_rates([item.demand.user for item in all_outcomes], good),
-        by_service=_rates([item.demand.service for item in all_outcomes], good),
-        by_priority=_rates([str(item.priority) for item in all_outcomes], good),
+        by_user=_goodput_by_key(
+            [item.demand.user for item in all_outcomes], good
+        ),
+        by_service=_goodput_by_key(
+            [item.demand.service for item in all_outcomes], good
+        ),
+        by_priority=_goodput_by_key(
+            [str(item.priority) for item in all_outcomes], good
+        ),
         share_by_user=shares,
         fairness=fairness,
         messages=result.messages_sent,
     )
 
 
-def median(runs: list[Figures], name: str) -> float:
+def median(runs: list[ReplayMetrics], name: str) -> float:
     """Returns the median of one metric over runs with different seeds."""
     return statistics.median(getattr(run, name) for run in runs)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -77,9 +77,9 @@
 
     def test_committed_traces_match_the_catalogue(self) -> None:
         for site in sites.SITES_BY_NAME:
-            for recipe in catalogue.recipes(site):
-                path = command.TRACES_FOLDER / f"{recipe.name}.jsonl"
-                assert traces.read(path) == recipe
+            for header in catalogue.synthetic_traces(site):
+                path = command.TRACES_FOLDER / f"{header.name}.jsonl"
+                assert traces.read(path) == header
 
     def test_error_for_invalid_file_names_the_path(self, tmp_path) -> None:
         path = tmp_path / "t.jsonl"
@@ -111,9 +111,9 @@
 
     @pytest.mark.parametrize("policy", list(main.POLICIES_BY_NAME))
     def test_goodput_of_no_policy_exceeds_the_bound(self, policy) -> None:
-        figures = main.replay_trace(_short(load=1.5), policy, 1)
-        assert 0 < figures.good <= figures.bound
-        assert figures.good <= figures.demands
+        metrics = main.replay_trace(_short(load=1.5), policy, 1)
+        assert 0 < metrics.good <= metrics.bound
+        assert metrics.good <= metrics.demands
 
     def test_equal_seeds_give_equal_metrics(self) -> None:
         runs = [
@@ -122,9 +122,9 @@
         assert runs[0] == runs[1]
 
     def test_low_load_causes_no_waste_and_no_refusals(self) -> None:
-        figures = main.replay_trace(_short(load=0.4), main.COWSLIPRILL, 2)
-        assert figures.wasted == 0
-        assert figures.refusals == 0
+        metrics = main.replay_trace(_short(load=0.4), main.COWSLIPRILL, 2)
+        assert metrics.wasted == 0
+        assert metrics.refusals == 0
 
     def test_overload_refusals_are_immediate(self) -> None:
         """Guards against late refusals under overload.
@@ -133,11 +133,11 @@
         scheduler can no longer serve but does not refuse at once loses the time
         in which it could fall back or retry.
         """
-        figures = main.replay_trace(
+        metrics = main.replay_trace(
             _short(load=3.0, duration_s=20.0), main.COWSLIPRILL, 3
         )
-        assert figures.refusals > 0
-        assert figures.late_refusal_s <= 0.01
+        assert metrics.refusals > 0
+        assert metrics.late_refusal_s <= 0.01
 
 
 class TestCommand:
