--- a/src/cowsliprill/replay/command.py
+++ b/src/cowsliprill/replay/command.py
@@ -21,12 +21,12 @@
 
     Attributes:
       traces: Trace files.
-      all: Whether to replay every trace of `traces/`.
-      seeds: Random seeds; the printed table shows medians over the seeds.
-      policies: Names of the policies to replay. By default all of them, except
-        that `all` leaves out the naive policy, which is slow.
-      json: File to which all metrics are written as JSON.
-      jobs: Number of worker processes.
+      all: Whether to play every trace of `traces/`.
+      seeds: Seeds; figures of the table are medians over these.
+      policies: Names of policies to play; all if none is named, but for the
+        naive one, which is slow, with `all`.
+      json: Where to write all figures as JSON.
+      jobs: Processes that share the work.
     """
 
     traces: Annotated[list[pathlib.Path], cappa.Arg(help="Trace files.")] = (
