--- a/src/cowsliprill/replay/engines.py
+++ b/src/cowsliprill/replay/engines.py
@@ -107,7 +107,7 @@
     """Prefills prompts one at a time and keeps an LRU prefix cache.
 
     Attributes:
-      on_stored: Called with the block hashes that enter the prefix cache.
+      on_blocks_stored: Called with the block hashes that enter the prefix cache.
     """
 
     def __init__(
@@ -121,7 +121,7 @@
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self.on_stored: Callable[[list[int]], None] = _ignore_blocks
+        self.on_blocks_stored: Callable[[list[int]], None] = _ignore_blocks
 
     def run(self, job: EngineJob, on_done: Callable[[], None]) -> None:
         """Queues a prefill; `on_done` is called when it has finished."""
@@ -172,7 +172,7 @@
         while len(self._cache) > _PREFIX_CACHE_BLOCKS:
             self._cache.popitem(last=False)
         if new:
-            self.on_stored(new)
+            self.on_blocks_stored(new)
 
 
 @dataclasses.dataclass(slots=True)
@@ -201,12 +201,12 @@
         self,
         source: Engine,
         target: Engine,
-        size: float,
+        size_bytes: float,
         on_done: Callable[[], None],
     ) -> None:
-        """Starts a transfer of `size` bytes; `on_done` is called at its end."""
+        """Starts a transfer of `size_bytes` bytes; `on_done` is called at its end."""
         self._advance()
-        self._transfers.append(_Transfer(source, target, size, on_done))
+        self._transfers.append(_Transfer(source, target, size_bytes, on_done))
         self.reallocate()
 
     def reallocate(self) -> None:
@@ -289,12 +289,15 @@
         callbacks: "DecodeCallbacks",
     ) -> None:
         """Runs transfer and decode of a job that already holds a slot."""
-        size = job.prompt_tokens * self.endpoint.kv_bytes_per_token
+        size_bytes = job.prompt_tokens * self.endpoint.kv_bytes_per_token
         links.send(
-            source, self, size, lambda: self._fetched(job, source, callbacks)
+            source,
+            self,
+            size_bytes,
+            lambda: self._handle_transfer_finished(job, source, callbacks),
         )
 
-    def _fetched(
+    def _handle_transfer_finished(
         self, job: EngineJob, source: Engine, callbacks: "DecodeCallbacks"
     ) -> None:
         if job.key not in self.jobs_by_key:
--- a/src/cowsliprill/replay/homes.py
+++ b/src/cowsliprill/replay/homes.py
@@ -65,7 +65,7 @@
         ] = {}
         self.report_listeners: list[Callable[[LoadReport], None]] = []
         if isinstance(engine, engines.PrefillEngine):
-            engine.on_stored = self._publish_stored_blocks
+            engine.on_blocks_stored = self._publish_stored_blocks
         self._schedule_report()
 
     def handle_slot_demand(
--- a/src/cowsliprill/replay/shell.py
+++ b/src/cowsliprill/replay/shell.py
@@ -275,7 +275,7 @@
 
         def on_finished() -> None:
             usage.ended_at = clock.now
-            clock.call_after(delay, lambda: self._finished(attempt))
+            clock.call_after(delay, lambda: self._handle_finished(attempt))
 
         engine.run(
             attempt.job,
@@ -284,29 +284,29 @@
             engines.DecodeCallbacks(
                 on_evicted,
                 lambda: clock.call_after(
-                    delay, lambda: self._first_token(attempt)
+                    delay, lambda: self._handle_first_token(attempt)
                 ),
                 lambda: clock.call_after(
-                    delay, lambda: self._progress(attempt)
+                    delay, lambda: self._handle_progress(attempt)
                 ),
                 on_finished,
             ),
         )
 
-    def _first_token(self, attempt: _Attempt) -> None:
+    def _handle_first_token(self, attempt: _Attempt) -> None:
         if not attempt.ended:
             request_id = attempt.action.request_id
             outcome = self._outcomes_by_request[request_id]
             outcome.first_token_at = self.context.clock.now
             self.deliver(messages.FirstToken(request_id))
 
-    def _progress(self, attempt: _Attempt) -> None:
+    def _handle_progress(self, attempt: _Attempt) -> None:
         if not attempt.ended:
             request_id = attempt.action.request_id
             tokens = engines.PROGRESS_TOKENS
             self.deliver(messages.Progress(request_id, tokens))
 
-    def _finished(self, attempt: _Attempt) -> None:
+    def _handle_finished(self, attempt: _Attempt) -> None:
         if attempt.ended:
             return
         request_id = attempt.action.request_id
--- a/src/cowsliprill/replay/sites.py
+++ b/src/cowsliprill/replay/sites.py
@@ -72,8 +72,11 @@
 
     def service_models(self) -> dict[str, model.Service]:
         """Returns the services by id, the high-priority one last."""
-        common, urgent = self.services
-        services = [self._service(common, 0), self._service(urgent, 1)]
+        default_name, high_priority_name = self.services
+        services = [
+            self._service(default_name, 0),
+            self._service(high_priority_name, 1),
+        ]
         return {service.id: service for service in services}
 
     def snapshot(self) -> model.Snapshot:
--- a/src/cowsliprill/replay/trace.py
+++ b/src/cowsliprill/replay/trace.py
@@ -1,8 +1,8 @@
 """Trace files: workload and injected faults, as JSON lines.
 
 The first line is the header, a `Trace` without demands. Each further line is
-one `Demand`. A file with only a header is a synthetic trace: `generate` draws
-its demands from the parameters in the header and a seed.
+one `Demand`. A file with only a header is a synthetic trace: its demands are
+drawn from the parameters in the header and a seed when the trace is replayed.
 """
 
 import dataclasses
