--- a/src/cowsliprill/replay/engines.py
+++ b/src/cowsliprill/replay/engines.py
@@ -107,7 +107,7 @@
     """Prefills prompts one at a time and keeps an LRU prefix cache.
 
     Attributes:
-      on_blocks_stored: Called with the block hashes that enter the prefix cache.
+      on_blocks_stored: Called with the block hashes that enter the cache.
     """
 
     def __init__(
@@ -204,7 +204,7 @@
         size_bytes: float,
         on_done: Callable[[], None],
     ) -> None:
-        """Starts a transfer of `size_bytes` bytes; `on_done` is called at its end."""
+        """Starts a transfer and calls `on_done` at its end."""
         self._advance()
         self._transfers.append(_Transfer(source, target, size_bytes, on_done))
         self.reallocate()
