--- a/src/cowsliprill/replay/timeline.py
+++ b/src/cowsliprill/replay/timeline.py
@@ -1,14 +1,14 @@
-"""Virtual time: a heap of callbacks."""
+"""Virtual clock: an event queue of scheduled callbacks."""
 
 import heapq
 from collections.abc import Callable
 
 
-class Timeline:
-    """Runs callbacks in order of time, and of insertion at the same time.
+class VirtualClock:
+    """Runs callbacks in order of time; ties run in order of insertion.
 
     Attributes:
-      now: The virtual time, seconds.
+      now: Virtual time in seconds.
     """
 
     def __init__(self) -> None:
@@ -16,18 +16,18 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._inserted = 0
 
-    def at(self, time: float, callback: Callable[[], None]) -> None:
-        """Calls back at a time, or now if that has passed."""
+    def call_at(self, time: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback at a time, or now if the time has passed."""
         self._inserted += 1
         entry = (max(time, self.now), self._inserted, callback)
         heapq.heappush(self._heap, entry)
 
-    def after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Calls back after a delay in seconds."""
-        self.at(self.now + delay, callback)
+    def call_after(self, delay: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback after a delay in seconds."""
+        self.call_at(self.now + delay, callback)
 
     def run_until(self, end: float) -> None:
-        """Runs everything due before `end`."""
+        """Runs all callbacks due before `end` and advances `now` to `end`."""
         while self._heap and self._heap[0][0] < end:
             self.now, _, callback = heapq.heappop(self._heap)
             callback()
