--- a/src/cowsliprill/replay/baselines.py
+++ b/src/cowsliprill/replay/baselines.py
@@ -10,7 +10,7 @@
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
-from cowsliprill.replay import homes
+from cowsliprill.replay import coordinators
 
 _RETRY_AFTER_S = 1.0
 _NO_WAKEUP_S = 3600.0
@@ -176,7 +176,7 @@
             collections.Counter()
         )
 
-    def report(self, report: homes.LoadReport) -> None:
+    def report(self, report: coordinators.LoadReport) -> None:
         """Records a load report, which arrives with a delay."""
         self._reported_load[report.endpoint_id] = report.running_jobs
         self._in_flight_at_report[report.endpoint_id] = (
--- a/src/cowsliprill/replay/homes.py
+++ b/src/cowsliprill/replay/coordinators.py
@@ -11,7 +11,7 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import slot_ledger
 from cowsliprill.replay import engines
-from cowsliprill.replay import timeline
+from cowsliprill.replay import virtual_clock
 
 _EVENT_DELAY_RANGE_S = (0.2, 1.5)
 _REPORT_INTERVAL_S = 1.0
@@ -44,7 +44,7 @@
     def __init__(
         self,
         engine: engines.Engine,
-        clock: timeline.VirtualClock,
+        clock: virtual_clock.VirtualClock,
         rng: random.Random,
         event_gap: float,
         report_lag_s: float,
--- a/src/cowsliprill/replay/engines.py
+++ b/src/cowsliprill/replay/engines.py
@@ -11,7 +11,7 @@
 
 from cowsliprill.decisions import model
 from cowsliprill.replay import sites
-from cowsliprill.replay import timeline
+from cowsliprill.replay import virtual_clock
 
 _PREFIX_CACHE_BLOCKS = 600
 _PREFILL_OVERHEAD_S = 0.01
@@ -54,7 +54,7 @@
     """
 
     def __init__(
-        self, endpoint: model.Endpoint, clock: timeline.VirtualClock
+        self, endpoint: model.Endpoint, clock: virtual_clock.VirtualClock
     ) -> None:
         self.endpoint = endpoint
         self.clock = clock
@@ -111,7 +111,7 @@
     """
 
     def __init__(
-        self, endpoint: model.Endpoint, clock: timeline.VirtualClock
+        self, endpoint: model.Endpoint, clock: virtual_clock.VirtualClock
     ) -> None:
         super().__init__(endpoint, clock)
         self._queue: collections.deque[tuple[EngineJob, Callable[[], None]]] = (
@@ -191,7 +191,7 @@
 class Links:
     """KV cache transfers that share the engines' links max-min fairly."""
 
-    def __init__(self, clock: timeline.VirtualClock) -> None:
+    def __init__(self, clock: virtual_clock.VirtualClock) -> None:
         self._clock = clock
         self._transfers: list[_Transfer] = []
         self._updated_at = 0.0
--- a/src/cowsliprill/replay/shell.py
+++ b/src/cowsliprill/replay/entry_process.py
@@ -6,11 +6,11 @@
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
+from cowsliprill.replay import coordinators
 from cowsliprill.replay import engines
-from cowsliprill.replay import homes
-from cowsliprill.replay import outcomes
 from cowsliprill.replay import policy as policies
-from cowsliprill.replay import timeline
+from cowsliprill.replay import records
+from cowsliprill.replay import virtual_clock
 
 _LEASE_RENEWAL_INTERVAL_S = 0.5
 
@@ -27,18 +27,18 @@
       coordinators_by_endpoint_id: Coordinators by endpoint id.
     """
 
-    clock: timeline.VirtualClock
+    clock: virtual_clock.VirtualClock
     links: engines.Links
-    result: outcomes.Result
+    result: records.Result
     services_by_id: dict[str, model.Service]
     engines_by_id: dict[str, engines.Engine]
-    coordinators_by_endpoint_id: dict[str, homes.EndpointCoordinator]
+    coordinators_by_endpoint_id: dict[str, coordinators.EndpointCoordinator]
 
     def delay(self, availability_zone: str, engine: engines.Engine) -> float:
         """Returns the one-way network delay to an engine in seconds."""
 
     def record_refusal(
-        self, outcome: outcomes.Outcome, action: messages.Refuse
+        self, outcome: records.Outcome, action: messages.Refuse
     ) -> None:
         """Records a refusal."""
 
@@ -73,11 +73,11 @@
         self.policy = policy
         self.context = context
         self._attempts_by_request: dict[int, _Attempt] = {}
-        self._outcomes_by_request: dict[int, outcomes.Outcome] = {}
+        self._outcomes_by_request: dict[int, records.Outcome] = {}
         self._wakeup_at = float("inf")
         self._renew_leases()
 
-    def submit(self, request_id: int, outcome: outcomes.Outcome) -> None:
+    def submit(self, request_id: int, outcome: records.Outcome) -> None:
         """Submits a caller's request to the policy."""
         self._outcomes_by_request[request_id] = outcome
         demand = outcome.demand
@@ -157,7 +157,7 @@
 
             def handle_slot_demand(
                 slot_demand: messages.SlotDemand = slot_demand,
-                coordinator: homes.EndpointCoordinator = coordinator,
+                coordinator: coordinators.EndpointCoordinator = coordinator,
                 send: Callable[[messages.SlotGrant], None] = send,
             ) -> None:
                 coordinator.handle_slot_demand(
@@ -266,7 +266,7 @@
         user = self._outcomes_by_request[attempt.action.request_id].demand.user
 
         self.context.result.slot_usages.append(
-            outcomes.SlotUsage(user, attempt.job, engine.endpoint.id, clock.now)
+            records.SlotUsage(user, attempt.job, engine.endpoint.id, clock.now)
         )
         usage = self.context.result.slot_usages[-1]
 
--- a/src/cowsliprill/replay/main.py
+++ b/src/cowsliprill/replay/main.py
@@ -10,9 +10,9 @@
 from cowsliprill import errors
 from cowsliprill.decisions import scheduler
 from cowsliprill.replay import baselines
-from cowsliprill.replay import bound
 from cowsliprill.replay import command as commands
-from cowsliprill.replay import generate
+from cowsliprill.replay import demand_generator
+from cowsliprill.replay import goodput_bound
 from cowsliprill.replay import naive
 from cowsliprill.replay import policy as policies
 from cowsliprill.replay import report
@@ -48,10 +48,10 @@
     Returns:
       The metrics of the run.
     """
-    filled = generate.with_demands(trace, seed)
+    filled = demand_generator.with_demands(trace, seed)
     result = simulation.Simulation(filled, POLICIES_BY_NAME[policy], seed).run()
     return report.compute_metrics(
-        filled, result, bound.max_good_requests(filled)
+        filled, result, goodput_bound.max_good_requests(filled)
     )
 
 
--- a/src/cowsliprill/replay/report.py
+++ b/src/cowsliprill/replay/report.py
@@ -5,7 +5,7 @@
 import statistics
 from collections.abc import Iterable
 
-from cowsliprill.replay import outcomes
+from cowsliprill.replay import records
 from cowsliprill.replay import sites
 from cowsliprill.replay import trace as traces
 
@@ -105,7 +105,7 @@
     return shares
 
 
-def _is_good(outcome: outcomes.Outcome, site: sites.Site) -> bool:
+def _is_good(outcome: records.Outcome, site: sites.Site) -> bool:
     return (
         outcome.finished_at > 0
         and outcome.ttft_s() <= site.ttft_target_s
@@ -125,7 +125,7 @@
 
 
 def _slot_time_shares(
-    result: outcomes.Result, site: sites.Site
+    result: records.Result, site: sites.Site
 ) -> tuple[dict[str, float], float]:
     demand_by_user: dict[str, float] = {}
     for outcome in result.outcomes:
@@ -157,7 +157,7 @@
 
 
 def compute_metrics(
-    trace: traces.Trace, result: outcomes.Result, bound: int
+    trace: traces.Trace, result: records.Result, bound: int
 ) -> ReplayMetrics:
     """Computes the metrics of a run.
 
--- a/src/cowsliprill/replay/simulation.py
+++ b/src/cowsliprill/replay/simulation.py
@@ -8,14 +8,14 @@
 
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
+from cowsliprill.replay import coordinators
 from cowsliprill.replay import engines
-from cowsliprill.replay import homes
-from cowsliprill.replay import outcomes
+from cowsliprill.replay import entry_process
 from cowsliprill.replay import policy as policies
-from cowsliprill.replay import shell
+from cowsliprill.replay import records
 from cowsliprill.replay import sites
-from cowsliprill.replay import timeline
 from cowsliprill.replay import trace as traces
+from cowsliprill.replay import virtual_clock
 
 _SAME_ZONE_DELAY_S = 0.0002
 _MAX_RETRIES = 2
@@ -39,9 +39,9 @@
     ) -> None:
         self.trace = trace
         self.site = sites.SITES_BY_NAME[trace.site]
-        self.clock = timeline.VirtualClock()
+        self.clock = virtual_clock.VirtualClock()
         self.links = engines.Links(self.clock)
-        self.result = outcomes.Result([])
+        self.result = records.Result([])
         snapshot = self.site.snapshot()
         self.services_by_id = snapshot.services_by_id
         self.engines_by_id = {
@@ -50,7 +50,7 @@
         }
         self._random = random.Random(f"callers/{seed}")
         self.coordinators_by_endpoint_id = {
-            name: homes.EndpointCoordinator(
+            name: coordinators.EndpointCoordinator(
                 engine,
                 self.clock,
                 random.Random(f"{name}/{seed}"),
@@ -61,7 +61,7 @@
         }
         availability_zones = self.site.availability_zones
         self._entries = [
-            shell.EntryProcess(
+            entry_process.EntryProcess(
                 number,
                 availability_zones[number % len(availability_zones)],
                 policy_factory(
@@ -77,7 +77,7 @@
             self._subscribe_to_reports(entry.policy)
         self._request_id = 0
 
-    def run(self) -> outcomes.Result:
+    def run(self) -> records.Result:
         """Runs the simulation to the end of the trace.
 
         Returns:
@@ -112,7 +112,7 @@
         return self.site.cross_zone_delay_s
 
     def record_refusal(
-        self, outcome: outcomes.Outcome, action: messages.Refuse
+        self, outcome: records.Outcome, action: messages.Refuse
     ) -> None:
         """Records a refusal and schedules the caller's retry.
 
@@ -163,11 +163,11 @@
 
     def _handle_arrival(self, demand: traces.Demand) -> None:
         service = self.services_by_id[demand.service]
-        outcome = outcomes.Outcome(demand, service.priority, self.clock.now)
+        outcome = records.Outcome(demand, service.priority, self.clock.now)
         self.result.outcomes.append(outcome)
         self._submit(outcome)
 
-    def _submit(self, outcome: outcomes.Outcome) -> None:
+    def _submit(self, outcome: records.Outcome) -> None:
         if outcome.abandoned:
             return
         outcome.submitted_at = self.clock.now
@@ -183,9 +183,9 @@
 
     def _abandon(
         self,
-        entry: shell.EntryProcess,
+        entry: entry_process.EntryProcess,
         request_id: int,
-        outcome: outcomes.Outcome,
+        outcome: records.Outcome,
     ) -> None:
         if not outcome.finished_at and not outcome.abandoned:
             outcome.abandoned = True
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -8,15 +8,15 @@
 import pytest
 from hypothesis import strategies
 
-from cowsliprill.replay import bound
 from cowsliprill.replay import catalogue
 from cowsliprill.replay import command
+from cowsliprill.replay import demand_generator
 from cowsliprill.replay import engines
-from cowsliprill.replay import generate
+from cowsliprill.replay import goodput_bound
 from cowsliprill.replay import main
 from cowsliprill.replay import sites
-from cowsliprill.replay import timeline
 from cowsliprill.replay import trace as traces
+from cowsliprill.replay import virtual_clock
 
 
 def _short(**changes) -> traces.Trace:
@@ -63,14 +63,14 @@
             )
         )
         floats = [(float(at), float(cost)) for at, cost in jobs]
-        assert bound.max_feasible_jobs(floats, capacity_after) == best
+        assert goodput_bound.max_feasible_jobs(floats, capacity_after) == best
 
 
 class TestTraces:
     """Reading and writing of trace files."""
 
     def test_written_trace_is_read_back_unchanged(self, tmp_path) -> None:
-        trace = generate.with_demands(_short(duration_s=1.0), 1)
+        trace = demand_generator.with_demands(_short(duration_s=1.0), 1)
         path = tmp_path / "t.jsonl"
         traces.write(trace, path)
         assert traces.read(path) == trace
@@ -92,7 +92,7 @@
     """Simulated links and engines in virtual time."""
 
     def test_concurrent_transfers_share_link_bandwidth(self) -> None:
-        clock = timeline.VirtualClock()
+        clock = virtual_clock.VirtualClock()
         links = engines.Links(clock)
         endpoints = sites.SITES_BY_NAME["umurongo"].endpoints()
         source, first, second = (
