--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -26,13 +26,13 @@
 from cowsliprill.decisions import mechanisms
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
-_COPIES = _ROOT / "target" / "ablation"
-_NONE = "none"
+_CLONES_FOLDER = _ROOT / "target" / "ablation"
+_BASELINE = "none"
 _ROW = re.compile(
     r"^(?P<day>\S+) +\S+/\S+ +\S+ +(?P<worth>-?[\d.]+) +(?P<served>[\d.]+) "
 )
 # The bench names broken rules in capitals.
-_BROKEN = re.compile(r"\b[A-Z]{3,}\b")
+_BROKEN_RULE = re.compile(r"\b[A-Z]{3,}\b")
 
 
 @dataclasses.dataclass
@@ -59,7 +59,7 @@
     ] = 4
     results: Annotated[
         pathlib.Path, cappa.Arg(long=True, help="File of JSON lines.")
-    ] = _COPIES / "results.jsonl"
+    ] = _CLONES_FOLDER / "results.jsonl"
     table: Annotated[
         bool, cappa.Arg(long=True, help="Only write the table.")
     ] = False
@@ -117,40 +117,42 @@
     for line in text.splitlines():
         row = _ROW.match(line)
         if row and row["day"] == day:
-            broken = _BROKEN.search(line)
-            told = broken[0] if broken else ""
-            return float(row["worth"]), float(row["served"]), told
+            broken = _BROKEN_RULE.search(line)
+            broken_rule = broken[0] if broken else ""
+            return float(row["worth"]), float(row["served"]), broken_rule
     raise ValueError(f"no result of {day} in: {text[-500:]}")
 
 
 def table(plays: list[Play]) -> list[str]:
     """Returns the lines of a table: what is lost without each mechanism."""
-    worths: dict[str, dict[tuple[str, str, str], float]] = (
+    values_by_variant: dict[str, dict[tuple[str, str, str], float]] = (
         collections.defaultdict(dict)
     )
     broken: collections.Counter[str] = collections.Counter()
     for play in plays:
         key = (play.site, play.day, play.seed)
-        worths[play.without][key] = play.worth
+        values_by_variant[play.without][key] = play.worth
         broken[play.without] += bool(play.broken)
-    base = worths.get(_NONE, {})
-    sites = sorted({site for site, _, _ in base})
+    baseline = values_by_variant.get(_BASELINE, {})
+    sites = sorted({site for site, _, _ in baseline})
     lines = [
         "| without | days | " + " | ".join(sites) + " | all | spread | rules |",
         "|---|---|" + "---|" * (len(sites) + 3),
     ]
-    for name, found in sorted(worths.items()):
-        shared = sorted(found.keys() & base.keys())
+    for name, variant_values in sorted(values_by_variant.items()):
+        shared = sorted(variant_values.keys() & baseline.keys())
         if not shared:
             continue
-        gains = {key: found[key] - base[key] for key in shared}
-        cells = []
+        gains = {key: variant_values[key] - baseline[key] for key in shared}
+        columns = []
         for site in sites:
-            own = [gain for key, gain in gains.items() if key[0] == site]
-            cells.append(f"{statistics.fmean(own):+.3f}" if own else "")
+            site_gains = [gain for key, gain in gains.items() if key[0] == site]
+            columns.append(
+                f"{statistics.fmean(site_gains):+.3f}" if site_gains else ""
+            )
         spread = statistics.pstdev(gains.values())
         lines.append(
-            f"| {name} | {len(shared)} | {' | '.join(cells)} |"
+            f"| {name} | {len(shared)} | {' | '.join(columns)} |"
             f" {statistics.fmean(gains.values()):+.3f} | {spread:.3f} |"
             f" {broken[name]} broken |"
         )
@@ -159,17 +161,17 @@
 
 async def _play_all(arguments: Ablate) -> None:
     names = [item.value for item in mechanisms.Mechanism]
-    variants = [_NONE, *(_listed(arguments.off) or names)]
+    variants = [_BASELINE, *(_split_names(arguments.off) or names)]
     arguments.results.parent.mkdir(parents=True, exist_ok=True)
     slots = asyncio.Semaphore(arguments.jobs)
     plays = []
     for variant in variants:
-        copy = _copy(variant)
+        copy = _clone_sources(variant)
         plays += [
             _play(arguments, slots, variant, copy, site, day, seed)
             for site in arguments.site
-            for day in _listed(arguments.days) or _days(site)
-            for seed in _listed(arguments.seeds) or [""]
+            for day in _split_names(arguments.days) or _days(site)
+            for seed in _split_names(arguments.seeds) or [""]
         ]
     await asyncio.gather(*plays)
 
@@ -210,12 +212,12 @@
     )
     with arguments.results.open("a", encoding="utf-8") as results:
         results.write(json.dumps(dataclasses.asdict(play)) + "\n")
-    _keep_journal(copy)
+    _copy_journal_back(copy)
 
 
-def _copy(variant: str) -> pathlib.Path:
+def _clone_sources(variant: str) -> pathlib.Path:
     """Returns a copy of the committed sources without one mechanism."""
-    copy = _COPIES / variant
+    copy = _CLONES_FOLDER / variant
     if copy.exists():
         shutil.rmtree(copy)
     clone = ["git", "clone", "--quiet", str(_ROOT), str(copy)]
@@ -223,7 +225,7 @@
     libraries = _ROOT / "target" / "deps"
     if libraries.exists():
         shutil.copytree(libraries, copy / "target" / "deps", symlinks=True)
-    if variant != _NONE:
+    if variant != _BASELINE:
         _switch_off(copy / "deploy" / "settings.json", variant)
     return copy
 
@@ -235,7 +237,7 @@
     template.write_text(text.removesuffix("}").rstrip() + setting)
 
 
-def _keep_journal(copy: pathlib.Path) -> None:
+def _copy_journal_back(copy: pathlib.Path) -> None:
     """Brings the copy's journal home: entries stay, those of trials too."""
     for entry in (copy / "journal").rglob("*"):
         target = _ROOT / "journal" / entry.relative_to(copy / "journal")
@@ -249,7 +251,7 @@
     return [day["name"] for day in document["day"]]
 
 
-def _listed(text: str) -> list[str]:
+def _split_names(text: str) -> list[str]:
     return [item for item in text.split(",") if item]
 
 
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -23,26 +23,26 @@
 _STREAMS = 200
 # Few enough that neither side comes near a whole core: a busy process finds
 # several chunks at once in a socket and then seems cheap.
-_COST_STREAMS = 80
+_COST_CONCURRENT_STREAMS = 80
 _SHORT_TOKENS = 20
 _LONG_TOKENS = 120
 _ROUNDS = 10
-_PAIRS = 3
+_COST_REPEATS = 3
 # The allocator reaches its plateau only after some rounds of full load.
 _WARM_UP_ROUNDS = 8
-_SEQUENTIAL = 100
-_FEW_TOKENS = 2
-_SHOWN_FAILURES = 3
+_SEQUENTIAL_REQUESTS = 100
+_TTFT_TOKENS = 2
+_MAX_SHOWN_FAILURES = 3
 _MIB = 1024 * 1024
 _USER = "bench"
 _SERVICE = "bench"
 _PROMPT = "A short question. " * 4
 
-_MAX_RATIO = 1.5
-_MAX_ADDED_S = 0.003
-_MAX_RESIDENT = 64 * _MIB
+_MAX_CHUNK_COST_RATIO = 1.5
+_MAX_ADDED_TTFT_S = 0.003
+_MAX_RESIDENT_BYTES = 64 * _MIB
 # A round that grows by less than this is the allocator's noise.
-_MAX_GROWTH = 1 * _MIB
+_MAX_GROWTH_BYTES = 1 * _MIB
 
 _DOCUMENT = {
     "revision": 1,
@@ -93,21 +93,21 @@
     Attributes:
       name: What was measured.
       value: The figure.
-      bound: What it must not exceed.
-      show: Writes a value for people.
+      limit: What it must not exceed.
+      format_value: Writes a value for people.
     """
 
     name: str
     value: float
-    bound: float
-    show: Callable[[float], str]
+    limit: float
+    format_value: Callable[[float], str]
 
     def line(self) -> str:
         """Returns the figure as a line of the report."""
-        verdict = "within" if self.value <= self.bound else "MISSED"
+        verdict = "within" if self.value <= self.limit else "MISSED"
         return (
-            f"{self.name:<52} {self.show(self.value):>10}"
-            f"  bound {self.show(self.bound):>9}  {verdict}"
+            f"{self.name:<52} {self.format_value(self.value):>10}"
+            f"  bound {self.format_value(self.limit):>9}  {verdict}"
         )
 
 
@@ -130,14 +130,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Cost:
-    chunk_s: float
-    request_s: float
+    cpu_s_per_chunk: float
+    cpu_s_per_request: float
 
 
 def _median_cost(costs: list[_Cost]) -> _Cost:
     return _Cost(
-        statistics.median(cost.chunk_s for cost in costs),
-        statistics.median(cost.request_s for cost in costs),
+        statistics.median(cost.cpu_s_per_chunk for cost in costs),
+        statistics.median(cost.cpu_s_per_request for cost in costs),
     )
 
 
@@ -148,7 +148,7 @@
     Attributes:
       entry: The entry process.
       relay: The bare relay's process.
-      others: Further processes of the VM by name.
+      other_processes: Further processes of the VM by name.
       routed: Where callers reach the entry.
       bare: Where callers reach the bare relay.
       engines: A prefill and a decode engine.
@@ -157,7 +157,7 @@
 
     entry: psutil.Process
     relay: psutil.Process
-    others: dict[str, psutil.Process]
+    other_processes: dict[str, psutil.Process]
     routed: bench_load.Target
     bare: bench_load.Target
     engines: tuple[model.Endpoint, model.Endpoint]
@@ -171,9 +171,9 @@
             self._round(self.routed)
         self._round(self.bare)
 
-    def whole_streams(self) -> Figure:
+    def failed_streams(self) -> Figure:
         """Counts the streams of all rounds that weren't whole."""
-        for failure in self.failures[:_SHOWN_FAILURES]:
+        for failure in self.failures[:_MAX_SHOWN_FAILURES]:
             print(f"not whole: {failure}")
         return Figure(
             "streams refused or broken",
@@ -188,11 +188,11 @@
         streams: int = _STREAMS,
         tokens: int = _SHORT_TOKENS,
     ) -> int:
-        result = asyncio.run(bench_load.many(target, streams, tokens))
+        result = asyncio.run(bench_load.run_round(target, streams, tokens))
         self.failures.extend(result.failures)
         return result.events
 
-    def _cost(
+    def _measure_cost(
         self, target: bench_load.Target, process: psutil.Process
     ) -> _Cost:
         # The slope between short and long streams is what a chunk costs; the
@@ -200,37 +200,42 @@
         seconds, events = [], []
         for tokens in (_SHORT_TOKENS, _LONG_TOKENS):
             before = _cpu_s(process)
-            events.append(self._round(target, _COST_STREAMS, tokens))
+            events.append(self._round(target, _COST_CONCURRENT_STREAMS, tokens))
             seconds.append(_cpu_s(process) - before)
-        chunk_s = (seconds[1] - seconds[0]) / (events[1] - events[0])
-        request_s = (seconds[0] - chunk_s * events[0]) / _COST_STREAMS
-        return _Cost(chunk_s, request_s)
+        cpu_s_per_chunk = (seconds[1] - seconds[0]) / (events[1] - events[0])
+        cpu_s_per_request = (
+            seconds[0] - cpu_s_per_chunk * events[0]
+        ) / _COST_CONCURRENT_STREAMS
+        return _Cost(cpu_s_per_chunk, cpu_s_per_request)
 
     def chunk_cost(self) -> Figure:
         """Compares the CPU time of a streamed chunk."""
         bare, routed = [], []
-        for _ in range(_PAIRS):
-            bare.append(self._cost(self.bare, self.relay))
-            routed.append(self._cost(self.routed, self.entry))
+        for _ in range(_COST_REPEATS):
+            bare.append(self._measure_cost(self.bare, self.relay))
+            routed.append(self._measure_cost(self.routed, self.entry))
         medians = {
             "bare relay": _median_cost(bare),
             "whole path": _median_cost(routed),
         }
         for name, cost in medians.items():
-            chunk = _microseconds(cost.chunk_s)
-            request = _microseconds(cost.request_s)
+            chunk = _microseconds(cost.cpu_s_per_chunk)
+            request = _microseconds(cost.cpu_s_per_request)
             print(f"{name}: {chunk} a chunk, {request} a request")
-        ratio = medians["whole path"].chunk_s / medians["bare relay"].chunk_s
+        ratio = (
+            medians["whole path"].cpu_s_per_chunk
+            / medians["bare relay"].cpu_s_per_chunk
+        )
         return Figure(
             "CPU a streamed chunk, entry / bare relay",
             ratio,
-            _MAX_RATIO,
+            _MAX_CHUNK_COST_RATIO,
             lambda value: f"{value:.2f}",
         )
 
     def added_latency(self) -> Figure:
         """Compares the time to first token, one request at a time."""
-        routed_s, bare_s, direct_s = asyncio.run(self._first_tokens())
+        routed_s, bare_s, direct_s = asyncio.run(self._median_ttfts())
         print(
             f"median time to first token: direct {_milliseconds(direct_s)}, "
             f"bare relay {_milliseconds(bare_s)}, "
@@ -239,23 +244,23 @@
         return Figure(
             "added time to first token, median, entry - direct",
             routed_s - direct_s,
-            _MAX_ADDED_S,
+            _MAX_ADDED_TTFT_S,
             _milliseconds,
         )
 
-    async def _first_tokens(self) -> list[float]:
-        async def time_of(target: bench_load.Target) -> float:
-            streamed = await bench_load.stream(target, _FEW_TOKENS)
-            return streamed.first_token_s
+    async def _median_ttfts(self) -> list[float]:
+        async def ttft_of(target: bench_load.Target) -> float:
+            streamed = await bench_load.read_stream(target, _TTFT_TOKENS)
+            return streamed.ttft_s
 
         caller = bench_load.DirectCaller(*self.engines, _PROMPT)
-        return await bench_load.in_turns(
+        return await bench_load.interleaved_medians(
             [
-                lambda: time_of(self.routed),
-                lambda: time_of(self.bare),
-                lambda: caller.first_token_s(_FEW_TOKENS),
+                lambda: ttft_of(self.routed),
+                lambda: ttft_of(self.bare),
+                lambda: caller.ttft_s(_TTFT_TOKENS),
             ],
-            _SEQUENTIAL,
+            _SEQUENTIAL_REQUESTS,
         )
 
     def memory(self) -> list[Figure]:
@@ -272,14 +277,19 @@
             Figure(
                 f"growth over {_ROUNDS} rounds of {_STREAMS} streams",
                 growth,
-                _MAX_GROWTH,
+                _MAX_GROWTH_BYTES,
                 _mebibytes,
             )
         ]
-        for name, process in {"entry": self.entry, **self.others}.items():
+        for name, process in {
+            "entry": self.entry,
+            **self.other_processes,
+        }.items():
             size = process.memory_info().rss
             figures.append(
-                Figure(f"resident, {name}", size, _MAX_RESIDENT, _mebibytes)
+                Figure(
+                    f"resident, {name}", size, _MAX_RESIDENT_BYTES, _mebibytes
+                )
             )
         return figures
 
@@ -329,15 +339,15 @@
                 relay.end()
     for figure in figures:
         print(figure.line())
-    return int(any(figure.value > figure.bound for figure in figures))
+    return int(any(figure.value > figure.limit for figure in figures))
 
 
 def _print_lost_attempts(fleet: local_fleet.LocalFleet) -> None:
     lines = fleet.children_by_name["vm-0.e0"].lines
-    found = [child.parse_line(line) for line in lines]
+    parsed_lines = [child.parse_line(line) for line in lines]
     reasons = collections.Counter(
         pairs.get("reason", "")
-        for pairs in found
+        for pairs in parsed_lines
         if pairs.get("event") == "attempt_lost"
     )
     for reason, count in reasons.most_common():
@@ -357,7 +367,7 @@
     bench = Bench(
         entry=_process(fleet, "e0"),
         relay=relay,
-        others={
+        other_processes={
             name: _process(fleet, name) for name in ("dispatch", "settings")
         },
         routed=routed,
@@ -369,7 +379,7 @@
         bench.added_latency(),
         bench.chunk_cost(),
         *bench.memory(),
-        bench.whole_streams(),
+        bench.failed_streams(),
     ]
 
 
--- a/tools/bench_load.py
+++ b/tools/bench_load.py
@@ -16,13 +16,13 @@
 
 _HOST = "127.0.0.1"
 _READ_BYTES = 65_536
-_EVENT = b"\ndata: {"
-_DONE = b"data: [DONE]"
-_OK = b"HTTP/1.1 200 "
+_TOKEN_EVENT_START = b"\ndata: {"
+_DONE_EVENT = b"data: [DONE]"
+_STATUS_LINE_OK = b"HTTP/1.1 200 "
 _LAST_CHUNK = b"0\r\n\r\n"
 _TIMEOUT_S = 120.0
 # Callers come one after the other, but soon enough that all overlap.
-_RAMP_S = 0.002
+_START_INTERVAL_S = 0.002
 
 
 class BenchError(Exception):
@@ -47,15 +47,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Streamed:
+class StreamResult:
     """One whole stream.
 
     Attributes:
-      first_token_s: Time to the first token.
+      ttft_s: Time to the first token.
       events: Tokens that came.
     """
 
-    first_token_s: float
+    ttft_s: float
     events: int
 
 
@@ -77,7 +77,7 @@
     ).encode()
 
 
-async def stream(target: Target, tokens: int) -> Streamed:
+async def read_stream(target: Target, tokens: int) -> StreamResult:
     """Asks for one stream and reads it to its end.
 
     Args:
@@ -93,31 +93,33 @@
     reader, writer = await asyncio.open_connection(_HOST, target.port)
     started = time.perf_counter()
     writer.write(_request(target, tokens))
-    first_token_s = 0.0
+    ttft_s = 0.0
     events = 0
-    rest = b""
+    tail = b""
     try:
         async with asyncio.timeout(_TIMEOUT_S):
-            while not rest.endswith(_LAST_CHUNK):
+            while not tail.endswith(_LAST_CHUNK):
                 chunk = await reader.read(_READ_BYTES)
-                if not chunk or (not rest and not chunk.startswith(_OK)):
-                    raise BenchError(f"no stream: {(rest + chunk)!r}")
+                if not chunk or (
+                    not tail and not chunk.startswith(_STATUS_LINE_OK)
+                ):
+                    raise BenchError(f"no stream: {(tail + chunk)!r}")
                 # The end of what came before is kept, as a mark may be cut.
-                seen = rest.count(_EVENT)
-                rest += chunk
-                events += rest.count(_EVENT) - seen
-                if events and not first_token_s:
-                    first_token_s = time.perf_counter() - started
-                rest = rest[-len(_DONE) - 64 :]
+                counted = tail.count(_TOKEN_EVENT_START)
+                tail += chunk
+                events += tail.count(_TOKEN_EVENT_START) - counted
+                if events and not ttft_s:
+                    ttft_s = time.perf_counter() - started
+                tail = tail[-len(_DONE_EVENT) - 64 :]
     finally:
         writer.close()
-    if events != tokens or _DONE not in rest:
-        raise BenchError(f"{events} of {tokens} tokens: {rest!r}")
-    return Streamed(first_token_s, events)
+    if events != tokens or _DONE_EVENT not in tail:
+        raise BenchError(f"{events} of {tokens} tokens: {tail!r}")
+    return StreamResult(ttft_s, events)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Round:
+class RoundResult:
     """Many streams at once.
 
     Attributes:
@@ -129,7 +131,7 @@
     failures: tuple[BenchError, ...]
 
 
-async def many(target: Target, streams: int, tokens: int) -> Round:
+async def run_round(target: Target, streams: int, tokens: int) -> RoundResult:
     """Reads many streams at once.
 
     Args:
@@ -141,24 +143,25 @@
       What came.
     """
 
-    async def one(number: int) -> Streamed:
-        await asyncio.sleep(number * _RAMP_S)
-        return await stream(target, tokens)
+    async def delayed_stream(number: int) -> StreamResult:
+        await asyncio.sleep(number * _START_INTERVAL_S)
+        return await read_stream(target, tokens)
 
     results = await asyncio.gather(
-        *(one(number) for number in range(streams)), return_exceptions=True
+        *(delayed_stream(number) for number in range(streams)),
+        return_exceptions=True,
     )
     failures = []
     events = 0
     for result in results:
         match result:
-            case Streamed():
+            case StreamResult():
                 events += result.events
             case BenchError():
                 failures.append(result)
             case _:
                 raise result
-    return Round(events, tuple(failures))
+    return RoundResult(events, tuple(failures))
 
 
 class DirectCaller:
@@ -177,9 +180,9 @@
         self._prefill = prefill
         self._decode = decode
         self._prompt = prompt
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
 
-    async def first_token_s(self, tokens: int) -> float:
+    async def ttft_s(self, tokens: int) -> float:
         """Has an answer streamed.
 
         Args:
@@ -188,20 +191,20 @@
         Returns:
           Time to the first token, seconds.
         """
-        request_id = f"bench.direct.x.{next(self._numbers)}.0"
+        request_id = f"bench.direct.x.{next(self._request_numbers)}.0"
         body = {"prompt": self._prompt, "max_tokens": tokens}
         started = time.perf_counter()
         result = await self._client.prefill(self._prefill, request_id, body)
         events = await self._client.decode(
             self._decode, request_id, body, result
         )
-        first_token_s = 0.0
+        ttft_s = 0.0
         async for _ in events:
-            first_token_s = first_token_s or time.perf_counter() - started
-        return first_token_s
+            ttft_s = ttft_s or time.perf_counter() - started
+        return ttft_s
 
 
-async def in_turns(
+async def interleaved_medians(
     callers: list[Callable[[], Awaitable[float]]], count: int
 ) -> list[float]:
     """Times callers one at a time, so that nothing queues.
@@ -215,8 +218,12 @@
     Returns:
       The median by caller.
     """
-    times: list[list[float]] = [[] for _ in callers]
+    times_by_caller: list[list[float]] = [[] for _ in callers]
     for _ in range(count):
-        for caller, own in zip(callers, times, strict=True):
-            own.append(await caller())
-    return [statistics.median(own) for own in times]
+        for caller, caller_times_s in zip(
+            callers, times_by_caller, strict=True
+        ):
+            caller_times_s.append(await caller())
+    return [
+        statistics.median(caller_times_s) for caller_times_s in times_by_caller
+    ]
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -21,7 +21,7 @@
 _HOST = "127.0.0.1"
 _MAX_CLIENTS = 1_000
 _TIMEOUT_S = 120.0
-_PORTS_OF_ONE_KIND = 2
+_PORT_LIST_COUNT = 2
 
 
 class _Handler(web.RequestHandler):
@@ -39,12 +39,16 @@
 
     async def post(self) -> None:
         body = json.loads(self.request.body)
-        answer = await self._fetch(self._prefill, protocol.prefill_body(body))
-        transfer = json.loads(answer.body)["kv_transfer_params"]
-        params = engine_model.KvTransferParams(**transfer)
+        prefill_response = await self._fetch(
+            self._prefill, protocol.prefill_body(body)
+        )
+        transfer_fields = json.loads(prefill_response.body)[
+            "kv_transfer_params"
+        ]
+        params = engine_model.KvTransferParams(**transfer_fields)
         self.set_header("Content-Type", "text/event-stream")
         await self._fetch(
-            self._decode, protocol.decode_body(body, params), self._pass_on
+            self._decode, protocol.decode_body(body, params), self._write_chunk
         )
 
     async def _fetch(
@@ -59,12 +63,12 @@
             request_timeout=_TIMEOUT_S,
         )
 
-    def _pass_on(self, chunk: bytes) -> None:
+    def _write_chunk(self, chunk: bytes) -> None:
         self.write(chunk)
         self.flush()
 
 
-def _log_nothing(handler: web.RequestHandler) -> None:
+def _disable_access_log(handler: web.RequestHandler) -> None:
     del handler
 
 
@@ -80,7 +84,7 @@
     }
     application = web.Application(
         [(protocol.COMPLETIONS_PATH, _Handler, arguments)],
-        log_function=_log_nothing,
+        log_function=_disable_access_log,
     )
     sockets = netutil.bind_sockets(0, _HOST)
     server = httpserver.HTTPServer(application)
@@ -95,7 +99,7 @@
         _serve(
             *(
                 [int(port) for port in argument.split(",")]
-                for argument in sys.argv[1 : 1 + _PORTS_OF_ONE_KIND]
+                for argument in sys.argv[1 : 1 + _PORT_LIST_COUNT]
             )
         )
     )
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -18,18 +18,20 @@
 
 def _violations(path: pathlib.Path) -> list[str]:
     tree = ast.parse(path.read_text(encoding="utf-8"))
-    found = []
+    violations = []
     for node in ast.walk(tree):
         if not isinstance(node, ast.ImportFrom) or node.module in _EXEMPT:
             continue
         if node.level:
-            found.append(f"{path}:{node.lineno}: relative import")
+            violations.append(f"{path}:{node.lineno}: relative import")
             continue
         for alias in node.names:
             name = f"{node.module}.{alias.name}"
             if not _is_module(name):
-                found.append(f"{path}:{node.lineno}: {name} is not a module")
-    return found
+                violations.append(
+                    f"{path}:{node.lineno}: {name} is not a module"
+                )
+    return violations
 
 
 def main(folders: list[str]) -> int:
@@ -41,12 +43,12 @@
     Returns:
       The exit code: 0 if no import breaks the rule, else 1.
     """
-    found = []
+    violations = []
     for folder in folders:
         for path in sorted(pathlib.Path(folder).rglob("*.py")):
-            found.extend(_violations(path))
-    print("\n".join(found), end="\n" if found else "")
-    return 1 if found else 0
+            violations.extend(_violations(path))
+    print("\n".join(violations), end="\n" if violations else "")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tools/child.py
+++ b/tools/child.py
@@ -13,8 +13,8 @@
 import threading
 import time
 
-_LINES_MAX = 5_000
-_PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
+_MAX_KEPT_LINES = 5_000
+_KEY_VALUE_PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 
 
 class ChildError(Exception):
@@ -30,7 +30,9 @@
     Returns:
       Values by key, without quotes.
     """
-    return {key: value.strip('"') for key, value in _PAIR.findall(line)}
+    return {
+        key: value.strip('"') for key, value in _KEY_VALUE_PAIR.findall(line)
+    }
 
 
 class Child:
@@ -45,10 +47,10 @@
     def __init__(self, name: str, module: str, arguments: list[str]) -> None:
         self.name = name
         self._lines: collections.deque[str] = collections.deque(
-            maxlen=_LINES_MAX
+            maxlen=_MAX_KEPT_LINES
         )
-        self._news = threading.Condition()
-        self._ended = False
+        self._output_changed = threading.Condition()
+        self._output_closed = False
         self._popen = subprocess.Popen(
             [sys.executable, "-m", module, *arguments],
             stdin=subprocess.DEVNULL,
@@ -68,7 +70,7 @@
     @property
     def lines(self) -> list[str]:
         """The newest lines that the process has logged."""
-        with self._news:
+        with self._output_changed:
             return list(self._lines)
 
     @property
@@ -79,12 +81,12 @@
     def _read(self) -> None:
         assert self._popen.stdout is not None
         for line in self._popen.stdout:
-            with self._news:
+            with self._output_changed:
                 self._lines.append(line.rstrip("\n"))
-                self._news.notify_all()
-        with self._news:
-            self._ended = True
-            self._news.notify_all()
+                self._output_changed.notify_all()
+        with self._output_changed:
+            self._output_closed = True
+            self._output_changed.notify_all()
 
     def wait_for_event(
         self, event: str, timeout_s: float = 20.0, **pairs: str
@@ -102,19 +104,21 @@
         Raises:
           ChildError: The process ended, or the event didn't come in time.
         """
-        wanted = {"event": event, **pairs}
+        expected_pairs = {"event": event, **pairs}
         end = time.monotonic() + timeout_s
-        with self._news:
+        with self._output_changed:
             while True:
                 for line in self._lines:
-                    found = parse_line(line)
-                    if wanted.items() <= found.items():
-                        return found
-                left = end - time.monotonic()
-                if self._ended or left <= 0:
+                    line_pairs = parse_line(line)
+                    if expected_pairs.items() <= line_pairs.items():
+                        return line_pairs
+                remaining_s = end - time.monotonic()
+                if self._output_closed or remaining_s <= 0:
                     tail = "\n".join(list(self._lines)[-20:])
-                    raise ChildError(f"{self.name}: no {wanted}\n{tail}")
-                self._news.wait(left)
+                    raise ChildError(
+                        f"{self.name}: no {expected_pairs}\n{tail}"
+                    )
+                self._output_changed.wait(remaining_s)
 
     def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal, if the process still runs."""
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -23,8 +23,8 @@
 _SUMMARY_USER = "zarqa-lane"
 _CASE_FILE = "The client owes three lenders and has kept every receipt. " * 250
 _MANIFEST = "Bag 114, blue, from Aqaba to Petra, fragile, by noon. " * 200
-_TOKENS = 40
-_SHOWN = 60
+_MAX_TOKENS = 40
+_MAX_SHOWN_CHARACTERS = 60
 
 
 class DemoError(Exception):
@@ -35,17 +35,17 @@
 class _Site:
     url: str
 
-    def headers(self, customer: str, **more: str) -> dict[str, str]:
+    def headers(self, customer: str, **extra_headers: str) -> dict[str, str]:
         key = fleet_document.key_of(customer)
-        return {"Authorization": f"Bearer {key}", **more}
+        return {"Authorization": f"Bearer {key}", **extra_headers}
 
 
-def _expect(answer: http_calls.Answer, status: int) -> None:
-    if answer.status != status:
-        raise DemoError(f"status {answer.status}: {answer.body.decode()}")
+def _expect_status(response: http_calls.Answer, status: int) -> None:
+    if response.status != status:
+        raise DemoError(f"status {response.status}: {response.body.decode()}")
 
 
-def _text_of(events: list[bytes]) -> str:
+def _completion_text(events: list[bytes]) -> str:
     texts = []
     for event in events:
         data = event.partition(b"data: ")[2]
@@ -59,7 +59,7 @@
     body = {
         "model": "brief",
         "prompt": _CASE_FILE,
-        "max_tokens": _TOKENS,
+        "max_tokens": _MAX_TOKENS,
         "stream": True,
     }
     start = time.monotonic()
@@ -67,71 +67,71 @@
         f"{site.url}/v1/completions", body, site.headers(_BRIEF_USER)
     )
     events = []
-    first_s = 0.0
+    ttft_s = 0.0
     for event in stream.events():
-        first_s = first_s or time.monotonic() - start
+        ttft_s = ttft_s or time.monotonic() - start
         events.append(event)
     if not events or not events[-1].endswith(b"data: [DONE]"):
         raise DemoError(f"status {stream.status}, the stream has no end")
-    text = _text_of(events)[:_SHOWN]
+    text = _completion_text(events)[:_MAX_SHOWN_CHARACTERS]
     return (
         f"{len(_CASE_FILE):,} characters read, first token after "
-        f"{first_s * 1000:.0f} ms, whole answer streamed: {text!r}..."
+        f"{ttft_s * 1000:.0f} ms, whole answer streamed: {text!r}..."
     )
 
 
 def _booking_and_retry(site: _Site) -> str:
     headers = site.headers(_BRIEF_USER)
-    ticket = http_calls.call(
+    ticket_response = http_calls.call(
         "POST", f"{site.url}/v1/tickets", {"service": "booking"}, headers
     )
-    _expect(ticket, 201)
-    key = ticket.json()["ticket"]
+    _expect_status(ticket_response, 201)
+    key = ticket_response.json()["ticket"]
     headers["Idempotency-Key"] = key
-    slot = {"client": "C-17", "adviser": "A-3", "at": "2026-12-03T09:00"}
+    appointment = {"client": "C-17", "adviser": "A-3", "at": "2026-12-03T09:00"}
     url = f"{site.url}/services/booking/appointments"
-    first = http_calls.call("POST", url, slot, headers)
-    _expect(first, 200)
-    again = http_calls.call("POST", url, slot, headers)
-    _expect(again, 200)
-    if again.headers.get("idempotent-replayed") != "true":
+    first_response = http_calls.call("POST", url, appointment, headers)
+    _expect_status(first_response, 200)
+    retry = http_calls.call("POST", url, appointment, headers)
+    _expect_status(retry, 200)
+    if retry.headers.get("idempotent-replayed") != "true":
         raise DemoError("the retry was not answered from the first run")
-    if again.body != first.body:
+    if retry.body != first_response.body:
         raise DemoError("the retry got another answer than the first")
     return "booked once; the retry got the same answer, marked as replayed"
 
 
 def _lookup(site: _Site) -> str:
     url = f"{site.url}/services/lookup/bags/114"
-    answer = http_calls.call("GET", url, None, site.headers(_SUMMARY_USER))
-    _expect(answer, 200)
-    return f"answered: {answer.body.decode()[:_SHOWN]}"
+    response = http_calls.call("GET", url, None, site.headers(_SUMMARY_USER))
+    _expect_status(response, 200)
+    return f"answered: {response.body.decode()[:_MAX_SHOWN_CHARACTERS]}"
 
 
 def _summary(site: _Site) -> str:
-    body = {"model": "summary", "prompt": _MANIFEST, "max_tokens": _TOKENS}
-    answer = http_calls.call(
+    body = {"model": "summary", "prompt": _MANIFEST, "max_tokens": _MAX_TOKENS}
+    response = http_calls.call(
         "POST",
         f"{site.url}/v1/completions",
         body,
         site.headers(_SUMMARY_USER),
     )
-    _expect(answer, 200)
-    usage = answer.json()["usage"]
-    text = answer.json()["choices"][0]["text"][:_SHOWN]
+    _expect_status(response, 200)
+    usage = response.json()["usage"]
+    text = response.json()["choices"][0]["text"][:_MAX_SHOWN_CHARACTERS]
     return f"{usage['completion_tokens']} tokens in one answer: {text!r}..."
 
 
-def _foreign_key(site: _Site) -> str:
+def _other_customers_service(site: _Site) -> str:
     body = {"model": "brief", "prompt": "hello", "max_tokens": 1}
-    answer = http_calls.call(
+    response = http_calls.call(
         "POST",
         f"{site.url}/v1/completions",
         body,
         site.headers(_SUMMARY_USER),
     )
-    _expect(answer, 404)
-    error = answer.json()["error"]
+    _expect_status(response, 404)
+    error = response.json()["error"]
     return f"refused: {error['code']}, run: {error['run']}"
 
 
@@ -140,7 +140,7 @@
     ("Umurongo, a booking and its retry", _booking_and_retry),
     ("Zarqa Lane, a lookup", _lookup),
     ("Zarqa Lane, a summary", _summary),
-    ("Zarqa Lane, another customer's service", _foreign_key),
+    ("Zarqa Lane, another customer's service", _other_customers_service),
 )
 
 
@@ -166,12 +166,12 @@
 def _stop(fleet: local_fleet.LocalFleet) -> bool:
     print("stopping ...")
     codes = fleet.stop()
-    bad = {name: code for name, code in codes.items() if code}
-    if bad:
-        print(f"exit codes other than 0: {bad}")
+    nonzero_codes = {name: code for name, code in codes.items() if code}
+    if nonzero_codes:
+        print(f"exit codes other than 0: {nonzero_codes}")
     else:
         print(f"all {len(codes)} processes ended cleanly")
-    return not bad
+    return not nonzero_codes
 
 
 def _wait_for_interrupt(site: _Site, fleet: local_fleet.LocalFleet) -> None:
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -8,7 +8,7 @@
 
 _PROCESSES = ("settings", "dispatch", "e0")
 
-_ENGINE_CONDUCTS = (
+_ENGINE_FAULT_MODES = (
     {"cut_at_token": 5, "times": 3},
     {"cut_at_byte": 700, "times": 3},
     {"refuse": "engine_full", "times": 3},
@@ -22,7 +22,7 @@
     {"cancel": "lose"},
     {"cancel": "refuse"},
 )
-_SERVICE_CONDUCTS = (
+_SERVICE_FAULT_MODES = (
     {"cut_before_run": True, "times": 2},
     {"cut_at_byte": 20, "times": 2},
     {"refuse": "engine_draining", "times": 2},
@@ -102,12 +102,12 @@
     """
     rng = random.Random(f"faults/{seed}")
     return [
-        tuple(_draw(fleet, rng) for _ in range(rng.choice((1, 2))))
+        tuple(_random_fault(fleet, rng) for _ in range(rng.choice((1, 2))))
         for _ in range(count)
     ]
 
 
-def _draw(fleet: local_fleet.LocalFleet, rng: random.Random) -> Fault:
+def _random_fault(fleet: local_fleet.LocalFleet, rng: random.Random) -> Fault:
     vm_id = rng.choice(sorted(fleet.vms_by_id))
     process = rng.choice(_PROCESSES)
     engine = rng.choice(fleet.endpoint_ids("prefill", "decode"))
@@ -116,15 +116,15 @@
         Kill(vm_id, process),
         Freeze(vm_id, process),
         Restart(vm_id),
-        Misconduct(engine, rng.choice(_ENGINE_CONDUCTS)),
-        Misconduct(service, rng.choice(_SERVICE_CONDUCTS)),
+        Misconduct(engine, rng.choice(_ENGINE_FAULT_MODES)),
+        Misconduct(service, rng.choice(_SERVICE_FAULT_MODES)),
         Outage(rng.choice(_PLATFORM_MODES)),
         Publication(),
     )
     return rng.choice(faults)
 
 
-def begin(fleet: local_fleet.LocalFleet, fault: Fault) -> None:
+def inject(fleet: local_fleet.LocalFleet, fault: Fault) -> None:
     """Lets a fault come about."""
     match fault:
         case Kill(vm_id, process):
@@ -145,7 +145,7 @@
             fleet.publish()
 
 
-def mend(fleet: local_fleet.LocalFleet, fault: Fault) -> None:
+def clear(fleet: local_fleet.LocalFleet, fault: Fault) -> None:
     """Ends a fault."""
     match fault:
         case Kill(vm_id, process):
--- a/tools/fleet_document.py
+++ b/tools/fleet_document.py
@@ -23,7 +23,7 @@
     return f"key-{customer.replace('/', '-')}"
 
 
-def set_keys(users: dict[str, Any], parent: str = "") -> None:
+def set_api_keys(users: dict[str, Any], parent: str = "") -> None:
     """Gives all users the keys of `key_of`.
 
     Args:
@@ -34,7 +34,7 @@
         path = f"{parent}/{name}" if parent else name
         digest = hashlib.sha256(key_of(path).encode()).hexdigest()
         customer["key_hashes"] = [digest]
-        set_keys(customer.get("users", {}), path)
+        set_api_keys(customer.get("users", {}), path)
 
 
 def availability_zones(document: dict[str, Any]) -> list[str]:
@@ -50,13 +50,13 @@
 
 def endpoint_ids(document: dict[str, Any], *kinds: str) -> list[str]:
     """Lists the endpoints of some kinds."""
-    found = []
+    ids = []
     for pool in document["pools"].values():
         defaults = pool.get("endpoint_defaults", {})
         for endpoint_id, endpoint in pool["endpoints"].items():
             if {**defaults, **endpoint}["kind"] in kinds:
-                found.append(endpoint_id)
-    return found
+                ids.append(endpoint_id)
+    return ids
 
 
 def standin_arguments(
--- a/tools/http_calls.py
+++ b/tools/http_calls.py
@@ -60,7 +60,7 @@
         """Returns the rest of the answer."""
         return self._response.read()
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         """Closes the connection, as a caller does that goes away."""
         self._response.close()
         self._connection.close()
@@ -120,6 +120,6 @@
       headers: Headers by name.
 
     Returns:
-      The stream; close it with `drop` unless it was read to its end.
+      The stream; close it with `disconnect` unless it was read to its end.
     """
     return Stream(*_send("POST", url, body, headers))
--- a/tools/local_fleet.py
+++ b/tools/local_fleet.py
@@ -19,8 +19,8 @@
 
 HOST = "127.0.0.1"
 _PEER_SECRET = "local-fleet"
-_RESTARTS = 5
-_RESTART_PAUSE_S = 0.2
+_MAX_START_ATTEMPTS = 5
+_START_RETRY_DELAY_S = 0.2
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,7 +42,7 @@
     public_port: int = 0
 
 
-def _module(name: str) -> str:
+def _module_of(name: str) -> str:
     return f"cowsliprill.{'entry' if name.startswith('e') else name}"
 
 
@@ -78,7 +78,7 @@
         self._entries = entries
         self._drain_notice_s = drain_notice_s
         self._plain_call_s = plain_call_s
-        self._folder = tempfile.TemporaryDirectory()
+        self._config_folder = tempfile.TemporaryDirectory()
         self._platform_port = 0
 
     def __enter__(self) -> "LocalFleet":
@@ -87,7 +87,7 @@
     def __exit__(self, *unused: object) -> None:
         for process in self.children_by_name.values():
             process.end()
-        self._folder.cleanup()
+        self._config_folder.cleanup()
 
     # --- Starting ---------------------------------------------------------
 
@@ -109,7 +109,7 @@
 
     def start_platform(self) -> None:
         """Starts the platform's stand-in."""
-        process = self._start(
+        process = self._start_child(
             "platform",
             "cowsliprill.standins",
             ["platform", "--port", str(self._platform_port)],
@@ -125,14 +125,16 @@
                 arguments = fleet_document.standin_arguments(
                     endpoint_id, {**defaults, **endpoint}, self._plain_call_s
                 )
-                self._start(endpoint_id, "cowsliprill.standins", arguments)
+                self._start_child(
+                    endpoint_id, "cowsliprill.standins", arguments
+                )
         for pool in self.document["pools"].values():
             for endpoint_id, endpoint in pool["endpoints"].items():
                 process = self.children_by_name[endpoint_id]
                 started = process.wait_for_event("started")
                 endpoint["host"] = HOST
                 endpoint["port"] = int(started["port"])
-        fleet_document.set_keys(self.document["users"])
+        fleet_document.set_api_keys(self.document["users"])
 
     def start_vm(self, vm_id: str, availability_zone: str) -> LocalVm:
         """Starts a VM's processes; the VM list is not told.
@@ -161,25 +163,27 @@
         # The first entry must be there before the others can share its port.
         for names in self._start_order():
             for name in names:
-                self._begin_process(vm, name)
+                self._launch_process(vm, name)
             for name in names:
-                self._note_ports(vm, name)
+                self._record_ports(vm, name)
         return vm
 
     def _start_order(self) -> list[list[str]]:
         others = [f"e{number}" for number in range(1, self._entries)]
         return [["dispatch", "e0"], others]
 
-    def start_process(self, vm: LocalVm, name: str, **more: Any) -> None:
+    def start_process(
+        self, vm: LocalVm, name: str, **extra_fields: Any
+    ) -> None:
         """Starts one process of a VM and waits for its ports.
 
         Args:
           vm: The VM.
           name: `settings`, `dispatch`, or `e<number>`.
-          **more: Further fields of the process's file.
+          **extra_fields: Further fields of the process's file.
         """
-        self._begin_process(vm, name, **more)
-        self._note_ports(vm, name)
+        self._launch_process(vm, name, **extra_fields)
+        self._record_ports(vm, name)
 
     def restart_process(self, vm_id: str, name: str) -> None:
         """Starts a process anew on the ports that it had before.
@@ -192,26 +196,28 @@
           ChildError: It didn't start, also when tried again.
         """
         vm = self.vms_by_id[vm_id]
-        path = self._file_of(vm, name)
+        path = self._config_path(vm, name)
         fields = json.loads(path.read_text(encoding="utf-8"))
         fields["port"] = vm.ports_by_process[name]
         if name.startswith("e"):
             fields["public_port"] = vm.public_port
         path.write_text(json.dumps(fields), encoding="utf-8")
-        for attempt in range(_RESTARTS):
-            self._start(f"{vm.id}.{name}", _module(name), [str(path)])
+        for attempt in range(_MAX_START_ATTEMPTS):
+            self._start_child(f"{vm.id}.{name}", _module_of(name), [str(path)])
             try:
-                self._note_ports(vm, name)
+                self._record_ports(vm, name)
             except child.ChildError:
                 # While the process was away, the kernel may have lent its port
                 # to some connection for a moment.
-                if attempt == _RESTARTS - 1:
+                if attempt == _MAX_START_ATTEMPTS - 1:
                     raise
-                time.sleep(_RESTART_PAUSE_S)
+                time.sleep(_START_RETRY_DELAY_S)
             else:
                 return
 
-    def _begin_process(self, vm: LocalVm, name: str, **more: Any) -> None:
+    def _launch_process(
+        self, vm: LocalVm, name: str, **extra_fields: Any
+    ) -> None:
         fields = {
             "vm": vm.id,
             "availability_zone": vm.availability_zone,
@@ -219,33 +225,33 @@
             "host": HOST,
             "peer_secret": _PEER_SECRET,
             "drain_notice_s": self._drain_notice_s,
-            **more,
+            **extra_fields,
         }
         if name != "settings":
             port = vm.ports_by_process["settings"]
             fields["settings_url"] = f"http://{HOST}:{port}"
         if name.startswith("e"):
             fields["public_port"] = vm.public_port
-        path = self._file_of(vm, name)
+        path = self._config_path(vm, name)
         path.write_text(json.dumps(fields), encoding="utf-8")
-        self._start(f"{vm.id}.{name}", _module(name), [str(path)])
+        self._start_child(f"{vm.id}.{name}", _module_of(name), [str(path)])
 
-    def _file_of(self, vm: LocalVm, name: str) -> pathlib.Path:
-        return pathlib.Path(self._folder.name, f"{vm.id}.{name}.json")
+    def _config_path(self, vm: LocalVm, name: str) -> pathlib.Path:
+        return pathlib.Path(self._config_folder.name, f"{vm.id}.{name}.json")
 
-    def _note_ports(self, vm: LocalVm, name: str) -> None:
+    def _record_ports(self, vm: LocalVm, name: str) -> None:
         process = self.children_by_name[f"{vm.id}.{name}"]
         started = process.wait_for_event("started")
         vm.ports_by_process[name] = int(started["port"])
         if name.startswith("e"):
             vm.public_port = int(started["public_port"])
 
-    def _start(
+    def _start_child(
         self, name: str, module: str, arguments: list[str]
     ) -> child.Child:
-        earlier = self.children_by_name.get(name)
-        if earlier is not None:
-            earlier.end()
+        previous = self.children_by_name.get(name)
+        if previous is not None:
+            previous.end()
         process = child.Child(name, module, arguments)
         self.children_by_name[name] = process
         return process
@@ -264,10 +270,10 @@
 
     def publish_vms(self) -> None:
         """Publishes the VM list, the endpoints' VMs included."""
-        vms = [self._listed(vm) for vm in self.vms_by_id.values()]
+        vms = [self._vm_list_entry(vm) for vm in self.vms_by_id.values()]
         self.platform("PUT", "/standin/vms", vms)
 
-    def _listed(self, vm: LocalVm) -> dict[str, Any]:
+    def _vm_list_entry(self, vm: LocalVm) -> dict[str, Any]:
         ports = vm.ports_by_process
         return {
             "id": vm.id,
@@ -296,19 +302,19 @@
           The answer's JSON, None if it has none.
         """
         url = f"http://{HOST}:{self._platform_port}{path}"
-        return self._json(http_calls.call(method, url, body))
+        return self._checked_json(http_calls.call(method, url, body))
 
     def standin(
         self, endpoint_id: str, method: str, path: str, body: Any = None
     ) -> Any:
         """Calls an endpoint's stand-in; arguments as for `platform`."""
         url = f"{self.endpoint_url(endpoint_id)}{path}"
-        return self._json(http_calls.call(method, url, body))
+        return self._checked_json(http_calls.call(method, url, body))
 
-    def _json(self, answer: http_calls.Answer) -> Any:
-        if answer.status >= 300:
-            raise child.ChildError(f"{answer.status}: {answer.body!r}")
-        return answer.json() if answer.body else None
+    def _checked_json(self, response: http_calls.Answer) -> Any:
+        if response.status >= 300:
+            raise child.ChildError(f"{response.status}: {response.body!r}")
+        return response.json() if response.body else None
 
     # --- Looking ----------------------------------------------------------
 
--- a/tools/mixed_run.py
+++ b/tools/mixed_run.py
@@ -16,12 +16,12 @@
 
 _VMS = 3
 _CALLERS = 8
-_REQUESTS = 16
+_REQUESTS_PER_CALLER = 16
 _ROUNDS = 10
 # A round's faults are mended after this many further requests, or, since a
 # frozen process may keep all callers waiting, after this many seconds.
-_REQUESTS_A_ROUND = 10
-_ROUND_S = 3.0
+_REQUESTS_PER_ROUND = 10
+_MAX_ROUND_S = 3.0
 # Long enough for a fault to meet a call that is running.
 _PLAIN_CALL_S = 0.1
 
@@ -55,65 +55,71 @@
         fleet.start(vms=_VMS)
         rounds = faults.schedule(fleet, seed, _ROUNDS)
         load = traffic.Traffic(
-            fleet, seed, callers=_CALLERS, requests=_REQUESTS
+            fleet, seed, callers=_CALLERS, requests=_REQUESTS_PER_CALLER
         )
         load.start()
-        _disturb(fleet, load, rounds)
-        asked = load.finish()
-        return Report(rounds, _count(asked), _check(fleet, asked))
+        _inject_faults(fleet, load, rounds)
+        records = load.finish()
+        return Report(
+            rounds, _count_outcomes(records), _find_violations(fleet, records)
+        )
 
 
-def _disturb(
+def _inject_faults(
     fleet: local_fleet.LocalFleet,
     load: traffic.Traffic,
     rounds: list[tuple[faults.Fault, ...]],
 ) -> None:
-    for number, together in enumerate(rounds, start=1):
-        for fault in together:
-            faults.begin(fleet, fault)
-        load.wait_for(number * _REQUESTS_A_ROUND, _ROUND_S)
-        for fault in together:
-            faults.mend(fleet, fault)
+    for number, round_faults in enumerate(rounds, start=1):
+        for fault in round_faults:
+            faults.inject(fleet, fault)
+        load.wait_for(number * _REQUESTS_PER_ROUND, _MAX_ROUND_S)
+        for fault in round_faults:
+            faults.clear(fleet, fault)
 
 
-def _count(asked: list[traffic.Asked]) -> collections.Counter:
+def _count_outcomes(
+    records: list[traffic.RequestRecord],
+) -> collections.Counter:
     return collections.Counter(
-        (request.kind.value, outcome.end.value, outcome.code)
-        for request in asked
-        for outcome in request.outcomes
+        (record.kind.value, outcome.end.value, outcome.code)
+        for record in records
+        for outcome in record.outcomes
     )
 
 
-def _check(
-    fleet: local_fleet.LocalFleet, asked: list[traffic.Asked]
+def _find_violations(
+    fleet: local_fleet.LocalFleet, records: list[traffic.RequestRecord]
 ) -> list[str]:
     held = truth.wait_until_nothing_is_held(fleet)
-    found = [f"{name} still holds {state}" for name, state in held.items()]
-    ran = truth.plain_runs(fleet)
-    for request in asked:
-        found.extend(truth.lies(request, ran))
+    violations = [f"{name} still holds {state}" for name, state in held.items()]
+    executions = truth.plain_runs(fleet)
+    for record in records:
+        violations.extend(truth.lies(record, executions))
     for name, process in fleet.children_by_name.items():
-        found.extend(_revision_falls(name, process))
-        found.extend(_log_faults(name, process))
-    return found
+        violations.extend(_revision_decreases(name, process))
+        violations.extend(_logged_tracebacks(name, process))
+    return violations
 
 
-def _revision_falls(name: str, process: child.Child) -> list[str]:
+def _revision_decreases(name: str, process: child.Child) -> list[str]:
     """The revision in force never falls in any process's own log."""
     highest = 0
-    falls = []
+    decreases = []
     for line in process.lines:
         pairs = child.parse_line(line)
         if pairs.get("event") != "settings_in_force":
             continue
         revision = int(pairs["revision"])
         if revision < highest:
-            falls.append(f"{name}: revision fell from {highest} to {revision}")
+            decreases.append(
+                f"{name}: revision fell from {highest} to {revision}"
+            )
         highest = max(highest, revision)
-    return falls
+    return decreases
 
 
-def _log_faults(name: str, process: child.Child) -> list[str]:
+def _logged_tracebacks(name: str, process: child.Child) -> list[str]:
     return [f"{name}: {line}" for line in process.lines if "Traceback" in line]
 
 
@@ -130,8 +136,8 @@
     for seed in seeds:
         report = run(int(seed))
         print(f"seed {seed}")
-        for together in report.rounds:
-            print("  fault  ", *together)
+        for round_faults in report.rounds:
+            print("  fault  ", *round_faults)
         for key, count in sorted(report.outcomes.items()):
             print("  outcome", *key, count)
         for fault in report.faults:
--- a/tools/own_site.py
+++ b/tools/own_site.py
@@ -19,7 +19,9 @@
 _USAGE = "usage: python -m tools.own_site BASE CHANGES FOLDER"
 
 
-def changed(site: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
+def with_changes(
+    site: dict[str, Any], changes: dict[str, Any]
+) -> dict[str, Any]:
     """Returns a deployment with other engines and sizes.
 
     Args:
@@ -29,11 +31,12 @@
         fields.
     """
     services = [
-        _changed_service(service, changes["engine"])
+        _service_with_changes(service, changes["engine"])
         for service in site["services"]
     ]
     classes = [
-        _changed_class(item, changes["streams"]) for item in site["classes"]
+        _class_with_changes(item, changes["streams"])
+        for item in site["classes"]
     ]
     return {
         **site,
@@ -43,7 +46,7 @@
     }
 
 
-def _changed_service(
+def _service_with_changes(
     service: dict[str, Any], engine: dict[str, Any]
 ) -> dict[str, Any]:
     if "llm" not in service:
@@ -58,7 +61,7 @@
     }
 
 
-def _changed_class(
+def _class_with_changes(
     item: dict[str, Any], sizes: dict[str, dict[str, Any]]
 ) -> dict[str, Any]:
     if "stream" not in item:
@@ -76,10 +79,12 @@
         return 2
     base, changes, folder = map(pathlib.Path, arguments)
     site = tomllib.loads(base.read_text(encoding="utf-8"))
-    own = changed(site, tomllib.loads(changes.read_text(encoding="utf-8")))
+    new_site = with_changes(
+        site, tomllib.loads(changes.read_text(encoding="utf-8"))
+    )
     folder.mkdir(parents=True, exist_ok=True)
     target = folder / changes.name
-    target.write_text(tomli_w.dumps(own), encoding="utf-8")
+    target.write_text(tomli_w.dumps(new_site), encoding="utf-8")
     if _WIRE_KEY in site:
         shutil.copy2(base.parent / site[_WIRE_KEY], folder)
     print(target)
--- a/tools/small_site.py
+++ b/tools/small_site.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 _EXAMPLE = pathlib.Path("examples/both.json")
-_ENDPOINTS_BY_KIND = {"prefill": 1, "decode": 2, "plain": 2}
+_MAX_ENDPOINTS_BY_KIND = {"prefill": 1, "decode": 2, "plain": 2}
 _SECONDS_PER_TOKEN = 0.01
 
 
@@ -13,20 +13,20 @@
     """Returns both users' settings with few and quick engines."""
     settings = json.loads(_EXAMPLE.read_text(encoding="utf-8"))
     for pool in settings["pools"].values():
-        pool["endpoints"] = _few(pool["endpoints"])
+        pool["endpoints"] = _limit_endpoints(pool["endpoints"])
     return settings
 
 
-def _few(endpoints_by_id: dict[str, Any]) -> dict[str, Any]:
-    taken_by_kind: dict[str, int] = {}
-    few = {}
+def _limit_endpoints(endpoints_by_id: dict[str, Any]) -> dict[str, Any]:
+    kept_count_by_kind: dict[str, int] = {}
+    kept = {}
     for endpoint_id, endpoint in endpoints_by_id.items():
         kind = endpoint.get("kind", "plain")
-        taken = taken_by_kind.get(kind, 0)
-        if taken >= _ENDPOINTS_BY_KIND[kind]:
+        kept_count = kept_count_by_kind.get(kind, 0)
+        if kept_count >= _MAX_ENDPOINTS_BY_KIND[kind]:
             continue
-        taken_by_kind[kind] = taken + 1
+        kept_count_by_kind[kind] = kept_count + 1
         if kind == "decode":
             endpoint["seconds_per_token"] = _SECONDS_PER_TOKEN
-        few[endpoint_id] = endpoint
-    return few
+        kept[endpoint_id] = endpoint
+    return kept
--- a/tools/test_all.py
+++ b/tools/test_all.py
@@ -12,7 +12,7 @@
 _FEATURE_REPORTS = pathlib.Path("build/features")
 _FEATURES = pathlib.Path("features")
 # Features mostly wait for processes, so a few at once cost little.
-_RUNS_AT_ONCE = 4
+_MAX_CONCURRENT_RUNS = 4
 _KNOWN_RED = pathlib.Path("KNOWN-RED.txt")
 _KNOWN_RED_MAX = 3
 
@@ -45,9 +45,9 @@
         skipped = case.find("skipped") is not None
         if skipped and case.get("status") == "skipped":
             continue
-        broken = case.find("failure") is not None
-        broken = broken or case.find("error") is not None
-        cases.append((name, not broken))
+        has_failed = case.find("failure") is not None
+        has_failed = has_failed or case.find("error") is not None
+        cases.append((name, not has_failed))
     return cases
 
 
@@ -68,14 +68,14 @@
       The exit code: 0 if every test passed or is listed as known to fail.
     """
     _FEATURE_REPORTS.mkdir(parents=True, exist_ok=True)
-    for old in _FEATURE_REPORTS.glob("*.xml"):
-        old.unlink()
+    for old_report in _FEATURE_REPORTS.glob("*.xml"):
+        old_report.unlink()
     _UNIT_REPORT.unlink(missing_ok=True)
-    codes = []
-    with futures.ThreadPoolExecutor(_RUNS_AT_ONCE) as pool:
+    exit_codes = []
+    with futures.ThreadPoolExecutor(_MAX_CONCURRENT_RUNS) as pool:
         for run in pool.map(_run, _commands()):
             print(run.stdout, flush=True)
-            codes.append(run.returncode)
+            exit_codes.append(run.returncode)
     reports = [_UNIT_REPORT, *sorted(_FEATURE_REPORTS.glob("*.xml"))]
     outcomes = [
         outcome
@@ -83,14 +83,14 @@
         if report.exists()
         for outcome in _outcomes(report)
     ]
-    known = _known_red()
+    known_failures = _known_red()
     failed = [name for name, passed in outcomes if not passed]
-    unexpected = [name for name in failed if name not in known]
+    unexpected = [name for name in failed if name not in known_failures]
     for name in failed:
-        print("known to fail:" if name in known else "failed:", name)
+        print("known to fail:" if name in known_failures else "failed:", name)
     print(f"{len(outcomes) - len(failed)} passed, {len(failed)} failed")
     # A runner that died before it wrote its report must not look like success.
-    crashed = any(codes) and not failed
+    crashed = any(exit_codes) and not failed
     return 1 if unexpected or crashed or not outcomes else 0
 
 
--- a/tools/traffic.py
+++ b/tools/traffic.py
@@ -12,14 +12,14 @@
 from tools import http_calls
 from tools import local_fleet
 
-_FIRMS = tuple(f"umurongo/firm-{number}" for number in range(1, 5))
-_COURIER = "zarqa-lane"
-_ANSWER_TOKENS = 12
-_OK = 200
-_CREATED = 201
-_TRIES = 4
-_HURRY = 0.3
-_LEAVE = 0.2
+_LAW_FIRM_CUSTOMERS = tuple(f"umurongo/firm-{number}" for number in range(1, 5))
+_COURIER_CUSTOMER = "zarqa-lane"
+_OUTPUT_TOKENS = 12
+_HTTP_OK = 200
+_HTTP_CREATED = 201
+_MAX_ATTEMPTS = 4
+_DUPLICATE_CALL_PROBABILITY = 0.3
+_DISCONNECT_PROBABILITY = 0.2
 
 
 class Kind(enum.StrEnum):
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Asked:
+class RequestRecord:
     """One thing that a caller wants, and the calls it made for it.
 
     Attributes:
@@ -105,13 +105,13 @@
     ) -> None:
         self._fleet = fleet
         self._requests = requests
-        self._asked: list[Asked] = []
-        self._ended = 0
+        self._records: list[RequestRecord] = []
+        self._ended_count = 0
         self._stopping = False
-        self._news = threading.Condition()
+        self._progress = threading.Condition()
         self._threads = [
             threading.Thread(
-                target=self._call_on,
+                target=self._run_caller,
                 args=(number, random.Random(f"{seed}/{number}")),
                 daemon=True,
             )
@@ -124,10 +124,12 @@
         for thread in self._threads:
             thread.start()
 
-    def wait_for(self, ended: int, at_most_s: float) -> None:
+    def wait_for(self, ended: int, timeout_s: float) -> None:
         """Waits until so many requests have ended, or for so long."""
-        with self._news:
-            self._news.wait_for(lambda: self._ended >= ended, at_most_s)
+        with self._progress:
+            self._progress.wait_for(
+                lambda: self._ended_count >= ended, timeout_s
+            )
 
     def stop(self) -> None:
         """Lets each caller end after its present request."""
@@ -136,10 +138,10 @@
     @property
     def ended(self) -> int:
         """Requests that have ended."""
-        with self._news:
-            return self._ended
+        with self._progress:
+            return self._ended_count
 
-    def finish(self) -> list[Asked]:
+    def finish(self) -> list[RequestRecord]:
         """Waits for all callers.
 
         Returns:
@@ -147,36 +149,47 @@
         """
         for thread in self._threads:
             thread.join()
-        return self._asked
+        return self._records
 
-    def _call_on(self, caller: int, rng: random.Random) -> None:
+    def _run_caller(self, caller: int, rng: random.Random) -> None:
         for number in range(self._requests):
             if self._stopping:
                 return
             kind = rng.choice(list(Kind))
-            asked = Asked(kind=kind, body=f"{kind}-{caller}-{number}")
-            with self._news:
-                self._asked.append(asked)
-            self._ask(asked, rng)
-            with self._news:
-                self._ended += 1
-                self._news.notify_all()
-
-    def _ask(self, asked: Asked, rng: random.Random) -> None:
-        match asked.kind:
+            record = RequestRecord(kind=kind, body=f"{kind}-{caller}-{number}")
+            with self._progress:
+                self._records.append(record)
+            self._send_request(record, rng)
+            with self._progress:
+                self._ended_count += 1
+                self._progress.notify_all()
+
+    def _send_request(self, record: RequestRecord, rng: random.Random) -> None:
+        match record.kind:
             case Kind.BRIEF:
-                self._generate(asked, "brief", rng.choice(_FIRMS), rng)
+                self._call_model(
+                    record, "brief", rng.choice(_LAW_FIRM_CUSTOMERS), rng
+                )
             case Kind.SUMMARY:
-                self._generate(asked, "summary", _COURIER, rng)
+                self._call_model(record, "summary", _COURIER_CUSTOMER, rng)
             case Kind.LOOKUP:
-                path = f"/services/lookup/{asked.body}"
-                self._plain(asked, "GET", path, self._vm(rng), _COURIER, "")
+                path = f"/services/lookup/{record.body}"
+                self._call_plain_service(
+                    record,
+                    "GET",
+                    path,
+                    self._random_live_vm(rng),
+                    _COURIER_CUSTOMER,
+                    "",
+                )
             case Kind.BOOKING:
-                self._book(asked, "booking", rng.choice(_FIRMS), rng)
+                self._call_with_ticket(
+                    record, "booking", rng.choice(_LAW_FIRM_CUSTOMERS), rng
+                )
             case Kind.PICKUP:
-                self._book(asked, "pickup", _COURIER, rng)
+                self._call_with_ticket(record, "pickup", _COURIER_CUSTOMER, rng)
 
-    def _vm(self, rng: random.Random) -> str:
+    def _random_live_vm(self, rng: random.Random) -> str:
         # As the platform's balancer does: only VMs that aren't leaving.
         live = [
             vm.id for vm in self._fleet.vms_by_id.values() if vm.state == "live"
@@ -191,16 +204,20 @@
 
     # --- Model services ---------------------------------------------------
 
-    def _generate(
-        self, asked: Asked, service: str, customer: str, rng: random.Random
+    def _call_model(
+        self,
+        record: RequestRecord,
+        service: str,
+        customer: str,
+        rng: random.Random,
     ) -> None:
-        vm_id = self._vm(rng)
-        drop_after = rng.randrange(_ANSWER_TOKENS)
-        drops = rng.random() < _LEAVE
+        vm_id = self._random_live_vm(rng)
+        disconnect_after = rng.randrange(_OUTPUT_TOKENS)
+        disconnects = rng.random() < _DISCONNECT_PROBABILITY
         body = {
             "model": service,
-            "prompt": asked.body,
-            "max_tokens": _ANSWER_TOKENS,
+            "prompt": record.body,
+            "max_tokens": _OUTPUT_TOKENS,
             "stream": True,
         }
         try:
@@ -209,33 +226,39 @@
                 body,
                 self._headers(customer),
             )
-            if stream.status != _OK:
+            if stream.status != _HTTP_OK:
                 content = stream.read()
-                asked.outcomes.append(_refused(vm_id, stream.status, content))
-            elif drops:
-                self._leave_early(asked, vm_id, stream, drop_after)
+                record.outcomes.append(
+                    _error_outcome(vm_id, stream.status, content)
+                )
+            elif disconnects:
+                self._disconnect_early(record, vm_id, stream, disconnect_after)
             else:
-                asked.outcomes.append(_streamed(vm_id, stream))
-            stream.drop()
+                record.outcomes.append(_stream_outcome(vm_id, stream))
+            stream.disconnect()
         except (OSError, http.client.HTTPException):
-            asked.outcomes.append(Outcome(vm_id=vm_id, end=End.BROKEN))
+            record.outcomes.append(Outcome(vm_id=vm_id, end=End.BROKEN))
 
-    def _leave_early(
+    def _disconnect_early(
         self,
-        asked: Asked,
+        record: RequestRecord,
         vm_id: str,
         stream: http_calls.Stream,
-        drop_after: int,
+        disconnect_after: int,
     ) -> None:
         for number, _ in enumerate(stream.events()):
-            if number >= drop_after:
+            if number >= disconnect_after:
                 break
-        asked.outcomes.append(Outcome(vm_id=vm_id, end=End.DROPPED))
+        record.outcomes.append(Outcome(vm_id=vm_id, end=End.DROPPED))
 
     # --- Plain services ---------------------------------------------------
 
-    def _book(
-        self, asked: Asked, service: str, customer: str, rng: random.Random
+    def _call_with_ticket(
+        self,
+        record: RequestRecord,
+        service: str,
+        customer: str,
+        rng: random.Random,
     ) -> None:
         """Gets a ticket and calls until there is an answer, at any VM.
 
@@ -246,13 +269,16 @@
         if ticket is None:
             return
         path = f"/services/{service}/new"
-        hurries = rng.random() < _HURRY
-        for _ in range(_TRIES):
-            vm_ids = [self._vm(rng) for _ in range(2 if hurries else 1)]
+        sends_duplicates = rng.random() < _DUPLICATE_CALL_PROBABILITY
+        for _ in range(_MAX_ATTEMPTS):
+            vm_ids = [
+                self._random_live_vm(rng)
+                for _ in range(2 if sends_duplicates else 1)
+            ]
             calls = [
                 threading.Thread(
-                    target=self._plain,
-                    args=(asked, "POST", path, vm_id, customer, ticket),
+                    target=self._call_plain_service,
+                    args=(record, "POST", path, vm_id, customer, ticket),
                 )
                 for vm_id in vm_ids
             ]
@@ -260,37 +286,37 @@
                 call.start()
             for call in calls:
                 call.join()
-            if any(o.end is End.WHOLE for o in asked.outcomes):
+            if any(o.end is End.WHOLE for o in record.outcomes):
                 return
 
     def _ticket(
         self, service: str, customer: str, rng: random.Random
     ) -> str | None:
         try:
-            answer = http_calls.call(
+            response = http_calls.call(
                 "POST",
-                f"{self._fleet.url(self._vm(rng))}/v1/tickets",
+                f"{self._fleet.url(self._random_live_vm(rng))}/v1/tickets",
                 {"service": service},
                 self._headers(customer),
             )
         except (OSError, http.client.HTTPException):
             return None
-        if answer.status != _CREATED:
+        if response.status != _HTTP_CREATED:
             return None
-        return answer.json()["ticket"]
+        return response.json()["ticket"]
 
-    def _plain(
+    def _call_plain_service(
         self,
-        asked: Asked,
+        record: RequestRecord,
         method: str,
         path: str,
         vm_id: str,
         customer: str,
         key: str,
     ) -> None:
-        body = asked.body.encode() if method != "GET" else None
+        body = record.body.encode() if method != "GET" else None
         try:
-            answer = http_calls.call(
+            response = http_calls.call(
                 method,
                 f"{self._fleet.url(vm_id)}{path}",
                 body,
@@ -299,23 +325,23 @@
         except (OSError, http.client.HTTPException):
             outcome = Outcome(vm_id=vm_id, end=End.BROKEN)
         else:
-            outcome = _answered(vm_id, answer)
-        asked.outcomes.append(outcome)
+            outcome = _response_outcome(vm_id, response)
+        record.outcomes.append(outcome)
 
 
-def _answered(vm_id: str, answer: http_calls.Answer) -> Outcome:
-    if answer.status != _OK:
-        return _refused(vm_id, answer.status, answer.body)
+def _response_outcome(vm_id: str, response: http_calls.Answer) -> Outcome:
+    if response.status != _HTTP_OK:
+        return _error_outcome(vm_id, response.status, response.body)
     return Outcome(
         vm_id=vm_id,
         end=End.WHOLE,
-        status=answer.status,
-        text=answer.body.decode(),
-        replayed=answer.headers.get("idempotent-replayed") == "true",
+        status=response.status,
+        text=response.body.decode(),
+        replayed=response.headers.get("idempotent-replayed") == "true",
     )
 
 
-def _refused(vm_id: str, status: int, content: bytes) -> Outcome:
+def _error_outcome(vm_id: str, status: int, content: bytes) -> Outcome:
     error: dict[str, Any] = json.loads(content)["error"]
     return Outcome(
         vm_id=vm_id,
@@ -327,19 +353,21 @@
     )
 
 
-def _streamed(vm_id: str, stream: http_calls.Stream) -> Outcome:
+def _stream_outcome(vm_id: str, stream: http_calls.Stream) -> Outcome:
     text = ""
     for event in stream.events():
         data = event.partition(b"data: ")[2]
         if data == b"[DONE]":
-            return Outcome(vm_id=vm_id, end=End.WHOLE, status=_OK, text=text)
+            return Outcome(
+                vm_id=vm_id, end=End.WHOLE, status=_HTTP_OK, text=text
+            )
         fields = json.loads(data)
         if "error" in fields:
             error = fields["error"]
             return Outcome(
                 vm_id=vm_id,
                 end=End.REFUSED,
-                status=_OK,
+                status=_HTTP_OK,
                 code=error["code"],
                 run=error["run"],
                 retry_after="retry_after_s" in error,
--- a/tools/truth.py
+++ b/tools/truth.py
@@ -14,27 +14,27 @@
 from tools import local_fleet
 from tools import traffic
 
-_HELD_BOUND_S = 60.0
-_LOOK_AGAIN_S = 0.2
-_ANSWER_TOKENS = 12
-_UNREPEATABLE = {traffic.Kind.BOOKING, traffic.Kind.PICKUP}
-_MODELS = {traffic.Kind.BRIEF, traffic.Kind.SUMMARY}
+_RELEASE_TIMEOUT_S = 60.0
+_POLL_INTERVAL_S = 0.2
+_OUTPUT_TOKENS = 12
+_NON_IDEMPOTENT_KINDS = {traffic.Kind.BOOKING, traffic.Kind.PICKUP}
+_MODEL_KINDS = {traffic.Kind.BRIEF, traffic.Kind.SUMMARY}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Run:
+class Executions:
     """What the plain services ran.
 
     Attributes:
-      runs_by_digest: Runs by the body's SHA-256 digest.
-      runs_by_path: Runs by path.
+      counts_by_digest: Runs by the body's SHA-256 digest.
+      counts_by_path: Runs by path.
     """
 
-    runs_by_digest: collections.Counter
-    runs_by_path: collections.Counter
+    counts_by_digest: collections.Counter
+    counts_by_path: collections.Counter
 
 
-def plain_runs(fleet: local_fleet.LocalFleet) -> Run:
+def plain_runs(fleet: local_fleet.LocalFleet) -> Executions:
     """Reads the journals of all plain services."""
     by_digest: collections.Counter = collections.Counter()
     by_path: collections.Counter = collections.Counter()
@@ -43,83 +43,87 @@
         for entry in journal["ran"]:
             by_digest[entry["body_sha256"]] += 1
             by_path[entry["path"]] += 1
-    return Run(by_digest, by_path)
+    return Executions(by_digest, by_path)
 
 
-def lies(asked: traffic.Asked, run: Run) -> list[str]:
+def lies(record: traffic.RequestRecord, run: Executions) -> list[str]:
     """Finds what is wrong with the answers to one request.
 
     Args:
-      asked: The request with its outcomes.
+      record: The request with its outcomes.
       run: What the plain services ran.
 
     Returns:
       A sentence for each fault, none if all is well.
     """
     found = []
-    for outcome in asked.outcomes:
-        found.extend(_shape_faults(outcome))
+    for outcome in record.outcomes:
+        found.extend(_error_violations(outcome))
         if outcome.end is traffic.End.WHOLE:
-            found.extend(_answer_faults(asked, outcome))
-    if asked.kind not in _MODELS:
-        found.extend(_run_faults(asked, run))
-    return [f"{asked.body}: {fault}" for fault in found]
+            found.extend(_output_violations(record, outcome))
+    if record.kind not in _MODEL_KINDS:
+        found.extend(_execution_violations(record, run))
+    return [f"{record.body}: {problem}" for problem in found]
 
 
-def _shape_faults(outcome: traffic.Outcome) -> list[str]:
+def _error_violations(outcome: traffic.Outcome) -> list[str]:
     if outcome.end is not traffic.End.REFUSED:
         return []
-    faults = []
+    problems = []
     if outcome.run not in {"no", "unknown"}:
-        faults.append(f"run is {outcome.run!r}")
+        problems.append(f"run is {outcome.run!r}")
     if outcome.run == "no" and outcome.text:
-        faults.append("tokens came, yet it is said not to have run")
+        problems.append("tokens came, yet it is said not to have run")
     if outcome.status == 500:
-        faults.append(f"internal error {outcome.code}")
-    return faults
+        problems.append(f"internal error {outcome.code}")
+    return problems
 
 
 def expected_text(prompt: str) -> str:
     """Returns the text with which an engine's stand-in answers a prompt."""
     digest = xxhash.xxh3_64_hexdigest(prompt.encode())[:8]
     return "".join(
-        f" {digest}-{number}" for number in range(1, _ANSWER_TOKENS + 1)
+        f" {digest}-{number}" for number in range(1, _OUTPUT_TOKENS + 1)
     )
 
 
-def _answer_faults(asked: traffic.Asked, outcome: traffic.Outcome) -> list[str]:
-    if asked.kind in _MODELS:
-        if outcome.text != expected_text(asked.body):
+def _output_violations(
+    record: traffic.RequestRecord, outcome: traffic.Outcome
+) -> list[str]:
+    if record.kind in _MODEL_KINDS:
+        if outcome.text != expected_text(record.body):
             return [f"got another text: {outcome.text!r}"]
         return []
-    answer = json.loads(outcome.text)
-    own = (
-        answer["path"].endswith(asked.body)
-        if asked.kind is traffic.Kind.LOOKUP
-        else answer["received"] == asked.body
+    response = json.loads(outcome.text)
+    matches = (
+        response["path"].endswith(record.body)
+        if record.kind is traffic.Kind.LOOKUP
+        else response["received"] == record.body
     )
-    return [] if own else [f"got another's answer: {outcome.text}"]
+    return [] if matches else [f"got another's answer: {outcome.text}"]
 
 
-def _run_faults(asked: traffic.Asked, run: Run) -> list[str]:
-    if asked.kind is traffic.Kind.LOOKUP:
-        runs = run.runs_by_path[f"/{asked.body}"]
+def _execution_violations(
+    record: traffic.RequestRecord, run: Executions
+) -> list[str]:
+    if record.kind is traffic.Kind.LOOKUP:
+        execution_count = run.counts_by_path[f"/{record.body}"]
     else:
-        digest = hashlib.sha256(asked.body.encode()).hexdigest()
-        runs = run.runs_by_digest[digest]
-    faults = []
-    if asked.kind in _UNREPEATABLE and runs > 1:
-        faults.append(f"unrepeatable, yet run {runs} times")
-    ends = {outcome.end for outcome in asked.outcomes}
-    if traffic.End.WHOLE in ends and runs == 0:
-        faults.append("answered, yet never run")
-    not_run = asked.outcomes and all(
+        digest = hashlib.sha256(record.body.encode()).hexdigest()
+        execution_count = run.counts_by_digest[digest]
+    problems = []
+    if record.kind in _NON_IDEMPOTENT_KINDS and execution_count > 1:
+        problems.append(f"unrepeatable, yet run {execution_count} times")
+    ends = {outcome.end for outcome in record.outcomes}
+    if traffic.End.WHOLE in ends and execution_count == 0:
+        problems.append("answered, yet never run")
+    not_run = record.outcomes and all(
         outcome.end is traffic.End.REFUSED and outcome.run == "no"
-        for outcome in asked.outcomes
+        for outcome in record.outcomes
     )
-    if not_run and runs:
-        faults.append("every call was told that it was not run, yet it was")
-    return faults
+    if not_run and execution_count:
+        problems.append("every call was told that it was not run, yet it was")
+    return problems
 
 
 def wait_until_nothing_is_held(
@@ -133,7 +137,7 @@
     Returns:
       What is still held after the bound, by engine; empty if nothing.
     """
-    end = time.monotonic() + _HELD_BOUND_S
+    end = time.monotonic() + _RELEASE_TIMEOUT_S
     while True:
         held = {}
         for endpoint_id in fleet.endpoint_ids("prefill", "decode"):
@@ -142,4 +146,4 @@
                 held[endpoint_id] = state
         if not held or time.monotonic() > end:
             return held
-        time.sleep(_LOOK_AGAIN_S)
+        time.sleep(_POLL_INTERVAL_S)
