--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Developer tools: checks, the demonstration and the benchmark."""
+"""Developer tools: test runner, checks, local fleet, demo and benchmark."""
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -1,11 +1,11 @@
-"""What each mechanism of the decisions is worth: days played without it.
+"""Ablation study: simulated days with one scheduling mechanism switched off.
 
     python -m tools.ablate --bench PATH --site FILE [--site FILE ...]
         [--days N,...] [--off M,...] [--seeds N,...] [--jobs N]
 
-Each variant is played in a copy of the committed sources that differs in one
-setting of the processes, `mechanisms_off`. Plays are added to a file of JSON
-lines; with `--table` that file is written as a table for `docs/ABLATION.md`.
+Each variant runs in a git clone of the committed sources that differs only in
+the process setting `mechanisms_off`. Results are appended to a JSON Lines file;
+with `--table` that file is printed as the table of `docs/ABLATION.md`.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 _ROW = re.compile(
     r"^(?P<day>\S+) +\S+/\S+ +\S+ +(?P<worth>-?[\d.]+) +(?P<served>[\d.]+) "
 )
-# The bench names broken rules in capitals.
+# The simulator prints the names of violated rules in capitals.
 _BROKEN_RULE = re.compile(r"\b[A-Z]{3,}\b")
 
 
@@ -67,16 +67,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Play:
-    """One day of one deployment, played once.
+    """Result of one simulated day of one deployment.
+
+    The field names are the keys of the results file.
 
     Attributes:
-      without: The mechanism that was off, `none` for none.
-      site: The deployment.
-      day: The day.
-      seed: The seed, empty for the day's own.
-      worth: What it earned.
-      served: Part of the requests' worth that was served.
-      broken: What the bench said of broken rules, empty if none was.
+      without: Mechanism that was switched off, or `none` for the baseline.
+      site: Name of the deployment.
+      day: Name of the simulated day.
+      seed: Random seed; empty for the day's default seed.
+      worth: Score that the simulator reports for the day.
+      served: Fraction of the total request value that was served.
+      broken: Name of a violated rule; empty if every rule was met.
     """
 
     without: str
@@ -89,7 +91,7 @@
 
 
 def main() -> int:
-    """Plays or writes the table; returns the exit code."""
+    """Runs the simulations or prints the table; returns the exit code."""
     arguments = cappa.parse(Ablate)
     arguments.site = [site.resolve() for site in arguments.site]
     if not arguments.table:
@@ -103,16 +105,24 @@
 
 
 def read(path: pathlib.Path) -> list[Play]:
-    """Reads a file of plays."""
+    """Reads the results from a JSON Lines file."""
     lines = path.read_text(encoding="utf-8").splitlines()
     return [Play(**json.loads(line)) for line in lines]
 
 
 def parse(text: str, day: str) -> tuple[float, float, str]:
-    """Reads worth, served part and broken rules out of the bench's text.
+    """Parses the result of one day from the simulator's output.
+
+    Args:
+      text: Output of the simulator.
+      day: Name of the day to look up.
+
+    Returns:
+      The score, the served fraction of the request value and the name of a
+      violated rule (empty if none was violated).
 
     Raises:
-      ValueError: The day isn't in it.
+      ValueError: The output has no row for the day.
     """
     for line in text.splitlines():
         row = _ROW.match(line)
@@ -124,7 +134,16 @@
 
 
 def table(plays: list[Play]) -> list[str]:
-    """Returns the lines of a table: what is lost without each mechanism."""
+    """Returns a Markdown table of the score change without each mechanism.
+
+    Each variant is compared with the baseline over the days that both have.
+
+    Args:
+      plays: Results of the baseline and of the variants.
+
+    Returns:
+      The lines of the table.
+    """
     values_by_variant: dict[str, dict[tuple[str, str, str], float]] = (
         collections.defaultdict(dict)
     )
@@ -216,7 +235,7 @@
 
 
 def _clone_sources(variant: str) -> pathlib.Path:
-    """Returns a copy of the committed sources without one mechanism."""
+    """Clones the committed sources and switches one mechanism off there."""
     copy = _CLONES_FOLDER / variant
     if copy.exists():
         shutil.rmtree(copy)
@@ -231,14 +250,15 @@
 
 
 def _switch_off(template: pathlib.Path, variant: str) -> None:
-    # The template isn't JSON before the platform has filled it in.
+    # The template has placeholders and isn't valid JSON until the platform
+    # fills them in, so the setting is appended as text.
     text = template.read_text(encoding="utf-8").rstrip()
     setting = f',\n  "mechanisms_off": {json.dumps([variant])}\n}}\n'
     template.write_text(text.removesuffix("}").rstrip() + setting)
 
 
 def _copy_journal_back(copy: pathlib.Path) -> None:
-    """Brings the copy's journal home: entries stay, those of trials too."""
+    """Copies new journal entries from the clone, including those of trials."""
     for entry in (copy / "journal").rglob("*"):
         target = _ROOT / "journal" / entry.relative_to(copy / "journal")
         if entry.is_file() and not target.exists():
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,8 +1,9 @@
-"""`make bench`: what the whole path costs, beside a bare tornado relay.
+"""Benchmark of the router's overhead against a minimal tornado relay.
 
-One run starts the stand-ins, one VM's processes and the bare relay, and puts
-the same load on both. Figures are ratios or differences within this run, as
-the machine's speed isn't ours.
+`make bench` starts the endpoint stand-ins, the processes of one VM and the
+relay, and puts the same load on the router and the relay. Time limits apply to
+ratios or differences within one run, so they don't depend on the machine's
+speed.
 """
 
 import asyncio
@@ -21,14 +22,14 @@
 from tools import local_fleet
 
 _STREAMS = 200
-# Few enough that neither side comes near a whole core: a busy process finds
-# several chunks at once in a socket and then seems cheap.
+# Keeps both processes well below one full core: a saturated process reads
+# several chunks per socket read, which understates its cost per chunk.
 _COST_CONCURRENT_STREAMS = 80
 _SHORT_TOKENS = 20
 _LONG_TOKENS = 120
 _ROUNDS = 10
 _COST_REPEATS = 3
-# The allocator reaches its plateau only after some rounds of full load.
+# Allocator memory levels off only after several rounds at full load.
 _WARM_UP_ROUNDS = 8
 _SEQUENTIAL_REQUESTS = 100
 _TTFT_TOKENS = 2
@@ -41,7 +42,7 @@
 _MAX_CHUNK_COST_RATIO = 1.5
 _MAX_ADDED_TTFT_S = 0.003
 _MAX_RESIDENT_BYTES = 64 * _MIB
-# A round that grows by less than this is the allocator's noise.
+# Growth below this is allocator noise.
 _MAX_GROWTH_BYTES = 1 * _MIB
 
 _DOCUMENT = {
@@ -88,13 +89,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figure:
-    """One measured figure and its bound.
+    """One measured value and its upper limit.
 
     Attributes:
-      name: What was measured.
-      value: The figure.
-      limit: What it must not exceed.
-      format_value: Writes a value for people.
+      name: Label of the value in the report.
+      value: Measured value.
+      limit: Largest value that passes.
+      format_value: Formats a value with its unit for the report.
     """
 
     name: str
@@ -103,7 +104,7 @@
     format_value: Callable[[float], str]
 
     def line(self) -> str:
-        """Returns the figure as a line of the report."""
+        """Returns the line of the report: name, value, limit and verdict."""
         verdict = "within" if self.value <= self.limit else "MISSED"
         return (
             f"{self.name:<52} {self.format_value(self.value):>10}"
@@ -143,16 +144,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Bench:
-    """The processes under measurement.
+    """Measures the router and the relay, which share the same engines.
 
     Attributes:
       entry: The entry process.
-      relay: The bare relay's process.
-      other_processes: Further processes of the VM by name.
-      routed: Where callers reach the entry.
-      bare: Where callers reach the bare relay.
-      engines: A prefill and a decode engine.
-      failures: Streams that weren't whole.
+      relay: The process of the bare relay.
+      other_processes: Other router processes of the VM, by name.
+      routed: Target that sends requests through the entry process.
+      bare: Target that sends requests through the bare relay.
+      engines: A prefill engine and a decode engine for direct calls.
+      failures: Streams that were refused or incomplete.
     """
 
     entry: psutil.Process
@@ -166,13 +167,13 @@
     )
 
     def warm_up(self) -> None:
-        """Lets leases grow and code paths be run before measuring."""
+        """Applies load so that leases grow and code paths are warm."""
         for _ in range(_WARM_UP_ROUNDS):
             self._round(self.routed)
         self._round(self.bare)
 
     def failed_streams(self) -> Figure:
-        """Counts the streams of all rounds that weren't whole."""
+        """Prints sample failures; counts refused or incomplete streams."""
         for failure in self.failures[:_MAX_SHOWN_FAILURES]:
             print(f"not whole: {failure}")
         return Figure(
@@ -195,8 +196,8 @@
     def _measure_cost(
         self, target: bench_load.Target, process: psutil.Process
     ) -> _Cost:
-        # The slope between short and long streams is what a chunk costs; the
-        # rest is what a request costs.
+        # The slope between short and long streams is the cost per chunk; the
+        # remainder is the fixed cost per request.
         seconds, events = [], []
         for tokens in (_SHORT_TOKENS, _LONG_TOKENS):
             before = _cpu_s(process)
@@ -209,7 +210,7 @@
         return _Cost(cpu_s_per_chunk, cpu_s_per_request)
 
     def chunk_cost(self) -> Figure:
-        """Compares the CPU time of a streamed chunk."""
+        """Compares the CPU time per streamed chunk of entry and relay."""
         bare, routed = [], []
         for _ in range(_COST_REPEATS):
             bare.append(self._measure_cost(self.bare, self.relay))
@@ -234,7 +235,7 @@
         )
 
     def added_latency(self) -> Figure:
-        """Compares the time to first token, one request at a time."""
+        """Compares the median time to first token of sequential requests."""
         routed_s, bare_s, direct_s = asyncio.run(self._median_ttfts())
         print(
             f"median time to first token: direct {_milliseconds(direct_s)}, "
@@ -264,7 +265,12 @@
         )
 
     def memory(self) -> list[Figure]:
-        """Watches memory over rounds of concurrent streams."""
+        """Measures resident memory over rounds of concurrent streams.
+
+        Returns:
+          The growth of the entry process between the two halves of the rounds,
+          and the final resident size of each process.
+        """
         sizes = []
         for _ in range(_ROUNDS):
             self._round(self.routed)
@@ -317,10 +323,10 @@
 
 
 def main() -> int:
-    """Runs the benchmark and prints its figures.
+    """Runs the benchmark and prints the report.
 
     Returns:
-      The exit code: 0 if every figure is within its bound.
+      The exit code: 0 if every value is within its limit.
     """
     relay = None
     with local_fleet.LocalFleet(_DOCUMENT) as fleet:
--- a/tools/bench_load.py
+++ b/tools/bench_load.py
@@ -1,4 +1,4 @@
-"""Callers of the benchmark: many streams at once, counted and timed."""
+"""Load generator of the benchmark: concurrent streams, counted and timed."""
 
 import asyncio
 import dataclasses
@@ -21,23 +21,23 @@
 _STATUS_LINE_OK = b"HTTP/1.1 200 "
 _LAST_CHUNK = b"0\r\n\r\n"
 _TIMEOUT_S = 120.0
-# Callers come one after the other, but soon enough that all overlap.
+# Staggers the starts, but closely enough that all streams overlap.
 _START_INTERVAL_S = 0.002
 
 
 class BenchError(Exception):
-    """Raised when a stream of the benchmark isn't whole."""
+    """Raised when a stream is refused, truncated or has missing tokens."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Target:
-    """Where streams are asked for.
+    """Server and request parameters of a benchmark stream.
 
     Attributes:
-      port: TCP port.
+      port: TCP port on the local host.
       key: API key.
-      model: Name of the service.
-      prompt: The prompt.
+      model: Name of the service, sent as the model.
+      prompt: Prompt of each request.
     """
 
     port: int
@@ -48,11 +48,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamResult:
-    """One whole stream.
+    """Timing and size of one complete stream.
 
     Attributes:
-      ttft_s: Time to the first token.
-      events: Tokens that came.
+      ttft_s: Time to first token in seconds.
+      events: Number of token events received.
     """
 
     ttft_s: float
@@ -78,17 +78,18 @@
 
 
 async def read_stream(target: Target, tokens: int) -> StreamResult:
-    """Asks for one stream and reads it to its end.
+    """Sends one streaming request and reads the response to its end.
 
     Args:
-      target: Where.
-      tokens: Tokens to ask for.
+      target: Server and request parameters.
+      tokens: Number of output tokens to request.
 
     Returns:
-      What came.
+      The timing and size of the stream.
 
     Raises:
-      BenchError: The stream isn't whole.
+      BenchError: The stream was refused, truncated or has missing tokens.
+      TimeoutError: The stream didn't end within the timeout.
     """
     reader, writer = await asyncio.open_connection(_HOST, target.port)
     started = time.perf_counter()
@@ -104,7 +105,8 @@
                     not tail and not chunk.startswith(_STATUS_LINE_OK)
                 ):
                     raise BenchError(f"no stream: {(tail + chunk)!r}")
-                # The end of what came before is kept, as a mark may be cut.
+                # The tail of earlier data is kept, as an event's prefix may be
+                # split between two reads.
                 counted = tail.count(_TOKEN_EVENT_START)
                 tail += chunk
                 events += tail.count(_TOKEN_EVENT_START) - counted
@@ -120,11 +122,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoundResult:
-    """Many streams at once.
+    """Result of a round of concurrent streams.
 
     Attributes:
-      events: Tokens that came.
-      failures: Why streams weren't whole, empty if all were.
+      events: Token events received on all complete streams.
+      failures: Errors of refused or incomplete streams.
     """
 
     events: int
@@ -132,15 +134,15 @@
 
 
 async def run_round(target: Target, streams: int, tokens: int) -> RoundResult:
-    """Reads many streams at once.
+    """Runs concurrent streams and waits for all of them.
 
     Args:
-      target: Where.
-      streams: How many.
-      tokens: Tokens to ask for, each.
+      target: Server and request parameters.
+      streams: Number of streams.
+      tokens: Output tokens to request for each stream.
 
     Returns:
-      What came.
+      The token events and the failures of the round.
     """
 
     async def delayed_stream(number: int) -> StreamResult:
@@ -165,12 +167,12 @@
 
 
 class DirectCaller:
-    """A caller that knows the engines itself, with nothing between.
+    """Client that calls the engines directly, as the latency baseline.
 
     Args:
-      prefill: The prefill engine.
-      decode: The decode engine.
-      prompt: The prompt.
+      prefill: Prefill engine to call.
+      decode: Decode engine to call.
+      prompt: Prompt of each request.
     """
 
     def __init__(
@@ -183,13 +185,13 @@
         self._request_numbers = itertools.count()
 
     async def ttft_s(self, tokens: int) -> float:
-        """Has an answer streamed.
+        """Runs one prefill and decode and reads the output to its end.
 
         Args:
-          tokens: Tokens to ask for.
+          tokens: Number of output tokens to request.
 
         Returns:
-          Time to the first token, seconds.
+          Time to first token in seconds.
         """
         request_id = f"bench.direct.x.{next(self._request_numbers)}.0"
         body = {"prompt": self._prompt, "max_tokens": tokens}
@@ -207,16 +209,17 @@
 async def interleaved_medians(
     callers: list[Callable[[], Awaitable[float]]], count: int
 ) -> list[float]:
-    """Times callers one at a time, so that nothing queues.
+    """Times callers sequentially, so that no request queues.
 
-    They take turns, so that a change of the machine's load meets all alike.
+    The callers take turns, so that a change in the machine's load affects all
+    of them alike.
 
     Args:
-      callers: Each returns a time in seconds.
-      count: Calls of each.
+      callers: Functions that each return a time in seconds.
+      count: Number of calls to each caller.
 
     Returns:
-      The median by caller.
+      The median time of each caller in seconds, in the order of `callers`.
     """
     times_by_caller: list[list[float]] = [[] for _ in callers]
     for _ in range(count):
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -1,7 +1,8 @@
-"""The bare tornado relay that the benchmark compares with.
+"""Minimal tornado relay that serves as the benchmark's baseline.
 
-It calls the same engines as the router, by tornado's own client, and passes
-on what comes: no identity, no settings, no slots, no checks, no cancels.
+The relay calls the same engines as the router through tornado's HTTP client and
+forwards the stream unchanged, without authentication, settings, slot leases,
+stream validation or cancellation.
 """
 
 import asyncio
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -1,11 +1,11 @@
-"""Checks that `from` imports name modules, not what modules contain."""
+"""Lint check: `from` imports must import modules, not their members."""
 
 import ast
 import importlib.util
 import pathlib
 import sys
 
-# Google's guide exempts these from the rule.
+# Exempt from the rule in the Google Python Style Guide.
 _EXEMPT = frozenset({"typing", "collections.abc", "__future__"})
 
 
@@ -35,13 +35,13 @@
 
 
 def main(folders: list[str]) -> int:
-    """Checks every Python file below the folders.
+    """Checks every Python file under the folders and prints violations.
 
     Args:
-      folders: Paths of folders.
+      folders: Paths of the folders, searched recursively.
 
     Returns:
-      The exit code: 0 if no import breaks the rule, else 1.
+      The exit code: 0 if no import violates the rule, else 1.
     """
     violations = []
     for folder in folders:
--- a/tools/child.py
+++ b/tools/child.py
@@ -1,7 +1,7 @@
-"""One child process of a tool or test, with its log read line by line.
+"""Child process of a tool or test, with its log output captured by line.
 
-The product's processes start no others; starting them is the platform's work,
-and on a developer's machine that of the tools.
+The router's own processes never start other processes: the platform starts them
+in production, and these tools do on a developer's machine.
 """
 
 import collections
@@ -18,17 +18,17 @@
 
 
 class ChildError(Exception):
-    """Raised when a child process ends or stays silent against expectation."""
+    """Raised when a child process ends early or misses an expected event."""
 
 
 def parse_line(line: str) -> dict[str, str]:
-    """Reads one key=value log line.
+    """Parses a log line of key=value pairs.
 
     Args:
-      line: The line.
+      line: The log line.
 
     Returns:
-      Values by key, without quotes.
+      The values by key, without surrounding quotes.
     """
     return {
         key: value.strip('"') for key, value in _KEY_VALUE_PAIR.findall(line)
@@ -36,12 +36,12 @@
 
 
 class Child:
-    """A running child process.
+    """Starts a Python module as a child process and captures its output.
 
     Args:
-      name: Name for messages.
+      name: Name of the process in error messages.
       module: Python module to run.
-      arguments: Its command line.
+      arguments: Command-line arguments of the module.
     """
 
     def __init__(self, name: str, module: str, arguments: list[str]) -> None:
@@ -64,18 +64,18 @@
 
     @property
     def pid(self) -> int:
-        """Process id."""
+        """Process ID of the child."""
         return self._popen.pid
 
     @property
     def lines(self) -> list[str]:
-        """The newest lines that the process has logged."""
+        """The latest output lines; older lines are discarded."""
         with self._output_changed:
             return list(self._lines)
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is still running."""
         return self._popen.poll() is None
 
     def _read(self) -> None:
@@ -93,26 +93,29 @@
     ) -> dict[str, str]:
         """Waits until the process has logged an event.
 
+        Lines that were logged before the call count too.
+
         Args:
           event: Value of the key `event`.
-          timeout_s: How long to wait at most.
-          **pairs: Further pairs that the line must hold.
+          timeout_s: Timeout in seconds.
+          **pairs: Other key=value pairs that the line must contain.
 
         Returns:
-          The line's pairs.
+          All pairs of the first matching line.
 
         Raises:
-          ChildError: The process ended, or the event didn't come in time.
+          ChildError: The process ended or the timeout expired before the event
+            was logged.
         """
         expected_pairs = {"event": event, **pairs}
-        end = time.monotonic() + timeout_s
+        deadline = time.monotonic() + timeout_s
         with self._output_changed:
             while True:
                 for line in self._lines:
                     line_pairs = parse_line(line)
                     if expected_pairs.items() <= line_pairs.items():
                         return line_pairs
-                remaining_s = end - time.monotonic()
+                remaining_s = deadline - time.monotonic()
                 if self._output_closed or remaining_s <= 0:
                     tail = "\n".join(list(self._lines)[-20:])
                     raise ChildError(
@@ -121,21 +124,21 @@
                 self._output_changed.wait(remaining_s)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal, if the process still runs."""
+        """Sends a signal if the process is still running."""
         if self.running:
             self._popen.send_signal(number)
 
     def wait(self, timeout_s: float = 30.0) -> int:
-        """Waits for the end.
+        """Waits until the process exits.
 
         Args:
-          timeout_s: How long to wait at most.
+          timeout_s: Timeout in seconds.
 
         Returns:
           The exit code.
 
         Raises:
-          ChildError: The process still runs after that time.
+          ChildError: The process is still running when the timeout expires.
         """
         try:
             return self._popen.wait(timeout_s)
@@ -144,7 +147,7 @@
             raise ChildError(f"{self.name} didn't end\n{tail}") from error
 
     def end(self) -> None:
-        """Kills the process, also when it is stopped, and reaps it."""
+        """Kills the process with SIGKILL, even if suspended, and reaps it."""
         if self.running:
             self._popen.kill()
         self._popen.wait()
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,7 +1,8 @@
-"""The demonstration behind `make run` and `make up`.
+"""Demonstration that `make run` and `make up` start.
 
-Starts the stand-ins and one VM's processes, sends a few requests of both
-users, prints what became of each, and stops everything.
+Starts the endpoint stand-ins and the processes of one VM. `run` sends example
+requests of two customers, prints each result and stops all processes; `up`
+keeps the processes running until it is interrupted.
 """
 
 import dataclasses
@@ -28,7 +29,7 @@
 
 
 class DemoError(Exception):
-    """Raised when a request doesn't end as it should."""
+    """Raised when an example request has an unexpected result."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -195,10 +196,10 @@
     """Runs the demonstration.
 
     Args:
-      arguments: `run` or `up`.
+      arguments: Command-line arguments, `run` or `up`.
 
     Returns:
-      The exit code.
+      The exit code: an error if a request or a process failed.
     """
     if arguments not in (["run"], ["up"]):
         print("usage: python -m tools.demo run|up")
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a mixed run: what breaks, and how it is mended."""
+"""Fault injection for runs under mixed traffic."""
 
 import dataclasses
 import random
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kill:
-    """A process crashes and is started again."""
+    """A process crashes and is restarted."""
 
     vm_id: str
     process: str
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Freeze:
-    """A process stands still and wakes later."""
+    """A process is suspended with SIGSTOP and resumed later."""
 
     vm_id: str
     process: str
@@ -59,14 +59,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Restart:
-    """A VM leaves gracefully and comes back."""
+    """A VM shuts down gracefully and restarts."""
 
     vm_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Misconduct:
-    """An endpoint misbehaves."""
+    """An endpoint's stand-in violates the protocol, fails or slows down."""
 
     endpoint_id: str
     conduct: dict
@@ -74,14 +74,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outage:
-    """The platform's service misbehaves."""
+    """The platform's stand-in is down, stale or returns invalid data."""
 
     mode: dict
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publication:
-    """An operator publishes a new revision."""
+    """An operator publishes a new revision of the settings."""
 
 
 Fault = Kill | Freeze | Restart | Misconduct | Outage | Publication
@@ -90,15 +90,15 @@
 def schedule(
     fleet: local_fleet.LocalFleet, seed: int, count: int
 ) -> list[tuple[Fault, ...]]:
-    """Draws rounds of one or two faults that come together.
+    """Draws a random schedule of rounds with one or two concurrent faults.
 
     Args:
-      fleet: The fleet, for the names of its parts.
-      seed: Seed of the draw.
-      count: Rounds.
+      fleet: Fleet whose VMs and endpoints the faults may hit.
+      seed: Random seed; the same seed gives the same schedule.
+      count: Number of rounds.
 
     Returns:
-      The rounds, in order.
+      The rounds in order, each with its faults.
     """
     rng = random.Random(f"faults/{seed}")
     return [
@@ -125,7 +125,7 @@
 
 
 def inject(fleet: local_fleet.LocalFleet, fault: Fault) -> None:
-    """Lets a fault come about."""
+    """Injects a fault into the fleet."""
     match fault:
         case Kill(vm_id, process):
             fleet.kill(f"{vm_id}.{process}")
@@ -146,7 +146,7 @@
 
 
 def clear(fleet: local_fleet.LocalFleet, fault: Fault) -> None:
-    """Ends a fault."""
+    """Clears a fault and restarts the processes that it ended."""
     match fault:
         case Kill(vm_id, process):
             fleet.restart_process(vm_id, process)
@@ -154,8 +154,9 @@
             fleet.signal(f"{vm_id}.{process}", signal.SIGCONT)
         case Restart(vm_id):
             for process in _PROCESSES:
-                # A process that crashed meanwhile has been started anew, and
-                # one that was frozen has to wake up to end.
+                # A process that crashed in the meantime was restarted and
+                # needs SIGTERM again; a suspended process has to be resumed
+                # before it can exit.
                 fleet.signal(f"{vm_id}.{process}", signal.SIGTERM)
                 fleet.signal(f"{vm_id}.{process}", signal.SIGCONT)
                 fleet.children_by_name[f"{vm_id}.{process}"].wait()
--- a/tools/fleet_document.py
+++ b/tools/fleet_document.py
@@ -1,4 +1,4 @@
-"""What the settings of a local fleet name, and its stand-ins' arguments."""
+"""Settings document of a local fleet: API keys, endpoints, stand-in flags."""
 
 import hashlib
 from typing import Any
@@ -12,8 +12,8 @@
     "kv_bytes_per_token",
 )
 _PLAIN = "plain"
-# Stand-ins move this part of the bytes at this part of the rate: a transfer
-# takes as long as at a real engine without a gigabyte through Python.
+# Scales both the KV cache size and the link rate of stand-ins, so a transfer
+# takes as long as on a real engine without copying gigabytes in Python.
 _BYTES_SCALE = 1 / 1024
 _SCALED_FLAGS = frozenset({"link_bytes_per_s", "kv_bytes_per_token"})
 
@@ -24,11 +24,11 @@
 
 
 def set_api_keys(users: dict[str, Any], parent: str = "") -> None:
-    """Gives all users the keys of `key_of`.
+    """Sets the key hash of each customer to that of its `key_of` key.
 
     Args:
-      users: Customers by name, as in the settings; changed in place.
-      parent: Id of the customer that has them as children.
+      users: Customers by name, as in the settings; modified in place.
+      parent: ID of the parent customer; empty at the top level.
     """
     for name, customer in users.items():
         path = f"{parent}/{name}" if parent else name
@@ -38,7 +38,7 @@
 
 
 def availability_zones(document: dict[str, Any]) -> list[str]:
-    """Lists the availability zones that settings name, each once."""
+    """Lists the distinct availability zones of all endpoints."""
     zones = []
     for pool in document["pools"].values():
         for endpoint in pool["endpoints"].values():
@@ -49,7 +49,7 @@
 
 
 def endpoint_ids(document: dict[str, Any], *kinds: str) -> list[str]:
-    """Lists the endpoints of some kinds."""
+    """Lists the IDs of all endpoints of the given kinds."""
     ids = []
     for pool in document["pools"].values():
         defaults = pool.get("endpoint_defaults", {})
@@ -62,12 +62,12 @@
 def standin_arguments(
     endpoint_id: str, fields: dict[str, Any], plain_call_s: float
 ) -> list[str]:
-    """Returns the arguments of an endpoint's stand-in.
+    """Returns the command-line arguments of an endpoint's stand-in.
 
     Args:
-      endpoint_id: The endpoint.
-      fields: Its fields in the settings, with their defaults.
-      plain_call_s: How long a plain service takes for a call.
+      endpoint_id: ID of the endpoint.
+      fields: The endpoint's settings, with the pool's defaults applied.
+      plain_call_s: Duration of a call to a plain service in seconds.
     """
     if fields["kind"] == _PLAIN:
         arguments = ["service", "--id", endpoint_id]
--- a/tools/http_calls.py
+++ b/tools/http_calls.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP calls of tools and tests, in the part of a caller."""
+"""Blocking HTTP client for tools and tests."""
 
 import dataclasses
 import http.client
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """An HTTP answer read to its end.
+    """HTTP response with its whole body.
 
     Attributes:
-      status: HTTP status.
-      headers: Headers by lower-case name.
-      body: The body's bytes.
+      status: HTTP status code.
+      headers: Header values by lower-case name.
+      body: Bytes of the body.
     """
 
     status: int
@@ -25,16 +25,16 @@
     body: bytes
 
     def json(self) -> Any:
-        """Returns the body as JSON."""
+        """Returns the body parsed as JSON."""
         return json.loads(self.body)
 
 
 class Stream:
-    """An answer that is read event by event, and may be dropped.
+    """Open HTTP response that is read event by event.
 
     Args:
-      connection: The connection that it comes over.
-      response: The open response.
+      connection: Connection of the response, closed by `disconnect`.
+      response: Response whose body is unread.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.status = response.status
 
     def events(self) -> Iterator[bytes]:
-        """Yields server-sent events, without their blank lines."""
+        """Yields each server-sent event without its terminating blank line."""
         lines: list[bytes] = []
         for line in self._response:
             if line.strip():
@@ -57,11 +57,11 @@
                 lines = []
 
     def read(self) -> bytes:
-        """Returns the rest of the answer."""
+        """Returns the unread rest of the body."""
         return self._response.read()
 
     def disconnect(self) -> None:
-        """Closes the connection, as a caller does that goes away."""
+        """Closes the connection, as a caller does that disconnects early."""
         self._response.close()
         self._connection.close()
 
@@ -90,16 +90,20 @@
     body: Any = None,
     headers: dict[str, str] | None = None,
 ) -> Answer:
-    """Calls a URL and reads the whole answer.
+    """Sends an HTTP request and reads the whole response.
 
     Args:
       method: HTTP method.
-      url: Whole URL.
-      body: Bytes, or something to send as JSON.
-      headers: Headers by name.
+      url: Absolute URL.
+      body: Bytes to send unchanged, any other value to send as JSON, or None.
+      headers: Request headers by name.
 
     Returns:
-      The answer.
+      The response, whatever its status.
+
+    Raises:
+      OSError: The connection failed or timed out.
+      http.client.HTTPException: The response is malformed or truncated.
     """
     connection, response = _send(method, url, body, headers)
     try:
@@ -112,14 +116,18 @@
 def open_stream(
     url: str, body: Any, headers: dict[str, str] | None = None
 ) -> Stream:
-    """Posts JSON and leaves the answer open.
+    """Sends a POST request with a JSON body and leaves the response unread.
 
     Args:
-      url: Whole URL.
-      body: Something to send as JSON.
-      headers: Headers by name.
+      url: Absolute URL.
+      body: Value to send as JSON.
+      headers: Request headers by name.
 
     Returns:
-      The stream; close it with `disconnect` unless it was read to its end.
+      The response; close it with `disconnect` unless it was read to its end.
+
+    Raises:
+      OSError: The connection failed or timed out.
+      http.client.HTTPException: The response is malformed.
     """
     return Stream(*_send("POST", url, body, headers))
--- a/tools/local_fleet.py
+++ b/tools/local_fleet.py
@@ -1,7 +1,8 @@
-"""The whole product on one machine: stand-ins and VMs' processes.
+"""Local fleet: endpoint stand-ins and all router processes on one machine.
 
-Used by the demonstration, the features and the benchmark. Ports are picked by
-the kernel and learnt from each process's log.
+The demonstration, the feature tests and the benchmark use the fleet. The kernel
+assigns the ports; the fleet reads them from the `started` event in each
+process's log.
 """
 
 import copy
@@ -25,14 +26,14 @@
 
 @dataclasses.dataclass(slots=True)
 class LocalVm:
-    """A VM of the local fleet.
+    """VM of the local fleet, a group of processes on this machine.
 
     Attributes:
-      id: Its id.
-      availability_zone: Where it is said to be.
-      state: `live` or `leaving`, as the VM list will say.
+      id: ID of the VM.
+      availability_zone: Availability zone in the VM list.
+      state: `live` or `leaving`, the state to publish in the VM list.
       ports_by_process: Peer ports by process name, e.g. `settings`, `e0`.
-      public_port: Port for callers.
+      public_port: Port that the VM's entry processes share for callers.
     """
 
     id: str
@@ -47,21 +48,22 @@
 
 
 class LocalFleet:
-    """Starts, disturbs and ends processes of one local fleet.
+    """Starts, signals and stops the processes of one local fleet.
 
-    A context manager; on exit it kills what it has started.
+    The fleet is a context manager that kills all its processes on exit.
 
     Args:
       document: Settings, as in examples/; hosts, ports and keys are replaced.
-      entries: Entry processes a VM.
-      drain_notice_s: How long a draining entry still takes connections.
-      plain_call_s: How long a plain service takes for a call.
+      entries: Number of entry processes per VM.
+      drain_notice_s: Seconds for which a draining entry process still accepts
+        connections.
+      plain_call_s: Duration of a call to a plain service in seconds.
 
     Attributes:
-      document: The settings last published.
-      vms_by_id: The VMs.
-      children_by_name: The processes: `platform`, an endpoint's id, or
-        `<vm>.<process>`.
+      document: Current settings, sent by `publish`.
+      vms_by_id: VMs by ID.
+      children_by_name: Child processes by name: `platform`, an endpoint's ID,
+        or `<vm>.<process>`.
     """
 
     def __init__(
@@ -92,10 +94,10 @@
     # --- Starting ---------------------------------------------------------
 
     def start(self, vms: int = 1) -> None:
-        """Starts stand-ins and VMs and waits until all are ready.
+        """Starts the stand-ins and the VMs and waits until all VMs are ready.
 
         Args:
-          vms: How many entry VMs.
+          vms: Number of VMs, spread over the availability zones in turn.
         """
         self.start_platform()
         self.start_endpoints()
@@ -108,7 +110,7 @@
             self.wait_until_ready(vm_id)
 
     def start_platform(self) -> None:
-        """Starts the platform's stand-in."""
+        """Starts the platform's stand-in; a restart reuses its port."""
         process = self._start_child(
             "platform",
             "cowsliprill.standins",
@@ -118,7 +120,7 @@
         self._platform_port = int(started["port"])
 
     def start_endpoints(self) -> None:
-        """Starts a stand-in for each endpoint and notes its address."""
+        """Starts a stand-in per endpoint and sets its address in `document`."""
         for pool in self.document["pools"].values():
             defaults = pool.get("endpoint_defaults", {})
             for endpoint_id, endpoint in pool["endpoints"].items():
@@ -137,14 +139,14 @@
         fleet_document.set_api_keys(self.document["users"])
 
     def start_vm(self, vm_id: str, availability_zone: str) -> LocalVm:
-        """Starts a VM's processes; the VM list is not told.
+        """Starts the processes of a VM without publishing the VM list.
 
         Args:
-          vm_id: Id of the VM, may be one that was used before.
-          availability_zone: Where it is said to be.
+          vm_id: ID of the VM; a previously used ID replaces the earlier VM.
+          availability_zone: Availability zone of the VM.
 
         Returns:
-          The VM.
+          The VM, with the ports of its processes.
         """
         vm = LocalVm(vm_id, availability_zone)
         peers = [
@@ -160,7 +162,7 @@
             vm_list_url=f"{platform}/v1/vms",
             boot_peers=peers,
         )
-        # The first entry must be there before the others can share its port.
+        # The first entry process must bind the public port before others share it.
         for names in self._start_order():
             for name in names:
                 self._launch_process(vm, name)
@@ -175,25 +177,25 @@
     def start_process(
         self, vm: LocalVm, name: str, **extra_fields: Any
     ) -> None:
-        """Starts one process of a VM and waits for its ports.
+        """Starts one process of a VM and waits until it reports its ports.
 
         Args:
-          vm: The VM.
+          vm: VM that the process belongs to.
           name: `settings`, `dispatch`, or `e<number>`.
-          **extra_fields: Further fields of the process's file.
+          **extra_fields: Additional fields of the process's config file.
         """
         self._launch_process(vm, name, **extra_fields)
         self._record_ports(vm, name)
 
     def restart_process(self, vm_id: str, name: str) -> None:
-        """Starts a process anew on the ports that it had before.
+        """Restarts a process on its previous ports, with retries.
 
         Args:
-          vm_id: The VM.
+          vm_id: ID of the VM.
           name: `settings`, `dispatch`, or `e<number>`.
 
         Raises:
-          ChildError: It didn't start, also when tried again.
+          ChildError: The process didn't start on any attempt.
         """
         vm = self.vms_by_id[vm_id]
         path = self._config_path(vm, name)
@@ -207,8 +209,8 @@
             try:
                 self._record_ports(vm, name)
             except child.ChildError:
-                # While the process was away, the kernel may have lent its port
-                # to some connection for a moment.
+                # While the process was down, the kernel may have assigned its
+                # port to an outgoing connection for a short time.
                 if attempt == _MAX_START_ATTEMPTS - 1:
                     raise
                 time.sleep(_START_RETRY_DELAY_S)
@@ -262,14 +264,14 @@
         """Publishes settings through the platform's stand-in.
 
         Args:
-          document: New settings; None publishes the present ones.
+          document: New settings; None publishes the current document.
         """
         if document is not None:
             self.document = document
         self.platform("PUT", "/standin/document", self.document)
 
     def publish_vms(self) -> None:
-        """Publishes the VM list, the endpoints' VMs included."""
+        """Publishes the list of all VMs through the platform's stand-in."""
         vms = [self._vm_list_entry(vm) for vm in self.vms_by_id.values()]
         self.platform("PUT", "/standin/vms", vms)
 
@@ -291,15 +293,18 @@
         }
 
     def platform(self, method: str, path: str, body: Any = None) -> Any:
-        """Calls the platform's stand-in.
+        """Sends a request to the platform's stand-in.
 
         Args:
           method: HTTP method.
-          path: Path with query.
-          body: Sent as JSON.
+          path: Path and query of the URL.
+          body: Value to send as JSON.
 
         Returns:
-          The answer's JSON, None if it has none.
+          The response body parsed as JSON, or None if the body is empty.
+
+        Raises:
+          ChildError: The response has a status of 300 or above.
         """
         url = f"http://{HOST}:{self._platform_port}{path}"
         return self._checked_json(http_calls.call(method, url, body))
@@ -307,7 +312,20 @@
     def standin(
         self, endpoint_id: str, method: str, path: str, body: Any = None
     ) -> Any:
-        """Calls an endpoint's stand-in; arguments as for `platform`."""
+        """Sends a request to an endpoint's stand-in.
+
+        Args:
+          endpoint_id: ID of the endpoint.
+          method: HTTP method.
+          path: Path and query of the URL.
+          body: Value to send as JSON.
+
+        Returns:
+          The response body parsed as JSON, or None if the body is empty.
+
+        Raises:
+          ChildError: No such endpoint, or a status of 300 or above.
+        """
         url = f"{self.endpoint_url(endpoint_id)}{path}"
         return self._checked_json(http_calls.call(method, url, body))
 
@@ -316,14 +334,18 @@
             raise child.ChildError(f"{response.status}: {response.body!r}")
         return response.json() if response.body else None
 
-    # --- Looking ----------------------------------------------------------
+    # --- Addresses and readiness ------------------------------------------
 
     def availability_zones(self) -> list[str]:
-        """Lists the availability zones that the settings name."""
+        """Lists the distinct availability zones of the endpoints."""
         return fleet_document.availability_zones(self.document)
 
     def endpoint_url(self, endpoint_id: str) -> str:
-        """Returns the URL of an endpoint's stand-in."""
+        """Returns the URL of an endpoint's stand-in.
+
+        Raises:
+          ChildError: The settings have no such endpoint.
+        """
         for pool in self.document["pools"].values():
             if endpoint_id in pool["endpoints"]:
                 port = pool["endpoints"][endpoint_id]["port"]
@@ -331,35 +353,37 @@
         raise child.ChildError(f"no endpoint {endpoint_id}")
 
     def endpoint_ids(self, *kinds: str) -> list[str]:
-        """Lists the endpoints of some kinds."""
+        """Lists the IDs of all endpoints of the given kinds."""
         return fleet_document.endpoint_ids(self.document, *kinds)
 
     def url(self, vm_id: str = "vm-0") -> str:
-        """Returns the URL that callers use on a VM."""
+        """Returns the public URL of a VM for callers."""
         return f"http://{HOST}:{self.vms_by_id[vm_id].public_port}"
 
     def peer_url(self, vm_id: str, process: str) -> str:
-        """Returns the URL of a process for peers and operators."""
+        """Returns the URL on which a process serves peers and operators."""
         port = self.vms_by_id[vm_id].ports_by_process[process]
         return f"http://{HOST}:{port}"
 
     def wait_until_ready(self, vm_id: str) -> None:
-        """Waits until all processes of a VM are ready."""
+        """Waits until all processes of a VM have logged `ready`."""
         for name in self.vms_by_id[vm_id].ports_by_process:
             self.children_by_name[f"{vm_id}.{name}"].wait_for_event("ready")
 
-    # --- Disturbing -------------------------------------------------------
+    # --- Signals and shutdown ---------------------------------------------
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Sends a process a signal."""
+        """Sends a signal to a process."""
         self.children_by_name[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kills a process as a crash does, and reaps it."""
+        """Kills a process with SIGKILL, like a crash, and reaps it."""
         self.children_by_name[name].end()
 
     def stop(self) -> dict[str, int]:
-        """Stops everything gracefully, callers' side first.
+        """Stops all processes with SIGTERM: each VM's, then the stand-ins.
+
+        Within a VM the entry processes, which serve callers, stop first.
 
         Returns:
           Exit codes by process name.
--- a/tools/mixed_run.py
+++ b/tools/mixed_run.py
@@ -1,6 +1,7 @@
-"""Both users' traffic over several VMs while a seeded schedule of faults runs.
+"""Fault-injection test: mixed traffic over several VMs under random faults.
 
-`python -m tools.mixed_run SEED...` runs seeds and prints what was untrue.
+`python -m tools.mixed_run SEED...` runs each seed and prints its faults, the
+outcomes of the calls and the violated invariants.
 """
 
 import collections
@@ -18,22 +19,23 @@
 _CALLERS = 8
 _REQUESTS_PER_CALLER = 16
 _ROUNDS = 10
-# A round's faults are mended after this many further requests, or, since a
-# frozen process may keep all callers waiting, after this many seconds.
+# The faults of a round are cleared after this many further requests, or after
+# this many seconds, since a suspended process may block all callers.
 _REQUESTS_PER_ROUND = 10
 _MAX_ROUND_S = 3.0
-# Long enough for a fault to meet a call that is running.
+# Long enough for faults to hit calls in progress.
 _PLAIN_CALL_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a mixed run found.
+    """Result of a run.
 
     Attributes:
-      rounds: The faults.
-      outcomes: Calls by kind, end and code.
-      faults: A sentence for each thing that was untrue or left behind.
+      rounds: Injected faults by round.
+      outcomes: Number of calls by request kind, result and error code.
+      faults: Messages about violated invariants, such as a wrong response or a
+        resource that wasn't released.
     """
 
     rounds: list[tuple[faults.Fault, ...]]
@@ -45,10 +47,10 @@
     """Runs one seed against real processes.
 
     Args:
-      seed: Seed of traffic and faults.
+      seed: Random seed of the traffic and the faults.
 
     Returns:
-      What was found.
+      The injected faults, the outcomes and the violated invariants.
     """
     document = small_site.document()
     with local_fleet.LocalFleet(document, plain_call_s=_PLAIN_CALL_S) as fleet:
@@ -103,7 +105,7 @@
 
 
 def _revision_decreases(name: str, process: child.Child) -> list[str]:
-    """The revision in force never falls in any process's own log."""
+    """Finds log lines where a process puts an older revision into force."""
     highest = 0
     decreases = []
     for line in process.lines:
@@ -124,13 +126,13 @@
 
 
 def main(seeds: list[str]) -> int:
-    """Runs seeds.
+    """Runs each seed and prints its report.
 
     Args:
-      seeds: Seeds as decimal numbers.
+      seeds: Random seeds as decimal numbers.
 
     Returns:
-      The exit code: 0 if nothing was found.
+      The exit code: 0 if no invariant was violated.
     """
     failed = False
     for seed in seeds:
--- a/tools/own_site.py
+++ b/tools/own_site.py
@@ -1,10 +1,10 @@
-"""Draws a deployment of our own: a users' site file with other figures.
+"""Derives a deployment from an existing site file by changing some values.
 
     python -m tools.own_site BASE deploy/sites/NAME.toml FOLDER
 
-BASE stays where it is, as it is the users'. What is ours is how the new one
-differs: its name, its engines, and the sizes of prompts and answers. The file,
-and the names on the wire that lie beside BASE, are written into FOLDER.
+BASE, a site file that the users supply, is only read. The second file lists the
+differences: the name, the engines, and the sizes of prompts and outputs. The
+new site file, and the file of wire names next to BASE, are written to FOLDER.
 """
 
 import pathlib
@@ -22,13 +22,16 @@
 def with_changes(
     site: dict[str, Any], changes: dict[str, Any]
 ) -> dict[str, Any]:
-    """Returns a deployment with other engines and sizes.
+    """Returns a copy of a deployment with other engines and stream sizes.
 
     Args:
-      site: The users' site file.
-      changes: `name`; `engine` with `count` (engines a zone), `slots` and
-        `llm`; `streams` with `prompt_tokens` and `pieces`, each a table of
-        fields.
+      site: Parsed site file to start from.
+      changes: `name`; `engine` with `count` (engines per availability zone),
+        `slots` and `llm`; `streams` with `prompt_tokens` and `pieces`, each a
+        table of fields.
+
+    Returns:
+      The changed site.
     """
     services = [
         _service_with_changes(service, changes["engine"])
@@ -73,7 +76,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Writes the site file; returns the exit code."""
+    """Writes the new site file, prints its path and returns the exit code."""
     if len(arguments) != 3:
         print(_USAGE, file=sys.stderr)
         return 2
--- a/tools/small_site.py
+++ b/tools/small_site.py
@@ -1,4 +1,4 @@
-"""A small form of the example settings, for tests with real processes."""
+"""Reduced example settings for tests that start real processes."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 
 
 def document() -> dict[str, Any]:
-    """Returns both users' settings with few and quick engines."""
+    """Returns the example settings with fewer endpoints and faster decoding."""
     settings = json.loads(_EXAMPLE.read_text(encoding="utf-8"))
     for pool in settings["pools"].values():
         pool["endpoints"] = _limit_endpoints(pool["endpoints"])
--- a/tools/test_all.py
+++ b/tools/test_all.py
@@ -1,4 +1,4 @@
-"""Runs the unit tests and the features, and prints one closing count."""
+"""Runs the unit tests and the feature tests and prints the total counts."""
 
 import os
 import pathlib
@@ -11,7 +11,7 @@
 _UNIT_REPORT = pathlib.Path("build/unit.xml")
 _FEATURE_REPORTS = pathlib.Path("build/features")
 _FEATURES = pathlib.Path("features")
-# Features mostly wait for processes, so a few at once cost little.
+# Feature tests mostly wait for processes, so running several is cheap.
 _MAX_CONCURRENT_RUNS = 4
 _KNOWN_RED = pathlib.Path("KNOWN-RED.txt")
 _KNOWN_RED_MAX = 3
@@ -29,7 +29,7 @@
 
 
 def _commands() -> list[list[str]]:
-    """Returns the runs: the unit tests, then each feature by itself."""
+    """Returns the commands: one for all unit tests, one per feature file."""
     python = [sys.executable, "-m"]
     unit = [*python, "pytest", f"--junitxml={_UNIT_REPORT}"]
     behave = [*python, "behave", "--format", "progress", "--no-summary"]
@@ -62,7 +62,7 @@
 
 
 def main() -> int:
-    """Runs everything and prints the line `N passed, N failed`.
+    """Runs all tests and prints the closing line `N passed, N failed`.
 
     Returns:
       The exit code: 0 if every test passed or is listed as known to fail.
@@ -89,7 +89,7 @@
     for name in failed:
         print("known to fail:" if name in known_failures else "failed:", name)
     print(f"{len(outcomes) - len(failed)} passed, {len(failed)} failed")
-    # A runner that died before it wrote its report must not look like success.
+    # A runner that crashed before it wrote its report must count as a failure.
     crashed = any(exit_codes) and not failed
     return 1 if unexpected or crashed or not outcomes else 0
 
--- a/tools/traffic.py
+++ b/tools/traffic.py
@@ -1,4 +1,4 @@
-"""Both users' traffic for tests under faults, with a record of each outcome."""
+"""Random traffic of several customers that records each call's outcome."""
 
 import dataclasses
 import enum
@@ -23,7 +23,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What is asked for."""
+    """Kind of request, named after the service."""
 
     BRIEF = "brief"
     SUMMARY = "summary"
@@ -35,8 +35,9 @@
 class End(enum.StrEnum):
     """How one HTTP call ended.
 
-    BROKEN is a connection that was lost, as a caller sees a killed process;
-    DROPPED a call that the caller left.
+    WHOLE is a complete response and REFUSED an error response. BROKEN is a
+    connection that was lost or a truncated stream, as when a process is killed.
+    DROPPED is a call from which the caller disconnected.
     """
 
     WHOLE = "whole"
@@ -47,17 +48,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
-    """What one HTTP call came to.
+    """Outcome of one HTTP call.
 
     Attributes:
-      vm_id: The VM that was called.
-      end: How it ended.
-      status: HTTP status, 0 without one.
-      code: The error's code, empty if none.
-      run: `no` or `unknown` for an error.
-      retry_after: Whether a time to come back was given.
-      text: The answer's text.
-      replayed: Whether it repeats the answer of an earlier call.
+      vm_id: ID of the VM that was called.
+      end: How the call ended.
+      status: HTTP status code; 0 if no response was received.
+      code: Error code; empty if there was no error.
+      run: For an error, whether the request was executed: `no` or `unknown`.
+      retry_after: Whether the error suggests a delay before a retry.
+      text: Text of the response or stream.
+      replayed: Whether the response is a stored one of an earlier call.
     """
 
     vm_id: str
@@ -72,12 +73,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RequestRecord:
-    """One thing that a caller wants, and the calls it made for it.
+    """One logical request of a caller, with the outcomes of all its calls.
 
     Attributes:
-      kind: What it is.
-      body: Text that no other request has.
-      outcomes: Its calls, in order.
+      kind: Kind of request.
+      body: Unique text that identifies the request at the endpoint.
+      outcomes: Outcomes of the calls, in the order in which they ended.
     """
 
     kind: Kind
@@ -86,13 +87,16 @@
 
 
 class Traffic:
-    """Callers that send requests one after the other, each in a thread.
+    """Concurrent callers, each a thread that sends its requests in sequence.
 
     Args:
-      fleet: Where to.
-      seed: Seed of what is asked for.
-      callers: Callers at the same time.
-      requests: Requests of each caller.
+      fleet: Fleet to send requests to.
+      seed: Random seed of the requests.
+      callers: Number of concurrent callers.
+      requests: Number of requests per caller.
+
+    Attributes:
+      total: Number of requests of all callers.
     """
 
     def __init__(
@@ -120,32 +124,32 @@
         self.total = callers * requests
 
     def start(self) -> None:
-        """Starts the callers."""
+        """Starts the caller threads."""
         for thread in self._threads:
             thread.start()
 
     def wait_for(self, ended: int, timeout_s: float) -> None:
-        """Waits until so many requests have ended, or for so long."""
+        """Waits until `ended` requests have ended or the timeout expires."""
         with self._progress:
             self._progress.wait_for(
                 lambda: self._ended_count >= ended, timeout_s
             )
 
     def stop(self) -> None:
-        """Lets each caller end after its present request."""
+        """Makes each caller stop after its current request."""
         self._stopping = True
 
     @property
     def ended(self) -> int:
-        """Requests that have ended."""
+        """Number of requests that have ended."""
         with self._progress:
             return self._ended_count
 
     def finish(self) -> list[RequestRecord]:
-        """Waits for all callers.
+        """Waits until all callers have stopped.
 
         Returns:
-          All that was asked.
+          The records of all requests sent.
         """
         for thread in self._threads:
             thread.join()
@@ -190,7 +194,7 @@
                 self._call_with_ticket(record, "pickup", _COURIER_CUSTOMER, rng)
 
     def _random_live_vm(self, rng: random.Random) -> str:
-        # As the platform's balancer does: only VMs that aren't leaving.
+        # Like the platform's load balancer, skips VMs that are leaving.
         live = [
             vm.id for vm in self._fleet.vms_by_id.values() if vm.state == "live"
         ]
@@ -260,10 +264,10 @@
         customer: str,
         rng: random.Random,
     ) -> None:
-        """Gets a ticket and calls until there is an answer, at any VM.
+        """Gets a ticket and calls random VMs until one returns a response.
 
-        Some callers don't wait for the first call's end, and send a second
-        one elsewhere at the same time.
+        Some callers send a duplicate call with the same ticket concurrently,
+        to a VM that is drawn independently. Attempts are limited.
         """
         ticket = self._ticket(service, customer, rng)
         if ticket is None:
--- a/tools/truth.py
+++ b/tools/truth.py
@@ -1,6 +1,7 @@
-"""The naive reference of a run under faults.
+"""Invariant checks of a run under faults.
 
-Compares what callers were told with what the endpoints say that they ran.
+Compares the responses that callers received with the executions that the
+endpoint stand-ins recorded.
 """
 
 import collections
@@ -23,11 +24,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Executions:
-    """What the plain services ran.
+    """Executions that the stand-ins of plain services recorded.
 
     Attributes:
-      counts_by_digest: Runs by the body's SHA-256 digest.
-      counts_by_path: Runs by path.
+      counts_by_digest: Number of executions by SHA-256 digest of the body.
+      counts_by_path: Number of executions by request path.
     """
 
     counts_by_digest: collections.Counter
@@ -35,7 +36,7 @@
 
 
 def plain_runs(fleet: local_fleet.LocalFleet) -> Executions:
-    """Reads the journals of all plain services."""
+    """Reads the execution journals of all plain services' stand-ins."""
     by_digest: collections.Counter = collections.Counter()
     by_path: collections.Counter = collections.Counter()
     for endpoint_id in fleet.endpoint_ids("plain"):
@@ -47,14 +48,14 @@
 
 
 def lies(record: traffic.RequestRecord, run: Executions) -> list[str]:
-    """Finds what is wrong with the answers to one request.
+    """Finds the invariants that the outcomes of one request violate.
 
     Args:
       record: The request with its outcomes.
-      run: What the plain services ran.
+      run: Executions that the plain services recorded.
 
     Returns:
-      A sentence for each fault, none if all is well.
+      A message for each violation.
     """
     found = []
     for outcome in record.outcomes:
@@ -80,7 +81,7 @@
 
 
 def expected_text(prompt: str) -> str:
-    """Returns the text with which an engine's stand-in answers a prompt."""
+    """Returns the output that an engine's stand-in generates for a prompt."""
     digest = xxhash.xxh3_64_hexdigest(prompt.encode())[:8]
     return "".join(
         f" {digest}-{number}" for number in range(1, _OUTPUT_TOKENS + 1)
@@ -129,13 +130,15 @@
 def wait_until_nothing_is_held(
     fleet: local_fleet.LocalFleet,
 ) -> dict[str, dict[str, int]]:
-    """Waits until no engine holds anything for a request.
+    """Waits until the engines have released all resources, or a timeout.
+
+    Resources are slots, KV cache blocks and exported KV caches.
 
     Args:
-      fleet: The fleet; no caller is left.
+      fleet: The fleet, with no requests in progress.
 
     Returns:
-      What is still held after the bound, by engine; empty if nothing.
+      The resources still held at the timeout, by engine ID; empty if none.
     """
     end = time.monotonic() + _RELEASE_TIMEOUT_S
     while True:
