--- a/tools/local_fleet.py
+++ b/tools/local_fleet.py
@@ -162,7 +162,7 @@
             vm_list_url=f"{platform}/v1/vms",
             boot_peers=peers,
         )
-        # The first entry process must bind the public port before others share it.
+        # The first entry process must bind the port before others can share it.
         for names in self._start_order():
             for name in names:
                 self._launch_process(vm, name)
