--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -98,7 +98,7 @@
         if arguments.bench is None or not arguments.site:
             print("ablate: --bench and --site are needed", file=sys.stderr)
             return 2
-        asyncio.run(_play_all(arguments))
+        asyncio.run(_run_all(arguments))
     for line in table(read(arguments.results)):
         print(line)
     return 0
@@ -178,7 +178,7 @@
     return lines
 
 
-async def _play_all(arguments: Ablate) -> None:
+async def _run_all(arguments: Ablate) -> None:
     names = [item.value for item in mechanisms.Mechanism]
     variants = [_BASELINE, *(_split_names(arguments.off) or names)]
     arguments.results.parent.mkdir(parents=True, exist_ok=True)
@@ -187,7 +187,7 @@
     for variant in variants:
         copy = _clone_sources(variant)
         plays += [
-            _play(arguments, slots, variant, copy, site, day, seed)
+            _run_day(arguments, slots, variant, copy, site, day, seed)
             for site in arguments.site
             for day in _split_names(arguments.days) or _days(site)
             for seed in _split_names(arguments.seeds) or [""]
@@ -195,7 +195,7 @@
     await asyncio.gather(*plays)
 
 
-async def _play(
+async def _run_day(
     arguments: Ablate,
     slots: asyncio.Semaphore,
     variant: str,
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -169,8 +169,8 @@
     def warm_up(self) -> None:
         """Applies load so that leases grow and code paths are warm."""
         for _ in range(_WARM_UP_ROUNDS):
-            self._round(self.routed)
-        self._round(self.bare)
+            self._run_round(self.routed)
+        self._run_round(self.bare)
 
     def failed_streams(self) -> Figure:
         """Prints sample failures; counts refused or incomplete streams."""
@@ -183,7 +183,7 @@
             lambda value: f"{value:.0f}",
         )
 
-    def _round(
+    def _run_round(
         self,
         target: bench_load.Target,
         streams: int = _STREAMS,
@@ -201,7 +201,9 @@
         seconds, events = [], []
         for tokens in (_SHORT_TOKENS, _LONG_TOKENS):
             before = _cpu_s(process)
-            events.append(self._round(target, _COST_CONCURRENT_STREAMS, tokens))
+            events.append(
+                self._run_round(target, _COST_CONCURRENT_STREAMS, tokens)
+            )
             seconds.append(_cpu_s(process) - before)
         cpu_s_per_chunk = (seconds[1] - seconds[0]) / (events[1] - events[0])
         cpu_s_per_request = (
@@ -273,7 +275,7 @@
         """
         sizes = []
         for _ in range(_ROUNDS):
-            self._round(self.routed)
+            self._run_round(self.routed)
             sizes.append(self.entry.memory_info().rss)
         half = _ROUNDS // 2
         growth = statistics.median(sizes[half:]) - statistics.median(
--- a/tools/truth.py
+++ b/tools/truth.py
@@ -47,12 +47,12 @@
     return Executions(by_digest, by_path)
 
 
-def lies(record: traffic.RequestRecord, run: Executions) -> list[str]:
+def lies(record: traffic.RequestRecord, executions: Executions) -> list[str]:
     """Finds the invariants that the outcomes of one request violate.
 
     Args:
       record: The request with its outcomes.
-      run: Executions that the plain services recorded.
+      executions: Executions that the plain services recorded.
 
     Returns:
       A message for each violation.
@@ -63,7 +63,7 @@
         if outcome.end is traffic.End.WHOLE:
             found.extend(_output_violations(record, outcome))
     if record.kind not in _MODEL_KINDS:
-        found.extend(_execution_violations(record, run))
+        found.extend(_execution_violations(record, executions))
     return [f"{record.body}: {problem}" for problem in found]
 
 
@@ -105,13 +105,13 @@
 
 
 def _execution_violations(
-    record: traffic.RequestRecord, run: Executions
+    record: traffic.RequestRecord, executions: Executions
 ) -> list[str]:
     if record.kind is traffic.Kind.LOOKUP:
-        execution_count = run.counts_by_path[f"/{record.body}"]
+        execution_count = executions.counts_by_path[f"/{record.body}"]
     else:
         digest = hashlib.sha256(record.body.encode()).hexdigest()
-        execution_count = run.counts_by_digest[digest]
+        execution_count = executions.counts_by_digest[digest]
     problems = []
     if record.kind in _NON_IDEMPOTENT_KINDS and execution_count > 1:
         problems.append(f"unrepeatable, yet run {execution_count} times")
