--- a/tools/traffic.py
+++ b/tools/traffic.py
@@ -35,8 +35,9 @@
 class End(enum.StrEnum):
     """How one HTTP call ended.
 
-    `WHOLE` is a complete response. `REFUSED` is an error response. `BROKEN` is
-    a lost connection or a truncated stream, as when a process is killed.
+    `WHOLE` is a complete response. `REFUSED` is an error response.
+    `BROKEN` is a lost connection or a truncated stream, as when a process is
+    killed.
     `DROPPED` is a call from which the caller disconnected.
     """
 
