--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,8 +1,9 @@
-"""`make bench`: what the whole path costs, beside a bare tornado relay.
+"""Benchmark of the router's overhead against a minimal tornado relay.
 
-One run starts the stand-ins, one VM's processes and the bare relay, and puts
-the same load on both. Figures are ratios or differences within this run, as
-the machine's speed isn't ours.
+`make bench` starts the endpoint stand-ins, the processes of one VM and the
+relay, and puts the same load on the router and the relay. Time limits apply to
+ratios or differences within one run, so they don't depend on the machine's
+speed.
 """
 
 import asyncio
@@ -21,28 +22,28 @@
 from tools import local_fleet
 
 _STREAMS = 200
-# Few enough that neither side comes near a whole core: a busy process finds
-# several chunks at once in a socket and then seems cheap.
-_COST_STREAMS = 80
+# Keeps both processes well below one full core: a saturated process reads
+# several chunks per socket read, which understates its cost per chunk.
+_COST_CONCURRENT_STREAMS = 80
 _SHORT_TOKENS = 20
 _LONG_TOKENS = 120
 _ROUNDS = 10
-_PAIRS = 3
-# The allocator reaches its plateau only after some rounds of full load.
+_COST_REPEATS = 3
+# Allocator memory levels off only after several rounds at full load.
 _WARM_UP_ROUNDS = 8
-_SEQUENTIAL = 100
-_FEW_TOKENS = 2
-_SHOWN_FAILURES = 3
+_SEQUENTIAL_REQUESTS = 100
+_TTFT_TOKENS = 2
+_MAX_SHOWN_FAILURES = 3
 _MIB = 1024 * 1024
 _USER = "bench"
 _SERVICE = "bench"
 _PROMPT = "A short question. " * 4
 
-_MAX_RATIO = 1.5
-_MAX_ADDED_S = 0.003
-_MAX_RESIDENT = 64 * _MIB
-# A round that grows by less than this is the allocator's noise.
-_MAX_GROWTH = 1 * _MIB
+_MAX_CHUNK_COST_RATIO = 1.5
+_MAX_ADDED_TTFT_S = 0.003
+_MAX_RESIDENT_BYTES = 64 * _MIB
+# Growth below this is allocator noise.
+_MAX_GROWTH_BYTES = 1 * _MIB
 
 _DOCUMENT = {
     "revision": 1,
@@ -88,26 +89,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figure:
-    """One measured figure and its bound.
+    """One measured value and its upper limit.
 
     Attributes:
-      name: What was measured.
-      value: The figure.
-      bound: What it must not exceed.
-      show: Writes a value for people.
+      name: Label of the value in the report.
+      value: Measured value.
+      limit: Largest value that passes.
+      format_value: Formats a value with its unit for the report.
     """
 
     name: str
     value: float
-    bound: float
-    show: Callable[[float], str]
+    limit: float
+    format_value: Callable[[float], str]
 
     def line(self) -> str:
-        """Returns the figure as a line of the report."""
-        verdict = "within" if self.value <= self.bound else "MISSED"
+        """Returns the line of the report: name, value, limit and verdict."""
+        verdict = "within" if self.value <= self.limit else "MISSED"
         return (
-            f"{self.name:<52} {self.show(self.value):>10}"
-            f"  bound {self.show(self.bound):>9}  {verdict}"
+            f"{self.name:<52} {self.format_value(self.value):>10}"
+            f"  bound {self.format_value(self.limit):>9}  {verdict}"
         )
 
 
@@ -130,34 +131,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Cost:
-    chunk_s: float
-    request_s: float
+    cpu_s_per_chunk: float
+    cpu_s_per_request: float
 
 
 def _median_cost(costs: list[_Cost]) -> _Cost:
     return _Cost(
-        statistics.median(cost.chunk_s for cost in costs),
-        statistics.median(cost.request_s for cost in costs),
+        statistics.median(cost.cpu_s_per_chunk for cost in costs),
+        statistics.median(cost.cpu_s_per_request for cost in costs),
     )
 
 
 @dataclasses.dataclass(slots=True)
 class Bench:
-    """The processes under measurement.
+    """Measures the router and the relay, which share the same engines.
 
     Attributes:
       entry: The entry process.
-      relay: The bare relay's process.
-      others: Further processes of the VM by name.
-      routed: Where callers reach the entry.
-      bare: Where callers reach the bare relay.
-      engines: A prefill and a decode engine.
-      failures: Streams that weren't whole.
+      relay: The process of the bare relay.
+      other_processes: Other router processes of the VM, by name.
+      routed: Target that sends requests through the entry process.
+      bare: Target that sends requests through the bare relay.
+      engines: A prefill engine and a decode engine for direct calls.
+      failures: Streams that were refused or incomplete.
     """
 
     entry: psutil.Process
     relay: psutil.Process
-    others: dict[str, psutil.Process]
+    other_processes: dict[str, psutil.Process]
     routed: bench_load.Target
     bare: bench_load.Target
     engines: tuple[model.Endpoint, model.Endpoint]
@@ -166,14 +167,14 @@
     )
 
     def warm_up(self) -> None:
-        """Lets leases grow and code paths be run before measuring."""
+        """Applies load so that leases grow and code paths are warm."""
         for _ in range(_WARM_UP_ROUNDS):
-            self._round(self.routed)
-        self._round(self.bare)
+            self._run_round(self.routed)
+        self._run_round(self.bare)
 
-    def whole_streams(self) -> Figure:
-        """Counts the streams of all rounds that weren't whole."""
-        for failure in self.failures[:_SHOWN_FAILURES]:
+    def failed_streams(self) -> Figure:
+        """Prints sample failures; counts refused or incomplete streams."""
+        for failure in self.failures[:_MAX_SHOWN_FAILURES]:
             print(f"not whole: {failure}")
         return Figure(
             "streams refused or broken",
@@ -182,55 +183,62 @@
             lambda value: f"{value:.0f}",
         )
 
-    def _round(
+    def _run_round(
         self,
         target: bench_load.Target,
         streams: int = _STREAMS,
         tokens: int = _SHORT_TOKENS,
     ) -> int:
-        result = asyncio.run(bench_load.many(target, streams, tokens))
+        result = asyncio.run(bench_load.run_round(target, streams, tokens))
         self.failures.extend(result.failures)
         return result.events
 
-    def _cost(
+    def _measure_cost(
         self, target: bench_load.Target, process: psutil.Process
     ) -> _Cost:
-        # The slope between short and long streams is what a chunk costs; the
-        # rest is what a request costs.
+        # The slope between short and long streams is the cost per chunk; the
+        # remainder is the fixed cost per request.
         seconds, events = [], []
         for tokens in (_SHORT_TOKENS, _LONG_TOKENS):
             before = _cpu_s(process)
-            events.append(self._round(target, _COST_STREAMS, tokens))
+            events.append(
+                self._run_round(target, _COST_CONCURRENT_STREAMS, tokens)
+            )
             seconds.append(_cpu_s(process) - before)
-        chunk_s = (seconds[1] - seconds[0]) / (events[1] - events[0])
-        request_s = (seconds[0] - chunk_s * events[0]) / _COST_STREAMS
-        return _Cost(chunk_s, request_s)
+        cpu_s_per_chunk = (seconds[1] - seconds[0]) / (events[1] - events[0])
+        cpu_s_per_request = (
+            seconds[0] - cpu_s_per_chunk * events[0]
+        ) / _COST_CONCURRENT_STREAMS
+        return _Cost(cpu_s_per_chunk, cpu_s_per_request)
 
     def chunk_cost(self) -> Figure:
-        """Compares the CPU time of a streamed chunk."""
+        """Compares the CPU time per streamed chunk of entry and relay."""
         bare, routed = [], []
-        for _ in range(_PAIRS):
-            bare.append(self._cost(self.bare, self.relay))
-            routed.append(self._cost(self.routed, self.entry))
+        for _ in range(_COST_REPEATS):
+            bare.append(self._measure_cost(self.bare, self.relay))
+            routed.append(self._measure_cost(self.routed, self.entry))
         medians = {
             "bare relay": _median_cost(bare),
             "whole path": _median_cost(routed),
         }
         for name, cost in medians.items():
-            chunk = _microseconds(cost.chunk_s)
-            request = _microseconds(cost.request_s)
+            chunk = _microseconds(cost.cpu_s_per_chunk)
+            request = _microseconds(cost.cpu_s_per_request)
             print(f"{name}: {chunk} a chunk, {request} a request")
-        ratio = medians["whole path"].chunk_s / medians["bare relay"].chunk_s
+        ratio = (
+            medians["whole path"].cpu_s_per_chunk
+            / medians["bare relay"].cpu_s_per_chunk
+        )
         return Figure(
             "CPU a streamed chunk, entry / bare relay",
             ratio,
-            _MAX_RATIO,
+            _MAX_CHUNK_COST_RATIO,
             lambda value: f"{value:.2f}",
         )
 
     def added_latency(self) -> Figure:
-        """Compares the time to first token, one request at a time."""
-        routed_s, bare_s, direct_s = asyncio.run(self._first_tokens())
+        """Compares the median time to first token of sequential requests."""
+        routed_s, bare_s, direct_s = asyncio.run(self._median_ttfts())
         print(
             f"median time to first token: direct {_milliseconds(direct_s)}, "
             f"bare relay {_milliseconds(bare_s)}, "
@@ -239,30 +247,35 @@
         return Figure(
             "added time to first token, median, entry - direct",
             routed_s - direct_s,
-            _MAX_ADDED_S,
+            _MAX_ADDED_TTFT_S,
             _milliseconds,
         )
 
-    async def _first_tokens(self) -> list[float]:
-        async def time_of(target: bench_load.Target) -> float:
-            streamed = await bench_load.stream(target, _FEW_TOKENS)
-            return streamed.first_token_s
+    async def _median_ttfts(self) -> list[float]:
+        async def ttft_of(target: bench_load.Target) -> float:
+            streamed = await bench_load.read_stream(target, _TTFT_TOKENS)
+            return streamed.ttft_s
 
         caller = bench_load.DirectCaller(*self.engines, _PROMPT)
-        return await bench_load.in_turns(
+        return await bench_load.interleaved_medians(
             [
-                lambda: time_of(self.routed),
-                lambda: time_of(self.bare),
-                lambda: caller.first_token_s(_FEW_TOKENS),
+                lambda: ttft_of(self.routed),
+                lambda: ttft_of(self.bare),
+                lambda: caller.ttft_s(_TTFT_TOKENS),
             ],
-            _SEQUENTIAL,
+            _SEQUENTIAL_REQUESTS,
         )
 
     def memory(self) -> list[Figure]:
-        """Watches memory over rounds of concurrent streams."""
+        """Measures resident memory over rounds of concurrent streams.
+
+        Returns:
+          The growth of the entry process between the two halves of the rounds,
+          and the final resident size of each process.
+        """
         sizes = []
         for _ in range(_ROUNDS):
-            self._round(self.routed)
+            self._run_round(self.routed)
             sizes.append(self.entry.memory_info().rss)
         half = _ROUNDS // 2
         growth = statistics.median(sizes[half:]) - statistics.median(
@@ -272,14 +285,19 @@
             Figure(
                 f"growth over {_ROUNDS} rounds of {_STREAMS} streams",
                 growth,
-                _MAX_GROWTH,
+                _MAX_GROWTH_BYTES,
                 _mebibytes,
             )
         ]
-        for name, process in {"entry": self.entry, **self.others}.items():
+        for name, process in {
+            "entry": self.entry,
+            **self.other_processes,
+        }.items():
             size = process.memory_info().rss
             figures.append(
-                Figure(f"resident, {name}", size, _MAX_RESIDENT, _mebibytes)
+                Figure(
+                    f"resident, {name}", size, _MAX_RESIDENT_BYTES, _mebibytes
+                )
             )
         return figures
 
@@ -307,10 +325,10 @@
 
 
 def main() -> int:
-    """Runs the benchmark and prints its figures.
+    """Runs the benchmark and prints the report.
 
     Returns:
-      The exit code: 0 if every figure is within its bound.
+      The exit code: 0 if every value is within its limit.
     """
     relay = None
     with local_fleet.LocalFleet(_DOCUMENT) as fleet:
@@ -329,15 +347,15 @@
                 relay.end()
     for figure in figures:
         print(figure.line())
-    return int(any(figure.value > figure.bound for figure in figures))
+    return int(any(figure.value > figure.limit for figure in figures))
 
 
 def _print_lost_attempts(fleet: local_fleet.LocalFleet) -> None:
     lines = fleet.children_by_name["vm-0.e0"].lines
-    found = [child.parse_line(line) for line in lines]
+    parsed_lines = [child.parse_line(line) for line in lines]
     reasons = collections.Counter(
         pairs.get("reason", "")
-        for pairs in found
+        for pairs in parsed_lines
         if pairs.get("event") == "attempt_lost"
     )
     for reason, count in reasons.most_common():
@@ -357,7 +375,7 @@
     bench = Bench(
         entry=_process(fleet, "e0"),
         relay=relay,
-        others={
+        other_processes={
             name: _process(fleet, name) for name in ("dispatch", "settings")
         },
         routed=routed,
@@ -369,7 +387,7 @@
         bench.added_latency(),
         bench.chunk_cost(),
         *bench.memory(),
-        bench.whole_streams(),
+        bench.failed_streams(),
     ]
 
 
--- a/tools/bench_load.py
+++ b/tools/bench_load.py
@@ -1,4 +1,4 @@
-"""Callers of the benchmark: many streams at once, counted and timed."""
+"""Load generator of the benchmark: concurrent streams, counted and timed."""
 
 import asyncio
 import dataclasses
@@ -16,28 +16,28 @@
 
 _HOST = "127.0.0.1"
 _READ_BYTES = 65_536
-_EVENT = b"\ndata: {"
-_DONE = b"data: [DONE]"
-_OK = b"HTTP/1.1 200 "
+_TOKEN_EVENT_START = b"\ndata: {"
+_DONE_EVENT = b"data: [DONE]"
+_STATUS_LINE_OK = b"HTTP/1.1 200 "
 _LAST_CHUNK = b"0\r\n\r\n"
 _TIMEOUT_S = 120.0
-# Callers come one after the other, but soon enough that all overlap.
-_RAMP_S = 0.002
+# Staggers the starts, but closely enough that all streams overlap.
+_START_INTERVAL_S = 0.002
 
 
 class BenchError(Exception):
-    """Raised when a stream of the benchmark isn't whole."""
+    """Raised when a stream is refused, truncated or has missing tokens."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Target:
-    """Where streams are asked for.
+    """Server and request parameters of a benchmark stream.
 
     Attributes:
-      port: TCP port.
+      port: TCP port on the local host.
       key: API key.
-      model: Name of the service.
-      prompt: The prompt.
+      model: Name of the service, sent as the model.
+      prompt: Prompt of each request.
     """
 
     port: int
@@ -47,15 +47,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Streamed:
-    """One whole stream.
+class StreamResult:
+    """Timing and size of one complete stream.
 
     Attributes:
-      first_token_s: Time to the first token.
-      events: Tokens that came.
+      ttft_s: Time to first token in seconds.
+      events: Number of token events received.
     """
 
-    first_token_s: float
+    ttft_s: float
     events: int
 
 
@@ -77,97 +77,102 @@
     ).encode()
 
 
-async def stream(target: Target, tokens: int) -> Streamed:
-    """Asks for one stream and reads it to its end.
+async def read_stream(target: Target, tokens: int) -> StreamResult:
+    """Sends one streaming request and reads the response to its end.
 
     Args:
-      target: Where.
-      tokens: Tokens to ask for.
+      target: Server and request parameters.
+      tokens: Number of output tokens to request.
 
     Returns:
-      What came.
+      The timing and size of the stream.
 
     Raises:
-      BenchError: The stream isn't whole.
+      BenchError: The stream was refused, truncated or has missing tokens.
+      TimeoutError: The stream didn't end within the timeout.
     """
     reader, writer = await asyncio.open_connection(_HOST, target.port)
     started = time.perf_counter()
     writer.write(_request(target, tokens))
-    first_token_s = 0.0
+    ttft_s = 0.0
     events = 0
-    rest = b""
+    tail = b""
     try:
         async with asyncio.timeout(_TIMEOUT_S):
-            while not rest.endswith(_LAST_CHUNK):
+            while not tail.endswith(_LAST_CHUNK):
                 chunk = await reader.read(_READ_BYTES)
-                if not chunk or (not rest and not chunk.startswith(_OK)):
-                    raise BenchError(f"no stream: {(rest + chunk)!r}")
-                # The end of what came before is kept, as a mark may be cut.
-                seen = rest.count(_EVENT)
-                rest += chunk
-                events += rest.count(_EVENT) - seen
-                if events and not first_token_s:
-                    first_token_s = time.perf_counter() - started
-                rest = rest[-len(_DONE) - 64 :]
+                if not chunk or (
+                    not tail and not chunk.startswith(_STATUS_LINE_OK)
+                ):
+                    raise BenchError(f"no stream: {(tail + chunk)!r}")
+                # The tail of earlier data is kept, as an event's prefix may be
+                # split between two reads.
+                counted = tail.count(_TOKEN_EVENT_START)
+                tail += chunk
+                events += tail.count(_TOKEN_EVENT_START) - counted
+                if events and not ttft_s:
+                    ttft_s = time.perf_counter() - started
+                tail = tail[-len(_DONE_EVENT) - 64 :]
     finally:
         writer.close()
-    if events != tokens or _DONE not in rest:
-        raise BenchError(f"{events} of {tokens} tokens: {rest!r}")
-    return Streamed(first_token_s, events)
+    if events != tokens or _DONE_EVENT not in tail:
+        raise BenchError(f"{events} of {tokens} tokens: {tail!r}")
+    return StreamResult(ttft_s, events)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Round:
-    """Many streams at once.
+class RoundResult:
+    """Result of a round of concurrent streams.
 
     Attributes:
-      events: Tokens that came.
-      failures: Why streams weren't whole, empty if all were.
+      events: Token events received on all complete streams.
+      failures: Errors of refused or incomplete streams.
     """
 
     events: int
     failures: tuple[BenchError, ...]
 
 
-async def many(target: Target, streams: int, tokens: int) -> Round:
-    """Reads many streams at once.
+async def run_round(target: Target, streams: int, tokens: int) -> RoundResult:
+    """Runs concurrent streams and waits for all of them.
 
     Args:
-      target: Where.
-      streams: How many.
-      tokens: Tokens to ask for, each.
+      target: Server and request parameters.
+      streams: Number of streams.
+      tokens: Output tokens to request for each stream.
 
     Returns:
-      What came.
+      The token events and the failures of the round.
     """
 
-    async def one(number: int) -> Streamed:
-        await asyncio.sleep(number * _RAMP_S)
-        return await stream(target, tokens)
+    async def delayed_stream(number: int) -> StreamResult:
+        await asyncio.sleep(number * _START_INTERVAL_S)
+        return await read_stream(target, tokens)
 
     results = await asyncio.gather(
-        *(one(number) for number in range(streams)), return_exceptions=True
+        *(delayed_stream(number) for number in range(streams)),
+        return_exceptions=True,
     )
     failures = []
     events = 0
     for result in results:
         match result:
-            case Streamed():
+            case StreamResult():
                 events += result.events
             case BenchError():
                 failures.append(result)
             case _:
                 raise result
-    return Round(events, tuple(failures))
+    return RoundResult(events, tuple(failures))
 
 
 class DirectCaller:
-    """A caller that knows the engines itself, with nothing between.
+    """Client that calls the engines directly, as the latency baseline.
 
     Args:
-      prefill: The prefill engine.
-      decode: The decode engine.
-      prompt: The prompt.
+      prefill: Prefill engine to call.
+      decode: Decode engine to call.
+      prompt: Prompt of each request.
     """
 
     def __init__(
@@ -177,46 +182,51 @@
         self._prefill = prefill
         self._decode = decode
         self._prompt = prompt
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
 
-    async def first_token_s(self, tokens: int) -> float:
-        """Has an answer streamed.
+    async def ttft_s(self, tokens: int) -> float:
+        """Runs one prefill and decode and reads the output to its end.
 
         Args:
-          tokens: Tokens to ask for.
+          tokens: Number of output tokens to request.
 
         Returns:
-          Time to the first token, seconds.
+          Time to first token in seconds.
         """
-        request_id = f"bench.direct.x.{next(self._numbers)}.0"
+        request_id = f"bench.direct.x.{next(self._request_numbers)}.0"
         body = {"prompt": self._prompt, "max_tokens": tokens}
         started = time.perf_counter()
         result = await self._client.prefill(self._prefill, request_id, body)
         events = await self._client.decode(
             self._decode, request_id, body, result
         )
-        first_token_s = 0.0
+        ttft_s = 0.0
         async for _ in events:
-            first_token_s = first_token_s or time.perf_counter() - started
-        return first_token_s
+            ttft_s = ttft_s or time.perf_counter() - started
+        return ttft_s
 
 
-async def in_turns(
+async def interleaved_medians(
     callers: list[Callable[[], Awaitable[float]]], count: int
 ) -> list[float]:
-    """Times callers one at a time, so that nothing queues.
+    """Times callers sequentially, so that no request queues.
 
-    They take turns, so that a change of the machine's load meets all alike.
+    The callers take turns, so that a change in the machine's load affects all
+    of them alike.
 
     Args:
-      callers: Each returns a time in seconds.
-      count: Calls of each.
+      callers: Functions that each return a time in seconds.
+      count: Number of calls to each caller.
 
     Returns:
-      The median by caller.
+      The median time of each caller in seconds, in the order of `callers`.
     """
-    times: list[list[float]] = [[] for _ in callers]
+    times_by_caller: list[list[float]] = [[] for _ in callers]
     for _ in range(count):
-        for caller, own in zip(callers, times, strict=True):
-            own.append(await caller())
-    return [statistics.median(own) for own in times]
+        for caller, caller_times_s in zip(
+            callers, times_by_caller, strict=True
+        ):
+            caller_times_s.append(await caller())
+    return [
+        statistics.median(caller_times_s) for caller_times_s in times_by_caller
+    ]
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -1,11 +1,11 @@
-"""Checks that `from` imports name modules, not what modules contain."""
+"""Lint check: `from` imports must import modules, not their members."""
 
 import ast
 import importlib.util
 import pathlib
 import sys
 
-# Google's guide exempts these from the rule.
+# Exempt from the rule in the Google Python Style Guide.
 _EXEMPT = frozenset({"typing", "collections.abc", "__future__"})
 
 
@@ -18,35 +18,37 @@
 
 def _violations(path: pathlib.Path) -> list[str]:
     tree = ast.parse(path.read_text(encoding="utf-8"))
-    found = []
+    violations = []
     for node in ast.walk(tree):
         if not isinstance(node, ast.ImportFrom) or node.module in _EXEMPT:
             continue
         if node.level:
-            found.append(f"{path}:{node.lineno}: relative import")
+            violations.append(f"{path}:{node.lineno}: relative import")
             continue
         for alias in node.names:
             name = f"{node.module}.{alias.name}"
             if not _is_module(name):
-                found.append(f"{path}:{node.lineno}: {name} is not a module")
-    return found
+                violations.append(
+                    f"{path}:{node.lineno}: {name} is not a module"
+                )
+    return violations
 
 
 def main(folders: list[str]) -> int:
-    """Checks every Python file below the folders.
+    """Checks every Python file under the folders and prints violations.
 
     Args:
-      folders: Paths of folders.
+      folders: Paths of the folders, searched recursively.
 
     Returns:
-      The exit code: 0 if no import breaks the rule, else 1.
+      The exit code: 0 if no import violates the rule, else 1.
     """
-    found = []
+    violations = []
     for folder in folders:
         for path in sorted(pathlib.Path(folder).rglob("*.py")):
-            found.extend(_violations(path))
-    print("\n".join(found), end="\n" if found else "")
-    return 1 if found else 0
+            violations.extend(_violations(path))
+    print("\n".join(violations), end="\n" if violations else "")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tools/own_site.py
+++ b/tools/own_site.py
@@ -1,10 +1,10 @@
-"""Draws a deployment of our own: a users' site file with other figures.
+"""Derives a deployment from an existing site file by changing some values.
 
     python -m tools.own_site BASE deploy/sites/NAME.toml FOLDER
 
-BASE stays where it is, as it is the users'. What is ours is how the new one
-differs: its name, its engines, and the sizes of prompts and answers. The file,
-and the names on the wire that lie beside BASE, are written into FOLDER.
+BASE, a site file that the users supply, is only read. The second file lists the
+differences: the name, the engines, and the sizes of prompts and outputs. The
+new site file, and the file of wire names next to BASE, are written to FOLDER.
 """
 
 import pathlib
@@ -19,21 +19,27 @@
 _USAGE = "usage: python -m tools.own_site BASE CHANGES FOLDER"
 
 
-def changed(site: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
-    """Returns a deployment with other engines and sizes.
+def with_changes(
+    site: dict[str, Any], changes: dict[str, Any]
+) -> dict[str, Any]:
+    """Returns a copy of a deployment with other engines and stream sizes.
 
     Args:
-      site: The users' site file.
-      changes: `name`; `engine` with `count` (engines a zone), `slots` and
-        `llm`; `streams` with `prompt_tokens` and `pieces`, each a table of
-        fields.
+      site: Parsed site file to start from.
+      changes: `name`; `engine` with `count` (engines per availability zone),
+        `slots` and `llm`; `streams` with `prompt_tokens` and `pieces`, each a
+        table of fields.
+
+    Returns:
+      The changed site.
     """
     services = [
-        _changed_service(service, changes["engine"])
+        _service_with_changes(service, changes["engine"])
         for service in site["services"]
     ]
     classes = [
-        _changed_class(item, changes["streams"]) for item in site["classes"]
+        _class_with_changes(item, changes["streams"])
+        for item in site["classes"]
     ]
     return {
         **site,
@@ -43,7 +49,7 @@
     }
 
 
-def _changed_service(
+def _service_with_changes(
     service: dict[str, Any], engine: dict[str, Any]
 ) -> dict[str, Any]:
     if "llm" not in service:
@@ -58,7 +64,7 @@
     }
 
 
-def _changed_class(
+def _class_with_changes(
     item: dict[str, Any], sizes: dict[str, dict[str, Any]]
 ) -> dict[str, Any]:
     if "stream" not in item:
@@ -70,16 +76,18 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Writes the site file; returns the exit code."""
+    """Writes the new site file, prints its path and returns the exit code."""
     if len(arguments) != 3:
         print(_USAGE, file=sys.stderr)
         return 2
     base, changes, folder = map(pathlib.Path, arguments)
     site = tomllib.loads(base.read_text(encoding="utf-8"))
-    own = changed(site, tomllib.loads(changes.read_text(encoding="utf-8")))
+    new_site = with_changes(
+        site, tomllib.loads(changes.read_text(encoding="utf-8"))
+    )
     folder.mkdir(parents=True, exist_ok=True)
     target = folder / changes.name
-    target.write_text(tomli_w.dumps(own), encoding="utf-8")
+    target.write_text(tomli_w.dumps(new_site), encoding="utf-8")
     if _WIRE_KEY in site:
         shutil.copy2(base.parent / site[_WIRE_KEY], folder)
     print(target)
