--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -79,7 +79,7 @@
 @behave.then("the process has ended with code 0 and its engines hold nothing")
 def step_ended(context) -> None:
     assert context.site.entry.wait() == 0
-    assert not truth.wait_until_nothing_is_held(context.site.fleet)
+    assert not truth.wait_until_released(context.site.fleet)
 
 
 @behave.when("that process is killed")
@@ -95,7 +95,7 @@
 
 @behave.then("the engines hold nothing after a while")
 def step_nothing_held(context) -> None:
-    assert not truth.wait_until_nothing_is_held(context.site.fleet)
+    assert not truth.wait_until_released(context.site.fleet)
 
 
 @behave.given("a brief whose prefill is under way at one entry process")
--- a/features/steps/rolling_steps.py
+++ b/features/steps/rolling_steps.py
@@ -79,7 +79,7 @@
 
 @behave.then("every request that its caller didn't leave got its whole answer")
 def step_whole(context) -> None:
-    good = {traffic.End.WHOLE, traffic.End.DROPPED}
+    good = {traffic.CallEnd.COMPLETE, traffic.CallEnd.DISCONNECTED}
     # A caller that sends its ticket twice at once is told so; that is no cut.
     bad = [
         (asked.body, outcome)
@@ -88,9 +88,13 @@
         if outcome.end not in good and outcome.code != "in_progress"
     ]
     assert not bad, f"{len(bad)} of {len(context.asked)}: {bad[:5]}"
-    ran = truth.plain_runs(context.fleet)
-    lies = [lie for asked in context.asked for lie in truth.lies(asked, ran)]
-    assert not lies, lies[:5]
+    executions = truth.plain_executions(context.fleet)
+    invariant_violations = [
+        violation
+        for asked in context.asked
+        for violation in truth.invariant_violations(asked, executions)
+    ]
+    assert not invariant_violations, invariant_violations[:5]
 
 
 @behave.then("each process ended with exit code 0")
--- a/features/support/entry_site.py
+++ b/features/support/entry_site.py
@@ -53,7 +53,9 @@
         self._pool = self._stack.enter_context(
             concurrent.futures.ThreadPoolExecutor(64)
         )
-        self.answers: list[concurrent.futures.Future[http_calls.Answer]] = []
+        self.answers: list[
+            concurrent.futures.Future[http_calls.HttpResponse]
+        ] = []
 
     def start(self) -> None:
         """Starts everything and waits until it is ready."""
@@ -77,10 +79,10 @@
 
     def call(
         self, path: str, body: Any, vm_id: str = "vm-0", **headers: str
-    ) -> http_calls.Answer:
+    ) -> http_calls.HttpResponse:
         """Calls as a caller does and waits for the whole answer."""
         names = {name.replace("_", "-"): text for name, text in headers.items()}
-        key = fleet_document.key_of(USER)
+        key = fleet_document.api_key_of(USER)
         names["Authorization"] = f"Bearer {key}"
         return http_calls.call(
             "POST", self.fleet.url(vm_id) + path, body, names
--- a/tests/test_ablate.py
+++ b/tests/test_ablate.py
@@ -16,7 +16,7 @@
 
 
 def _play(without, day, worth, site="a", broken=""):
-    return ablate.Play(
+    return ablate.DayResult(
         without=without,
         site=site,
         day=day,
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Play:
+class DayResult:
     """Result of one simulated day of one deployment.
 
     The field names are the keys of the results file.
@@ -104,10 +104,10 @@
     return 0
 
 
-def read(path: pathlib.Path) -> list[Play]:
+def read(path: pathlib.Path) -> list[DayResult]:
     """Reads the results from a JSON Lines file."""
     lines = path.read_text(encoding="utf-8").splitlines()
-    return [Play(**json.loads(line)) for line in lines]
+    return [DayResult(**json.loads(line)) for line in lines]
 
 
 def parse(text: str, day: str) -> tuple[float, float, str]:
@@ -133,7 +133,7 @@
     raise ValueError(f"no result of {day} in: {text[-500:]}")
 
 
-def table(plays: list[Play]) -> list[str]:
+def table(plays: list[DayResult]) -> list[str]:
     """Returns a Markdown table of the score change without each mechanism.
 
     Each variant is compared with the baseline over the days that both have.
@@ -220,7 +220,7 @@
     except ValueError as error:
         print(f"ablate: {variant} {site.stem} {day}: {error}", file=sys.stderr)
         return
-    play = Play(
+    play = DayResult(
         without=variant,
         site=site.stem,
         day=day,
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -367,7 +367,7 @@
 ) -> list[Figure]:
     bare = bench_load.Target(
         port=relay_port,
-        key=fleet_document.key_of(_USER),
+        key=fleet_document.api_key_of(_USER),
         model=_SERVICE,
         prompt=_PROMPT,
     )
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -37,11 +37,11 @@
     url: str
 
     def headers(self, customer: str, **extra_headers: str) -> dict[str, str]:
-        key = fleet_document.key_of(customer)
+        key = fleet_document.api_key_of(customer)
         return {"Authorization": f"Bearer {key}", **extra_headers}
 
 
-def _expect_status(response: http_calls.Answer, status: int) -> None:
+def _expect_status(response: http_calls.HttpResponse, status: int) -> None:
     if response.status != status:
         raise DemoError(f"status {response.status}: {response.body.decode()}")
 
@@ -176,7 +176,7 @@
 
 
 def _wait_for_interrupt(site: _Site, fleet: local_fleet.LocalFleet) -> None:
-    key = fleet_document.key_of(_BRIEF_USER)
+    key = fleet_document.api_key_of(_BRIEF_USER)
     print("send a request, for example:")
     print(f"  curl -N {site.url}/v1/completions \\")
     print(f"    -H 'Authorization: Bearer {key}' \\")
--- a/tools/fleet_document.py
+++ b/tools/fleet_document.py
@@ -18,13 +18,13 @@
 _SCALED_FLAGS = frozenset({"link_bytes_per_s", "kv_bytes_per_token"})
 
 
-def key_of(customer: str) -> str:
+def api_key_of(customer: str) -> str:
     """Returns the API key that a local fleet gives a customer."""
     return f"key-{customer.replace('/', '-')}"
 
 
 def set_api_keys(users: dict[str, Any], parent: str = "") -> None:
-    """Sets the key hash of each customer to that of its `key_of` key.
+    """Sets the key hash of each customer to that of its `api_key_of` key.
 
     Args:
       users: Customers by name, as in the settings; modified in place.
@@ -32,7 +32,7 @@
     """
     for name, customer in users.items():
         path = f"{parent}/{name}" if parent else name
-        digest = hashlib.sha256(key_of(path).encode()).hexdigest()
+        digest = hashlib.sha256(api_key_of(path).encode()).hexdigest()
         customer["key_hashes"] = [digest]
         set_api_keys(customer.get("users", {}), path)
 
--- a/tools/http_calls.py
+++ b/tools/http_calls.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class HttpResponse:
     """HTTP response with its whole body.
 
     Attributes:
@@ -89,7 +89,7 @@
     url: str,
     body: Any = None,
     headers: dict[str, str] | None = None,
-) -> Answer:
+) -> HttpResponse:
     """Sends an HTTP request and reads the whole response.
 
     Args:
@@ -108,7 +108,7 @@
     connection, response = _send(method, url, body, headers)
     try:
         names = {key.lower(): value for key, value in response.getheaders()}
-        return Answer(response.status, names, response.read())
+        return HttpResponse(response.status, names, response.read())
     finally:
         connection.close()
 
--- a/tools/local_fleet.py
+++ b/tools/local_fleet.py
@@ -329,7 +329,7 @@
         url = f"{self.endpoint_url(endpoint_id)}{path}"
         return self._checked_json(http_calls.call(method, url, body))
 
-    def _checked_json(self, response: http_calls.Answer) -> Any:
+    def _checked_json(self, response: http_calls.HttpResponse) -> Any:
         if response.status >= 300:
             raise child.ChildError(f"{response.status}: {response.body!r}")
         return response.json() if response.body else None
--- a/tools/mixed_run.py
+++ b/tools/mixed_run.py
@@ -93,11 +93,11 @@
 def _find_violations(
     fleet: local_fleet.LocalFleet, records: list[traffic.RequestRecord]
 ) -> list[str]:
-    held = truth.wait_until_nothing_is_held(fleet)
+    held = truth.wait_until_released(fleet)
     violations = [f"{name} still holds {state}" for name, state in held.items()]
-    executions = truth.plain_runs(fleet)
+    executions = truth.plain_executions(fleet)
     for record in records:
-        violations.extend(truth.lies(record, executions))
+        violations.extend(truth.invariant_violations(record, executions))
     for name, process in fleet.children_by_name.items():
         violations.extend(_revision_decreases(name, process))
         violations.extend(_logged_tracebacks(name, process))
--- a/tools/traffic.py
+++ b/tools/traffic.py
@@ -32,19 +32,19 @@
     PICKUP = "pickup"
 
 
-class End(enum.StrEnum):
+class CallEnd(enum.StrEnum):
     """How one HTTP call ended.
 
-    `WHOLE` is a complete response. `REFUSED` is an error response.
+    `COMPLETE` is a complete response. `REFUSED` is an error response.
     `BROKEN` is a lost connection or a truncated stream, as when a process is
     killed.
-    `DROPPED` is a call from which the caller disconnected.
+    `DISCONNECTED` is a call from which the caller disconnected.
     """
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
     BROKEN = "broken"
-    DROPPED = "dropped"
+    DISCONNECTED = "dropped"
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -63,7 +63,7 @@
     """
 
     vm_id: str
-    end: End
+    end: CallEnd
     status: int = 0
     code: str = ""
     run: str = ""
@@ -202,7 +202,9 @@
         return rng.choice(sorted(live))
 
     def _headers(self, customer: str, key: str = "") -> dict[str, str]:
-        headers = {"Authorization": f"Bearer {fleet_document.key_of(customer)}"}
+        headers = {
+            "Authorization": f"Bearer {fleet_document.api_key_of(customer)}"
+        }
         if key:
             headers["Idempotency-Key"] = key
         return headers
@@ -242,7 +244,7 @@
                 record.outcomes.append(_stream_outcome(vm_id, stream))
             stream.disconnect()
         except (OSError, http.client.HTTPException):
-            record.outcomes.append(Outcome(vm_id=vm_id, end=End.BROKEN))
+            record.outcomes.append(Outcome(vm_id=vm_id, end=CallEnd.BROKEN))
 
     def _disconnect_early(
         self,
@@ -254,7 +256,7 @@
         for number, _ in enumerate(stream.events()):
             if number >= disconnect_after:
                 break
-        record.outcomes.append(Outcome(vm_id=vm_id, end=End.DROPPED))
+        record.outcomes.append(Outcome(vm_id=vm_id, end=CallEnd.DISCONNECTED))
 
     # --- Plain services ---------------------------------------------------
 
@@ -291,7 +293,7 @@
                 call.start()
             for call in calls:
                 call.join()
-            if any(o.end is End.WHOLE for o in record.outcomes):
+            if any(o.end is CallEnd.COMPLETE for o in record.outcomes):
                 return
 
     def _ticket(
@@ -328,18 +330,18 @@
                 self._headers(customer, key),
             )
         except (OSError, http.client.HTTPException):
-            outcome = Outcome(vm_id=vm_id, end=End.BROKEN)
+            outcome = Outcome(vm_id=vm_id, end=CallEnd.BROKEN)
         else:
             outcome = _response_outcome(vm_id, response)
         record.outcomes.append(outcome)
 
 
-def _response_outcome(vm_id: str, response: http_calls.Answer) -> Outcome:
+def _response_outcome(vm_id: str, response: http_calls.HttpResponse) -> Outcome:
     if response.status != _HTTP_OK:
         return _error_outcome(vm_id, response.status, response.body)
     return Outcome(
         vm_id=vm_id,
-        end=End.WHOLE,
+        end=CallEnd.COMPLETE,
         status=response.status,
         text=response.body.decode(),
         replayed=response.headers.get("idempotent-replayed") == "true",
@@ -350,7 +352,7 @@
     error: dict[str, Any] = json.loads(content)["error"]
     return Outcome(
         vm_id=vm_id,
-        end=End.REFUSED,
+        end=CallEnd.REFUSED,
         status=status,
         code=error["code"],
         run=error["run"],
@@ -364,14 +366,14 @@
         data = event.partition(b"data: ")[2]
         if data == b"[DONE]":
             return Outcome(
-                vm_id=vm_id, end=End.WHOLE, status=_HTTP_OK, text=text
+                vm_id=vm_id, end=CallEnd.COMPLETE, status=_HTTP_OK, text=text
             )
         fields = json.loads(data)
         if "error" in fields:
             error = fields["error"]
             return Outcome(
                 vm_id=vm_id,
-                end=End.REFUSED,
+                end=CallEnd.REFUSED,
                 status=_HTTP_OK,
                 code=error["code"],
                 run=error["run"],
@@ -379,4 +381,4 @@
                 text=text,
             )
         text += fields["choices"][0]["text"]
-    return Outcome(vm_id=vm_id, end=End.BROKEN, text=text)
+    return Outcome(vm_id=vm_id, end=CallEnd.BROKEN, text=text)
--- a/tools/truth.py
+++ b/tools/truth.py
@@ -35,7 +35,7 @@
     counts_by_path: collections.Counter
 
 
-def plain_runs(fleet: local_fleet.LocalFleet) -> Executions:
+def plain_executions(fleet: local_fleet.LocalFleet) -> Executions:
     """Reads the execution journals of all plain services' stand-ins."""
     by_digest: collections.Counter = collections.Counter()
     by_path: collections.Counter = collections.Counter()
@@ -47,7 +47,9 @@
     return Executions(by_digest, by_path)
 
 
-def lies(record: traffic.RequestRecord, executions: Executions) -> list[str]:
+def invariant_violations(
+    record: traffic.RequestRecord, executions: Executions
+) -> list[str]:
     """Finds the invariants that the outcomes of one request violate.
 
     Args:
@@ -60,7 +62,7 @@
     found = []
     for outcome in record.outcomes:
         found.extend(_error_violations(outcome))
-        if outcome.end is traffic.End.WHOLE:
+        if outcome.end is traffic.CallEnd.COMPLETE:
             found.extend(_output_violations(record, outcome))
     if record.kind not in _MODEL_KINDS:
         found.extend(_execution_violations(record, executions))
@@ -68,7 +70,7 @@
 
 
 def _error_violations(outcome: traffic.Outcome) -> list[str]:
-    if outcome.end is not traffic.End.REFUSED:
+    if outcome.end is not traffic.CallEnd.REFUSED:
         return []
     problems = []
     if outcome.run not in {"no", "unknown"}:
@@ -116,10 +118,10 @@
     if record.kind in _NON_IDEMPOTENT_KINDS and execution_count > 1:
         problems.append(f"unrepeatable, yet run {execution_count} times")
     ends = {outcome.end for outcome in record.outcomes}
-    if traffic.End.WHOLE in ends and execution_count == 0:
+    if traffic.CallEnd.COMPLETE in ends and execution_count == 0:
         problems.append("answered, yet never run")
     not_run = record.outcomes and all(
-        outcome.end is traffic.End.REFUSED and outcome.run == "no"
+        outcome.end is traffic.CallEnd.REFUSED and outcome.run == "no"
         for outcome in record.outcomes
     )
     if not_run and execution_count:
@@ -127,7 +129,7 @@
     return problems
 
 
-def wait_until_nothing_is_held(
+def wait_until_released(
     fleet: local_fleet.LocalFleet,
 ) -> dict[str, dict[str, int]]:
     """Waits until the engines have released all resources, or a timeout.
