--- a/features/dispatch_orders.feature
+++ b/features/dispatch_orders.feature
@@ -8,13 +8,13 @@
   Scenario: The old home wakes with the old revision and VM list
     One engine checks fencing numbers, the other takes whatever it is told.
     Given two VMs and the engines "checks" and "trusts" at version "v1"
-    When the home of the engines is paused
-    And the platform's list drops it and version "v2" is published
-    Then both engines are ordered to version "v2" by the other VM
-    When the old home wakes, its settings process still paused
-    Then the old home holds its orders back because it is "behind"
-    And the old home has sent no order since its pause
-    When an order of the old home that was delayed on the way arrives
-    Then only the engine "trusts" takes it
-    And both engines are ordered to version "v2" by the other VM
-    And every order stands in the audit trail with its revision
+    When the coordinator of the engines is paused
+    And the platform unlists that VM and version "v2" is published
+    Then the other VM orders both engines to version "v2"
+    When the old coordinator resumes but its settings process is still paused
+    Then the old coordinator withholds its orders with reason "behind"
+    And the old coordinator has sent no order since its pause
+    When a delayed order of the old coordinator arrives
+    Then only the engine "trusts" accepts that order
+    And the other VM orders both engines to version "v2"
+    And the audit trail contains every order with its revision
--- a/features/entry.feature
+++ b/features/entry.feature
@@ -8,40 +8,40 @@
     The platform ends the process while requests wait, prefill, transfer and
     decode and a booking is made; an impatient operator repeats the signal.
     Given two VMs with an entry process each
-    And a ticket of one entry process whose booking is under way
-    And a brief in each stage, all at that entry process
-    When that process is told twice to stop
-    Then it is not ready at once but still takes a request
-    And every brief and the booking get their whole answer
-    And the process has ended with code 0 and its engines hold nothing
+    And a ticket of one entry process with a booking in progress
+    And a brief in each stage at that entry process
+    When that process receives SIGTERM twice
+    Then that process is unready at once but still accepts a request
+    And every brief and the booking get a complete response
+    And that process has exited with code 0 and the engines hold nothing
 
   Scenario: An entry is killed amid its requests
     Nobody is left to cancel what it had begun, and neither its callers nor the
     other entry can know whether the booking was made.
     Given two VMs with an entry process each
-    And a ticket of one entry process whose booking is under way
-    And a brief in each stage, all at that entry process
+    And a ticket of one entry process with a booking in progress
+    And a brief in each stage at that entry process
     When that process is killed
-    And the caller repeats the booking at the other entry process
-    Then it is told that the outcome is unknown
-    And the desk has booked at most once
-    And the engines hold nothing after a while
+    And the caller retries the booking at the other entry process
+    Then the response says that the outcome is unknown
+    And the booking service has booked at most once
+    And the engines eventually hold nothing
 
   Scenario: An entry that was frozen doesn't act on its old leases
     It sleeps through the end of its leases with a prefill under way. Its home
     has given the slot to another entry, so a decode would be one too many.
     Given two VMs with an entry process each
-    And a brief whose prefill is under way at one entry process
-    When it and the homes are frozen until its leases have run out
-    Then it starts no decode for that prefill
-    And its caller gets the whole answer or is told to come back
+    And a brief in prefill at one entry process
+    When that process and the coordinators are paused past its leases
+    Then that process starts no decode for that prefill
+    And the caller gets a complete response or an error to retry
 
   Scenario: The owner of a ticket is frozen and its caller asks another entry
     The owner may have made the booking and may yet wake up.
     Given two VMs with an entry process each
-    And a ticket of one entry process whose booking is under way
-    When that process is frozen
-    And the caller repeats the booking at the other entry process
-    Then it is told that the outcome is unknown
-    And the owner's caller is told its answer or that it is unknown
-    And the desk has booked at most once
+    And a ticket of one entry process with a booking in progress
+    When that process is paused
+    And the caller retries the booking at the other entry process
+    Then the response says that the outcome is unknown
+    And the resumed owner returns the booking or an unknown outcome
+    And the booking service has booked at most once
--- a/features/log_format.feature
+++ b/features/log_format.feature
@@ -4,5 +4,5 @@
 
   Scenario: A value with a space and a line break stays on one line
     Given a process that logs to memory
-    When it logs an event with a value of two lines
-    Then the log holds one line with that value quoted
+    When that process logs an event with a two-line value
+    Then the log contains one line with that value quoted
--- a/features/mixed_run.feature
+++ b/features/mixed_run.feature
@@ -5,9 +5,9 @@
   doubled pickup, another's brief, or an answer that is not true.
 
   Scenario Outline: Seed <seed>
-    When both users' traffic runs over 3 VMs under the faults of seed <seed>
-    Then each request has one outcome and each outcome is true
-    And the engines hold nothing and no revision fell
+    When both customers' traffic runs over 3 VMs under the faults of seed <seed>
+    Then each request has one outcome and each outcome is correct
+    And the engines hold nothing and no revision decreased
 
     Examples:
       | seed |
--- a/features/rolling_restart.feature
+++ b/features/rolling_restart.feature
@@ -7,7 +7,7 @@
   Scenario: Every VM is replaced while both users send requests
     In the middle an impatient operator repeats the signal, and the platform's
     service goes down for a while.
-    Given 3 VMs under both users' traffic
+    Given 3 VMs under both customers' traffic
     When each VM in turn is drained, replaced and listed again
-    Then every request that its caller didn't leave got its whole answer
-    And each process ended with exit code 0
+    Then every request not dropped by its caller got a complete response
+    And each process exited with code 0
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -9,13 +9,13 @@
     that gave up, or waited for long, would go on with the old rules while
     others use the new ones.
     Given a platform and 3 VMs with revision 1 in force
-    When each platform cuts 3 of 4 calls
+    When each platform aborts 3 of 4 calls
     And revision 2 is published
     Then revision 2 comes into force on every VM
-    When each platform answers after 1 second
+    When each platform responds after 1 second
     And revision 3 is published
     Then revision 3 comes into force on every VM
-    And the revision in force never fell on any VM
+    And the revision in force never decreased on any VM
 
   Scenario: One VM's replica of the platform is stale, and later hangs
     The replica answers with an old revision, as if nothing had happened. Its VM
@@ -26,14 +26,14 @@
     When platform 1 becomes stale
     And revision 2 is published
     Then revision 2 comes into force on every VM
-    And the VM at platform 1 says that the platform offers an older revision
-    When platform 1 takes calls and never answers
+    And the VM at platform 1 reports that the platform offers an older revision
+    When platform 1 accepts calls but never responds
     And revision 3 is published
     Then revision 3 comes into force on every VM
     When platform 1 works again
     And revision 4 is published
     Then revision 4 comes into force on every VM
-    And the revision in force never fell on any VM
+    And the revision in force never decreased on any VM
 
   Scenario: A VM starts while the platform is down
     VMs are replaced at any time. One that could start only with the platform up
@@ -53,15 +53,15 @@
     And revision 2 is published
     And revision 2 is in force on the VMs started so far
     And a VM starts at platform 1
-    Then the new VM gives local processes revision 2 first
+    Then the new VM first serves revision 2 to local processes
 
   Scenario: Values that can't be used
     The platform holds half a value, or one that doesn't fit. A VM that took it,
     or died of it, would take the service down; the last good revision has to
     stay until a good one comes.
     Given a platform and 3 VMs with revision 1 in force
-    Then the VMs stay at revision 1 and say why while the platform holds
-      | what                       | said                |
+    Then the VMs stay at revision 1 and log the reason for each value
+      | value                      | logged              |
       | half a head                | value_invalid       |
       | a head above a megabyte    | platform_trouble    |
       | bytes that are not JSON    | value_invalid       |
@@ -77,7 +77,7 @@
     Given 2 platforms and 3 VMs with revision 1 in force
     When operators publish different revisions 2 on platforms 0 and 1
     Then one of the two revisions 2 is in force on every VM
-    And the audit trail of a VM tells of the conflict
+    And the audit trail of a VM contains the conflict
     When revision 3 is published
     Then revision 3 comes into force on every VM
 
@@ -95,25 +95,25 @@
     Each half reads its own replica of the platform and knows only its own VMs.
     After the partition a half must not turn the other back.
     Given 2 platforms and 4 VMs with revision 1 in force
-    When each half of the VMs is listed only for itself
+    When the VM list of each half contains only that half
     And operators publish different revisions 2 on platforms 0 and 1
     And revision 3 is published on platform 0 only
     And platform 1 becomes stale
-    And all VMs are listed for each other again
+    And all VMs are in every VM list again
     Then revision 3 comes into force on every VM
-    And the revision in force never fell on any VM
+    And the revision in force never decreased on any VM
 
   Scenario: A settings process is replaced by one that knows less
     The new process finds neither a peer nor a platform that knows revision 2.
     An entry on the same VM that followed it would go back to revision 1.
     Given a platform and 1 VMs with revision 1 in force
     And revision 2 is published and in force
-    And an entry on VM 0 follows the settings, at revision 2
-    When the platform turns back to revision 1
+    And an entry process on VM 0 follows the settings, at revision 2
+    When the platform reverts to revision 1
     And the settings process of VM 0 is replaced
-    Then revision 1 is offered to the entry and not taken
+    Then the entry process is offered revision 1 and rejects it
     When the platform works again with revision 3
-    Then the entry follows with revision 3 after revision 2
+    Then the entry process applies revision 3 after revision 2
 
   Scenario: A paused VM wakes up
     The process is stopped before revisions 2 and 3 and goes on after them,
@@ -122,9 +122,9 @@
     When VM 2 is paused
     And revision 2 is published
     And revision 3 is published
-    And VM 2 goes on
+    And VM 2 resumes
     Then revision 3 comes into force on every VM
-    And the revision in force never fell on any VM
+    And the revision in force never decreased on any VM
 
   Scenario: Leaving endpoints, by the VM list and by news
     An endpoint whose VM leaves still answers, but what it is given now may be
@@ -133,15 +133,15 @@
     refused by itself first.
     Given a platform and 3 VMs with revision 1 in force
     When the VM list marks brief-d2-vm as leaving
-    Then every VM says that brief-d2 is leaving
+    Then every VM reports that brief-d2 is leaving
     When each platform is down
     And a process on VM 0 reports that brief-d1 is leaving for 2 seconds
-    Then every VM says that brief-d1 is leaving
+    Then every VM reports that brief-d1 is leaving
     And every VM uses brief-d1 again later
 
   Scenario: A stranger announces a revision
     Anyone who reaches a VM's port could make it read settings from his host.
     Given a platform and 1 VMs with revision 1 in force
-    When a stranger announces revision 9
-    Then the VM refuses the stranger
+    When an unauthenticated peer announces revision 9
+    Then the VM rejects the unauthenticated peer
     And revision 1 is still in force on every VM
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps about entry processes that leave, freeze and die."""
+"""Behave steps for entry processes that drain, are paused or crash."""
 
 import signal
 
@@ -11,7 +11,7 @@
 from cowsliprill import clock
 from cowsliprill.decisions import slots
 
-_SLOTS_ALL = 40
+_TOTAL_SLOTS = 40
 
 
 @behave.given("two VMs with an entry process each")
@@ -21,33 +21,35 @@
     context.site.start()
 
 
-@behave.given("a brief in each stage, all at that entry process")
+@behave.given("a brief in each stage at that entry process")
 def step_every_stage(context) -> None:
     site = context.site
-    site.send_brief(tokens=300)
+    site.send_brief(max_tokens=300)
     _wait_for_stage(site, "decode", "decode")
-    # Prefills run one at a time at an engine, so that the second one waits
-    # while the first is transferred.
+    # An engine runs one prefill at a time, so the second request waits while
+    # the KV cache of the first is transferred.
     for _ in range(2):
-        site.send_brief(words=600, tokens=100)
+        site.send_brief(phrase_count=600, max_tokens=100)
     _wait_for_stage(site, "prefill", "prefill")
-    # More than there are slots: the last ones wait for a slot at the entry.
-    for _ in range(_SLOTS_ALL):
+    # More requests than slots: the last ones queue at the entry process.
+    for _ in range(_TOTAL_SLOTS):
         site.send_brief()
     dispatch_site.wait_until(
-        lambda: site.status()["requests"] > _SLOTS_ALL,
-        "requests wait at the entry",
+        lambda: site.status()["requests"] > _TOTAL_SLOTS,
+        "requests are queued at the entry process",
     )
 
 
 def _wait_for_stage(site, kind: str, stage: str) -> None:
     dispatch_site.wait_until(
-        lambda: any(held["stage"] == stage for held in site.running(kind)),
+        lambda: any(
+            request["stage"] == stage for request in site.running_requests(kind)
+        ),
         f"a request in {stage}",
     )
 
 
-@behave.when("that process is told twice to stop")
+@behave.when("that process receives SIGTERM twice")
 def step_stop_twice(context) -> None:
     entry = context.site.entry
     entry.send_signal(signal.SIGTERM)
@@ -55,20 +57,22 @@
     entry.send_signal(signal.SIGTERM)
 
 
-@behave.then("it is not ready at once but still takes a request")
+@behave.then("that process is unready at once but still accepts a request")
 def step_not_ready(context) -> None:
     site = context.site
     url = f"{site.fleet.peer_url('vm-0', 'e0')}/readyz"
-    answer = http_calls.call("GET", url)
-    assert (answer.status, answer.json()["reason"]) == (503, "draining")
+    response = http_calls.call("GET", url)
+    assert (response.status, response.json()["reason"]) == (503, "draining")
     booking = site.call("/services/booking/slots", b"Friday")
     assert booking.status == 200, booking.body
     assert booking.headers["connection"] == "close"
 
 
-@behave.then("every brief and the booking get their whole answer")
-def step_whole(context) -> None:
-    booking, *briefs = [answer.result(60) for answer in context.site.answers]
+@behave.then("every brief and the booking get a complete response")
+def step_complete_responses(context) -> None:
+    booking, *briefs = [
+        response.result(60) for response in context.site.responses
+    ]
     for brief in briefs:
         assert brief.status == 200, brief.body
         assert brief.body.endswith(b"data: [DONE]\n\n"), brief.body[-300:]
@@ -76,8 +80,8 @@
     assert booking.json()["received"] == "Tuesday"
 
 
-@behave.then("the process has ended with code 0 and its engines hold nothing")
-def step_ended(context) -> None:
+@behave.then("that process has exited with code 0 and the engines hold nothing")
+def step_exited(context) -> None:
     assert context.site.entry.wait() == 0
     assert not truth.wait_until_nothing_is_held(context.site.fleet)
 
@@ -88,95 +92,101 @@
     context.site.entry.wait()
 
 
-@behave.when("that process is frozen")
-def step_freeze(context) -> None:
+@behave.when("that process is paused")
+def step_pause(context) -> None:
     context.site.entry.send_signal(signal.SIGSTOP)
 
 
-@behave.then("the engines hold nothing after a while")
+@behave.then("the engines eventually hold nothing")
 def step_nothing_held(context) -> None:
     assert not truth.wait_until_nothing_is_held(context.site.fleet)
 
 
-@behave.given("a brief whose prefill is under way at one entry process")
+@behave.given("a brief in prefill at one entry process")
 def step_long_prefill(context) -> None:
-    # Homes that have just started grant nothing, and an entry makes do with
-    # a share of its own, which is no lease.
+    # Coordinators grant no leases right after their start. Until then the
+    # entry process uses its static share of the slots, which is not a lease.
     dispatch_site.wait_until(
-        context.site.is_leased, "the homes grant leases of all engines"
+        context.site.are_engines_leased,
+        "the coordinators have leased out slots of every engine",
     )
-    context.decoded_before = set(context.site.decoded())
-    context.site.misbehave("prefill", slow_factor=2.0)
-    context.site.send_brief(words=3_000)
+    context.earlier_decode_attempts = set(context.site.decode_attempt_ids())
+    context.site.set_faults("prefill", slow_factor=2.0)
+    context.site.send_brief(phrase_count=3_000)
     _wait_for_stage(context.site, "prefill", "prefill")
 
 
-@behave.when("it and the homes are frozen until its leases have run out")
-def step_oversleep(context) -> None:
-    # The homes wake after it, so that it can't renew a lease before it acts.
+@behave.when("that process and the coordinators are paused past its leases")
+def step_outlast_leases(context) -> None:
+    # The coordinators resume last, so that the entry process can't renew a
+    # lease before it acts.
     site = context.site
-    homes = [
+    coordinators = [
         site.fleet.children_by_name[f"{vm_id}.dispatch"]
         for vm_id in site.fleet.vms_by_id
     ]
-    for process in (site.entry, *homes):
+    for process in (site.entry, *coordinators):
         process.send_signal(signal.SIGSTOP)
-    frozen_at = clock.now()
+    paused_at = clock.now()
     dispatch_site.wait_until(
         lambda: (
-            clock.now() > frozen_at + slots.LEASE_S and not _in_prefill(site)
+            clock.now() > paused_at + slots.LEASE_S and not _in_prefill(site)
         ),
-        "the leases have run out and the prefill has finished",
+        "the leases have expired and the prefill has finished",
     )
     site.entry.send_signal(signal.SIGCONT)
     site.entry.wait_for_event("attempt_lost")
-    for process in homes:
+    for process in coordinators:
         process.send_signal(signal.SIGCONT)
 
 
 def _in_prefill(site) -> bool:
-    return any(held["stage"] == "prefill" for held in site.running("prefill"))
+    return any(
+        request["stage"] == "prefill"
+        for request in site.running_requests("prefill")
+    )
 
 
-@behave.then("it starts no decode for that prefill")
+@behave.then("that process starts no decode for that prefill")
 def step_no_decode(context) -> None:
     context.site.entry.wait_for_event(
         "attempt_lost", reason="its lease has run out"
     )
     first_attempts = [
         request_id
-        for request_id in set(context.site.decoded()) - context.decoded_before
+        for request_id in set(context.site.decode_attempt_ids())
+        - context.earlier_decode_attempts
         if request_id.endswith(".0")
     ]
     assert not first_attempts, first_attempts
 
 
-@behave.then("its caller gets the whole answer or is told to come back")
-def step_whole_or_refused(context) -> None:
-    answer = context.site.answers[0].result(60)
-    if answer.status == 200:
-        assert answer.body.endswith(b"data: [DONE]\n\n")
+@behave.then("the caller gets a complete response or an error to retry")
+def step_complete_or_retryable(context) -> None:
+    response = context.site.responses[0].result(60)
+    if response.status == 200:
+        assert response.body.endswith(b"data: [DONE]\n\n")
     else:
-        assert answer.json()["error"]["run"] in ("no", "unknown")
-        assert int(answer.headers["retry-after"]) >= 1
+        assert response.json()["error"]["run"] in ("no", "unknown")
+        assert int(response.headers["retry-after"]) >= 1
 
 
-@behave.given("a ticket of one entry process whose booking is under way")
+@behave.given("a ticket of one entry process with a booking in progress")
 def step_ticket(context) -> None:
     site = context.site
-    answer = site.call("/v1/tickets", {"service": "booking"})
-    context.ticket = answer.json()["ticket"]
+    response = site.call("/v1/tickets", {"service": "booking"})
+    context.ticket = response.json()["ticket"]
     site.send(
         "/services/booking/slots", b"Tuesday", Idempotency_Key=context.ticket
     )
     dispatch_site.wait_until(
-        lambda: site.bookings() == 1, "the booking is under way"
+        lambda: site.booking_count() == 1, "the booking is in progress"
     )
 
 
-@behave.when("the caller repeats the booking at the other entry process")
-def step_repeat(context) -> None:
-    context.answer = context.site.call(
+@behave.when("the caller retries the booking at the other entry process")
+def step_retry(context) -> None:
+    context.response = context.site.call(
         "/services/booking/slots",
         b"Tuesday",
         vm_id="vm-1",
@@ -184,20 +194,20 @@
     )
 
 
-@behave.then("it is told that the outcome is unknown")
+@behave.then("the response says that the outcome is unknown")
 def step_unknown(context) -> None:
-    assert context.answer.json()["error"]["run"] == "unknown"
-    assert context.answer.status in (410, 503), context.answer.status
+    assert context.response.json()["error"]["run"] == "unknown"
+    assert context.response.status in (410, 503), context.response.status
 
 
-@behave.then("the owner's caller is told its answer or that it is unknown")
-def step_wake(context) -> None:
+@behave.then("the resumed owner returns the booking or an unknown outcome")
+def step_resume_owner(context) -> None:
     context.site.entry.send_signal(signal.SIGCONT)
-    answer = context.site.answers[0].result(60).json()
-    told = answer.get("received") or answer["error"]["run"]
-    assert told in ("Tuesday", "unknown"), answer
+    response = context.site.responses[0].result(60).json()
+    outcome = response.get("received") or response["error"]["run"]
+    assert outcome in ("Tuesday", "unknown"), response
 
 
-@behave.then("the desk has booked at most once")
+@behave.then("the booking service has booked at most once")
 def step_booked_once(context) -> None:
-    assert context.site.bookings() == 1
+    assert context.site.booking_count() == 1
--- a/features/steps/log_steps.py
+++ b/features/steps/log_steps.py
@@ -1,4 +1,4 @@
-"""Steps about log lines."""
+"""Behave steps for the format of log lines."""
 
 import io
 
@@ -13,12 +13,12 @@
     context.log = log.open_log("test", context.stream)
 
 
-@behave.when("it logs an event with a value of two lines")
+@behave.when("that process logs an event with a two-line value")
 def step_log_two_lines(context) -> None:
     context.log.event("example", text="one two\nthree")
 
 
-@behave.then("the log holds one line with that value quoted")
+@behave.then("the log contains one line with that value quoted")
 def step_one_line(context) -> None:
     lines = context.stream.getvalue().splitlines()
     assert len(lines) == 1
--- a/features/steps/rolling_steps.py
+++ b/features/steps/rolling_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the rolling restart."""
+"""Behave steps for a rolling restart of all VMs under load."""
 
 import signal
 
@@ -10,14 +10,14 @@
 
 _VMS = 3
 _CALLERS = 8
-_MANY = 100_000
-_SOME = 10
-_PATIENCE_S = 30.0
+_REQUESTS_PER_CALLER = 100_000
+_MIN_NEW_REQUESTS = 10
+_PROGRESS_TIMEOUT_S = 30.0
 _DRAIN_NOTICE_S = 0.5
 _PROCESSES = ("e0", "dispatch", "settings")
 
 
-@behave.given("3 VMs under both users' traffic")
+@behave.given("3 VMs under both customers' traffic")
 def step_start(context) -> None:
     context.fleet = local_fleet.LocalFleet(
         small_site.document(),
@@ -26,37 +26,39 @@
     )
     context.add_cleanup(context.fleet.__exit__)
     context.fleet.start(vms=_VMS)
-    context.load = traffic.Traffic(
-        context.fleet, 1, callers=_CALLERS, requests=_MANY
+    context.traffic = traffic.Traffic(
+        context.fleet, 1, callers=_CALLERS, requests=_REQUESTS_PER_CALLER
     )
-    context.load.start()
+    context.traffic.start()
     _wait_for_more(context)
 
 
 def _wait_for_more(context) -> None:
-    wanted = context.load.ended + _SOME
-    context.load.wait_for(wanted, _PATIENCE_S)
-    assert context.load.ended >= wanted, "the traffic stands still"
+    target_count = context.traffic.ended + _MIN_NEW_REQUESTS
+    context.traffic.wait_for(target_count, _PROGRESS_TIMEOUT_S)
+    assert context.traffic.ended >= target_count, (
+        "the traffic makes no progress"
+    )
 
 
 @behave.when("each VM in turn is drained, replaced and listed again")
 def step_roll(context) -> None:
-    context.codes = {}
+    context.exit_codes = {}
     for number, vm_id in enumerate(sorted(context.fleet.vms_by_id)):
         if number == 1:
             context.fleet.platform(
                 "POST", "/standin/mode", {"mode": "down", "how": "503"}
             )
-        _leave(context, vm_id)
+        _drain(context, vm_id)
         if number == 1:
             context.fleet.platform("POST", "/standin/mode", {"mode": "up"})
-        _come_back(context, vm_id)
+        _restart(context, vm_id)
         _wait_for_more(context)
-    context.load.stop()
-    context.asked = context.load.finish()
+    context.traffic.stop()
+    context.requests = context.traffic.finish()
 
 
-def _leave(context, vm_id: str) -> None:
+def _drain(context, vm_id: str) -> None:
     fleet = context.fleet
     fleet.vms_by_id[vm_id].state = "leaving"
     fleet.publish_vms()
@@ -65,10 +67,10 @@
         process.send_signal(signal.SIGTERM)
         process.wait_for_event("draining")
         process.send_signal(signal.SIGTERM)
-        context.codes[process.name] = process.wait()
+        context.exit_codes[process.name] = process.wait()
 
 
-def _come_back(context, vm_id: str) -> None:
+def _restart(context, vm_id: str) -> None:
     fleet = context.fleet
     for name in reversed(_PROCESSES):
         fleet.restart_process(vm_id, name)
@@ -77,22 +79,27 @@
     fleet.publish_vms()
 
 
-@behave.then("every request that its caller didn't leave got its whole answer")
-def step_whole(context) -> None:
-    good = {traffic.End.WHOLE, traffic.End.DROPPED}
-    # A caller that sends its ticket twice at once is told so; that is no cut.
-    bad = [
-        (asked.body, outcome)
-        for asked in context.asked
-        for outcome in asked.outcomes
-        if outcome.end not in good and outcome.code != "in_progress"
+@behave.then("every request not dropped by its caller got a complete response")
+def step_complete_responses(context) -> None:
+    accepted_ends = {traffic.End.WHOLE, traffic.End.DROPPED}
+    # A caller that sends one ticket twice concurrently gets the error
+    # `in_progress`, which is correct and not an interrupted response.
+    failed = [
+        (request.body, outcome)
+        for request in context.requests
+        for outcome in request.outcomes
+        if outcome.end not in accepted_ends and outcome.code != "in_progress"
+    ]
+    assert not failed, f"{len(failed)} of {len(context.requests)}: {failed[:5]}"
+    runs = truth.plain_runs(context.fleet)
+    violations = [
+        violation
+        for request in context.requests
+        for violation in truth.lies(request, runs)
     ]
-    assert not bad, f"{len(bad)} of {len(context.asked)}: {bad[:5]}"
-    ran = truth.plain_runs(context.fleet)
-    lies = [lie for asked in context.asked for lie in truth.lies(asked, ran)]
-    assert not lies, lies[:5]
+    assert not violations, violations[:5]
 
 
-@behave.then("each process ended with exit code 0")
-def step_codes(context) -> None:
-    assert set(context.codes.values()) == {0}, context.codes
+@behave.then("each process exited with code 0")
+def step_exit_codes(context) -> None:
+    assert set(context.exit_codes.values()) == {0}, context.exit_codes
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps about settings, on real processes."""
+"""Behave steps for settings, run against real processes."""
 
 import io
 import itertools
@@ -18,7 +18,7 @@
 from cowsliprill.settings import parts
 from cowsliprill.settings import publish
 
-_IN_FORCE = r"event=settings_in_force revision=(\d+)"
+_IN_FORCE_PATTERN = r"event=settings_in_force revision=(\d+)"
 
 
 def _start(context, platforms: int, vms: int) -> None:
@@ -27,11 +27,11 @@
     context.cluster.start_platforms(platforms)
     for number in range(vms):
         context.cluster.start_vm(number % platforms)
-    context.cluster.put_list()
+    context.cluster.publish_vm_list()
     for vm in context.cluster.vms:
         vm.wait_for(r"event=settings_in_force revision=1 ")
         settings_cluster.wait_until(
-            lambda vm=vm: _status(vm)["vms"] == vms, "the whole VM list"
+            lambda vm=vm: _status(vm)["vms"] == vms, "the VM list is complete"
         )
 
 
@@ -51,13 +51,13 @@
     _start(context, platforms, vms)
 
 
-@behave.when("each platform cuts {fail:d} of {of:d} calls")
+@behave.when("each platform aborts {fail:d} of {of:d} calls")
 def step_flap(context, fail, of) -> None:
     for number in range(len(context.cluster.platforms)):
         context.cluster.set_mode(number, mode="flap", fail=fail, of=of)
 
 
-@behave.when("each platform answers after {delay_s:d} second")
+@behave.when("each platform responds after {delay_s:d} second")
 def step_slow(context, delay_s) -> None:
     for number in range(len(context.cluster.platforms)):
         context.cluster.set_mode(number, mode="slow", delay_s=delay_s)
@@ -74,7 +74,7 @@
     context.cluster.set_mode(number, mode="stale", only="values")
 
 
-@behave.when("platform {number:d} takes calls and never answers")
+@behave.when("platform {number:d} accepts calls but never responds")
 def step_hang(context, number) -> None:
     context.cluster.set_mode(number, mode="down", how="hang")
 
@@ -105,25 +105,27 @@
 
 
 @behave.then("revision {revision:d} is still in force on every VM")
-def step_still(context, revision) -> None:
+def step_unchanged(context, revision) -> None:
     for vm in context.cluster.vms:
         assert _status(vm)["revision"] == revision
 
 
-@behave.then("the revision in force never fell on any VM")
-def step_never_fell(context) -> None:
+@behave.then("the revision in force never decreased on any VM")
+def step_never_decreased(context) -> None:
     for vm in context.cluster.vms:
-        revisions = [int(each) for each in vm.matching(_IN_FORCE)]
+        revisions = [
+            int(each) for each in vm.captured_groups(_IN_FORCE_PATTERN)
+        ]
         assert revisions
         for older, newer in itertools.pairwise(revisions):
             assert older < newer, revisions
 
 
 @behave.then(
-    "the VM at platform {number:d} says that the platform offers an older "
+    "the VM at platform {number:d} reports that the platform offers an older "
     "revision"
 )
-def step_says_older(context, number) -> None:
+def step_reports_older(context, number) -> None:
     vm = context.cluster.vms[number]
     vm.wait_for("event=platform_trouble code=settings_older")
 
@@ -148,8 +150,8 @@
     assert _status(vm)["vms"] == vms
 
 
-@behave.then("the new VM gives local processes revision {revision:d} first")
-def step_first_given(context, revision) -> None:
+@behave.then("the new VM first serves revision {revision:d} to local processes")
+def step_first_served(context, revision) -> None:
     url = context.cluster.vms[-1].url
     head = settings_cluster.call(
         "GET", f"{url}{peers.SETTINGS_PATH}?have=0&wait_s=20"
@@ -166,13 +168,21 @@
     )
 
 
-def _publish_texts(context, texts: dict[str, str], **wrong: str) -> None:
-    """Publishes parts, with the wrong content under some parts' hashes."""
+def _publish_texts(
+    context, texts: dict[str, str], **wrong_texts_by_hash: str
+) -> None:
+    """Publishes revision 2 from its parts, some with mismatched content.
+
+    Args:
+      context: The context of the scenario.
+      texts: Texts of the parts by name.
+      **wrong_texts_by_hash: Texts stored in place of the part of that hash.
+    """
     hashes = {name: parts.hash_of(text) for name, text in texts.items()}
     index = parts.index_text(hashes)
     for text in [*texts.values(), index]:
         text_hash = parts.hash_of(text)
-        content = wrong.get(text_hash, text).encode()
+        content = wrong_texts_by_hash.get(text_hash, text).encode()
         _put_raw(context, parts.PART_PREFIX + text_hash, content, 2)
     head = parts.Head(
         revision=2, index=parts.hash_of(index), published_by="ann"
@@ -180,62 +190,62 @@
     _put_raw(context, parts.HEAD_NAME, parts.head_text(head).encode(), 2)
 
 
-def _texts(priority: int) -> dict[str, str]:
+def _part_texts(priority: int) -> dict[str, str]:
     tree = settings_cluster.document(2, priority)
     return publish.split(json.dumps(tree))
 
 
-def _half_a_head(context) -> None:
+def _put_truncated_head(context) -> None:
     head = parts.Head(revision=2, index="ab" * 16, published_by="ann")
     text = parts.head_text(head)
     _put_raw(context, parts.HEAD_NAME, text[: len(text) // 2].encode(), 2)
 
 
-def _no_json(context) -> None:
+def _put_invalid_json(context) -> None:
     _put_raw(context, parts.HEAD_NAME, b"\xff\xfe\x00", 2)
 
 
-def _large_head(context) -> None:
+def _put_oversized_head(context) -> None:
     _put_raw(context, parts.HEAD_NAME, b" " * 5_000_000, 2)
 
 
-def _invalid_tree(context) -> None:
-    texts = _texts(12)
+def _publish_invalid_tree(context) -> None:
+    texts = _part_texts(12)
     texts["root"] = '{"service_default":{}}'
     _publish_texts(context, texts)
 
 
-def _large_part(context) -> None:
-    texts = _texts(12)
+def _publish_oversized_part(context) -> None:
+    texts = _part_texts(12)
     texts["root"] = "{" + " " * 1_000_001 + "}"
     _publish_texts(context, texts)
 
 
-def _wrong_part(context) -> None:
-    texts = _texts(13)
-    old = publish.split(json.dumps(settings_cluster.document(1)))
+def _publish_mismatched_part(context) -> None:
+    texts = _part_texts(13)
+    old_texts = publish.split(json.dumps(settings_cluster.document(1)))
     text_hash = parts.hash_of(texts["user/umurongo"])
-    _publish_texts(context, texts, **{text_hash: old["user/umurongo"]})
+    _publish_texts(context, texts, **{text_hash: old_texts["user/umurongo"]})
 
 
-_UNUSABLE = {
-    "half a head": _half_a_head,
-    "bytes that are not JSON": _no_json,
-    "a head above a megabyte": _large_head,
-    "an invalid tree": _invalid_tree,
-    "a part above a megabyte": _large_part,
-    "a part of another revision": _wrong_part,
+_WRITERS_BY_INVALID_VALUE = {
+    "half a head": _put_truncated_head,
+    "bytes that are not JSON": _put_invalid_json,
+    "a head above a megabyte": _put_oversized_head,
+    "an invalid tree": _publish_invalid_tree,
+    "a part above a megabyte": _publish_oversized_part,
+    "a part of another revision": _publish_mismatched_part,
 }
 
 
-@behave.then("the VMs stay at revision 1 and say why while the platform holds")
-def step_unusable(context) -> None:
+@behave.then("the VMs stay at revision 1 and log the reason for each value")
+def step_invalid_values(context) -> None:
     for row in context.table:
         for vm in context.cluster.vms:
-            vm.forget()
-        _UNUSABLE[row["what"]](context)
+            vm.skip_current_lines()
+        _WRITERS_BY_INVALID_VALUE[row["value"]](context)
         for vm in context.cluster.vms:
-            vm.wait_for(rf"(event|code)={row['said']}\b")
+            vm.wait_for(rf"(event|code)={row['logged']}\b")
             assert _status(vm)["revision"] == 1
 
 
@@ -272,40 +282,42 @@
     command = commands.AuditCommand(context.cluster.vms[0].url)
     assert core.run(command, terminal) == errors.ExitCode.OK
     lines = stdout.getvalue().splitlines()
-    wanted = f"audit=settings_in_force vm=vm0 revision={revision} "
-    shown = [line for line in lines if wanted in line]
-    assert any("published_by=ann" in line for line in shown), lines
+    expected = f"audit=settings_in_force vm=vm0 revision={revision} "
+    matching_lines = [line for line in lines if expected in line]
+    assert any("published_by=ann" in line for line in matching_lines), lines
 
 
 @behave.then("one of the two revisions {revision:d} is in force on every VM")
 def step_one_of_two(context, revision) -> None:
-    def agreed() -> bool:
+    def has_converged() -> bool:
         states = [_status(vm) for vm in context.cluster.vms]
         indexes = {state["index"] for state in states}
         revisions = {state["revision"] for state in states}
         return len(indexes) == 1 and revisions == {revision}
 
-    settings_cluster.wait_until(agreed, "one index on every VM")
+    settings_cluster.wait_until(
+        has_converged, "every VM has the same index and revision"
+    )
 
 
-@behave.then("the audit trail of a VM tells of the conflict")
+@behave.then("the audit trail of a VM contains the conflict")
 def step_conflict_audited(context) -> None:
-    audits = [
+    entries = [
         entry
         for vm in context.cluster.vms
         for entry in settings_cluster.call("GET", vm.url + peers.AUDIT_PATH)
     ]
-    assert any(each["audit"] == "settings_conflict" for each in audits)
+    assert any(each["audit"] == "settings_conflict" for each in entries)
 
 
-@behave.when("each half of the VMs is listed only for itself")
+@behave.when("the VM list of each half contains only that half")
 def step_split(context) -> None:
     cluster = context.cluster
-    cluster.put_half_lists()
+    cluster.publish_split_vm_lists()
     for vm in cluster.vms:
         settings_cluster.wait_until(
             lambda vm=vm: _status(vm)["vms"] == len(cluster.vms) // 2,
-            "half a VM list",
+            "the VM list contains half of the VMs",
         )
 
 
@@ -315,17 +327,18 @@
     context.cluster.publish(tree, number)
 
 
-@behave.when("all VMs are listed for each other again")
-def step_join(context) -> None:
-    # Only once the halves differ does joining them prove anything.
+@behave.when("all VMs are in every VM list again")
+def step_merge_lists(context) -> None:
+    # Merging the lists tests something only once the halves differ.
     for vm in context.cluster.vms[1::2]:
         vm.wait_for("event=settings_in_force revision=2 ")
         assert _status(vm)["revision"] == 2
-    context.cluster.put_list()
+    context.cluster.publish_vm_list()
 
 
 @behave.given(
-    "an entry on VM {number:d} follows the settings, at revision {revision:d}"
+    "an entry process on VM {number:d} follows the settings, at revision "
+    "{revision:d}"
 )
 def step_follow(context, number, revision) -> None:
     context.cluster.start_follower(number)
@@ -333,8 +346,8 @@
     follower.wait_for(f"event=settings_followed revision={revision}$")
 
 
-@behave.when("the platform turns back to revision 1")
-def step_turn_back(context) -> None:
+@behave.when("the platform reverts to revision 1")
+def step_revert(context) -> None:
     context.cluster.set_mode(0, mode="stale", back=1, only="values")
 
 
@@ -343,45 +356,47 @@
     context.cluster.replace_settings_process(number)
 
 
-@behave.then("revision 1 is offered to the entry and not taken")
-def step_not_taken(context) -> None:
+@behave.then("the entry process is offered revision 1 and rejects it")
+def step_older_rejected(context) -> None:
     context.cluster.vms[0].wait_for("event=settings_in_force revision=1 ")
     follower = context.cluster.followers[-1]
     follower.wait_for("event=settings_offered_older revision=1 in_force=2")
-    assert not follower.matching("event=settings_followed (revision=1)")
+    assert not follower.captured_groups("event=settings_followed (revision=1)")
 
 
 @behave.when("the platform works again with revision {revision:d}")
-def step_works_again(context, revision) -> None:
+def step_recover(context, revision) -> None:
     context.cluster.set_mode(0, mode="up")
     step_publish(context, revision)
 
 
 @behave.then(
-    "the entry follows with revision {newer:d} after revision {older:d}"
+    "the entry process applies revision {newer:d} after revision {older:d}"
 )
-def step_follows_on(context, newer, older) -> None:
+def step_applies_newer(context, newer, older) -> None:
     follower = context.cluster.followers[-1]
     follower.wait_for(f"event=settings_followed revision={newer}$")
-    followed = follower.matching(r"event=settings_followed revision=(\d+)")
+    followed = follower.captured_groups(
+        r"event=settings_followed revision=(\d+)"
+    )
     assert followed == [str(older), str(newer)], followed
 
 
 @behave.when("the VM list marks {vm} as leaving")
 def step_list_leaving(context, vm) -> None:
-    context.cluster.put_list(vm)
+    context.cluster.publish_vm_list(vm)
 
 
 @behave.when("VM {number:d} is paused")
 def step_pause(context, number) -> None:
-    context.cluster.vms[number].signal(signal.SIGSTOP)
+    context.cluster.vms[number].send_signal(signal.SIGSTOP)
 
 
-@behave.when("VM {number:d} goes on")
-def step_go_on(context, number) -> None:
+@behave.when("VM {number:d} resumes")
+def step_resume(context, number) -> None:
     for vm in context.cluster.vms[:number]:
         vm.wait_for("event=settings_in_force revision=3 ")
-    context.cluster.vms[number].signal(signal.SIGCONT)
+    context.cluster.vms[number].send_signal(signal.SIGCONT)
 
 
 @behave.when(
@@ -400,7 +415,7 @@
     )
 
 
-@behave.then("every VM says that {endpoint} is leaving")
+@behave.then("every VM reports that {endpoint} is leaving")
 def step_leaving(context, endpoint) -> None:
     for vm in context.cluster.vms:
         settings_cluster.wait_until(
@@ -410,27 +425,27 @@
 
 
 @behave.then("every VM uses {endpoint} again later")
-def step_back(context, endpoint) -> None:
+def step_no_longer_leaving(context, endpoint) -> None:
     for vm in context.cluster.vms:
         settings_cluster.wait_until(
             lambda vm=vm: endpoint not in _status(vm)["leaving_endpoints"],
-            f"{endpoint} is used again",
+            f"{endpoint} is no longer leaving",
         )
 
 
-@behave.when("a stranger announces revision {revision:d}")
-def step_stranger(context, revision) -> None:
+@behave.when("an unauthenticated peer announces revision {revision:d}")
+def step_unauthenticated_peer(context, revision) -> None:
     message = {"url": "http://127.0.0.1:9", "revision": revision, "index": "ff"}
     try:
         settings_cluster.call(
             "POST", context.cluster.vms[0].url + peers.EXCHANGE_PATH, message
         )
-        context.refusal = 0
+        context.error_status = 0
     except urllib.error.HTTPError as error:
-        context.refusal = error.code
+        context.error_status = error.code
 
 
-@behave.then("the VM refuses the stranger")
-def step_refused(context) -> None:
-    assert context.refusal == 403
-    assert not context.cluster.vms[0].matching("(127.0.0.1:9)/")
+@behave.then("the VM rejects the unauthenticated peer")
+def step_rejected(context) -> None:
+    assert context.error_status == 403
+    assert not context.cluster.vms[0].captured_groups("(127.0.0.1:9)/")
--- a/features/support/dispatch_site.py
+++ b/features/support/dispatch_site.py
@@ -1,4 +1,7 @@
-"""A small site for the dispatch features: real processes on kernel's ports."""
+"""Small deployment of real processes for the dispatch features.
+
+Every process listens on a port that the kernel assigns.
+"""
 
 import json
 import pathlib
@@ -15,24 +18,24 @@
 _TIMEOUT_S = 15.0
 
 
-def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Asks a process again and again until its state is as expected."""
+def wait_until(condition: Callable[[], bool], description: str) -> None:
+    """Polls until the condition holds; raises AssertionError on a timeout."""
     pause = threading.Event()
     for _ in range(int(_TIMEOUT_S * 10)):
         if condition():
             return
         pause.wait(0.1)
-    raise AssertionError(f"not within {_TIMEOUT_S} s: {what}")
+    raise AssertionError(f"not within {_TIMEOUT_S} s: {description}")
 
 
 class Vm:
-    """One VM: its settings and its dispatch process.
+    """A VM with its settings process and its dispatch process.
 
     Attributes:
       name: Id of the VM.
       settings: The settings process.
       dispatch: The dispatch process.
-      entry_ports: Ports of its (fake) entry processes.
+      entry_ports: Ports of the fake entry processes on the VM.
     """
 
     def __init__(self, name: str, folder: pathlib.Path, platform: str) -> None:
@@ -57,7 +60,7 @@
         return f"http://127.0.0.1:{self.dispatch_port}"
 
     def start_dispatch(self) -> None:
-        """Starts the dispatch process, again on its port if it had one."""
+        """Starts the dispatch process; a restart reuses the previous port."""
         self.dispatch = self._start(
             "dispatch",
             port=self.dispatch_port,
@@ -65,11 +68,11 @@
         )
 
     def wait_for_dispatch(self) -> None:
-        """Waits for the dispatch process' port."""
+        """Waits until the dispatch process listens and records its port."""
         self.dispatch_port = _port(self.dispatch)
 
-    def listed(self) -> dict[str, Any]:
-        """Returns the VM as the platform lists it."""
+    def vm_list_entry(self) -> dict[str, Any]:
+        """Returns the VM's entry in the platform's VM list."""
         return {
             "id": self.name,
             "host": "127.0.0.1",
@@ -80,26 +83,32 @@
             "entry_ports": self.entry_ports,
         }
 
-    def send(self, number: signal.Signals) -> None:
-        """Signals both processes, as when the whole VM is paused."""
-        self.settings.send_signal(number)
-        self.dispatch.send_signal(number)
+    def send_signal(self, signum: signal.Signals) -> None:
+        """Sends a signal to both processes, for example to pause the VM."""
+        self.settings.send_signal(signum)
+        self.dispatch.send_signal(signum)
 
     def _start(self, kind: str, **fields: Any) -> child.Child:
         path = self._folder / f"{self.name}-{kind}.json"
-        own = {"vm": self.name, "availability_zone": _ZONE, "process": kind}
-        path.write_text(json.dumps({**own, **fields}), encoding="utf-8")
+        common_fields = {
+            "vm": self.name,
+            "availability_zone": _ZONE,
+            "process": kind,
+        }
+        path.write_text(
+            json.dumps({**common_fields, **fields}), encoding="utf-8"
+        )
         module = f"cowsliprill.{kind}"
         return child.Child(f"{kind}.{self.name}", module, [str(path)])
 
 
 class Site:
-    """A platform, VMs, engines and fake entries.
+    """A platform, VMs, engines and fake entry processes.
 
     Attributes:
-      vms_by_name: The VMs.
-      engines_by_id: Processes of the engines.
-      entries_by_incarnation: Processes of the fake entries.
+      vms_by_name: The VMs by id.
+      engines_by_id: Processes of the engine stand-ins.
+      entries_by_incarnation: Fake entry processes.
     """
 
     def __init__(self) -> None:
@@ -113,11 +122,11 @@
         self.vms_by_name: dict[str, Vm] = {}
         self.engines_by_id: dict[str, child.Child] = {}
         self.entries_by_incarnation: dict[str, child.Child] = {}
-        self._nodes_by_engine: dict[str, dict[str, Any]] = {}
+        self._endpoint_settings_by_id: dict[str, dict[str, Any]] = {}
         self._revision = 0
 
     def add_vms(self, *names: str) -> None:
-        """Starts VMs' processes; they are listed by `list_vms`."""
+        """Starts the processes of VMs without publishing the VM list."""
         vms = [Vm(name, self._folder, self._platform_url) for name in names]
         self.vms_by_name.update(zip(names, vms, strict=True))
         for vm in vms:
@@ -136,14 +145,14 @@
         return incarnation
 
     def add_engine(self, name: str, role: str, *arguments: str) -> None:
-        """Starts an engine's stand-in and describes it for the settings."""
+        """Starts an engine stand-in and adds the engine to the settings."""
         engine = child.Child(
             name,
             "cowsliprill.standins",
             ["engine", f"--id={name}", f"--role={role}", *arguments],
         )
         self.engines_by_id[name] = engine
-        self._nodes_by_engine[name] = {
+        self._endpoint_settings_by_id[name] = {
             "kind": role,
             "host": "127.0.0.1",
             "availability_zone": _ZONE,
@@ -155,33 +164,40 @@
         }
 
     def engine_url(self, name: str) -> str:
-        """Returns an engine's URL."""
+        """Returns the URL of an engine."""
         return f"http://127.0.0.1:{_port(self.engines_by_id[name])}"
 
-    def list_vms(self, *names: str) -> None:
-        """Has the platform list these VMs, all if none are named."""
-        chosen = names or tuple(self.vms_by_name)
-        vms = [self.vms_by_name[name].listed() for name in chosen]
+    def publish_vm_list(self, *names: str) -> None:
+        """Replaces the platform's VM list by the named VMs, by default all."""
+        listed_names = names or tuple(self.vms_by_name)
+        vms = [self.vms_by_name[name].vm_list_entry() for name in listed_names]
         self._put("/standin/vms", vms)
 
     def publish(self, **fields_by_engine: dict[str, Any]) -> int:
-        """Publishes the engines with changed fields as the next revision."""
+        """Updates fields of engines and publishes the next settings revision.
+
+        Args:
+          **fields_by_engine: Fields to change, by engine id.
+
+        Returns:
+          The published revision.
+        """
         for name, fields in fields_by_engine.items():
-            self._nodes_by_engine[name].update(fields)
+            self._endpoint_settings_by_id[name].update(fields)
         for name, engine in self.engines_by_id.items():
-            self._nodes_by_engine[name]["port"] = _port(engine)
+            self._endpoint_settings_by_id[name]["port"] = _port(engine)
         self._revision += 1
         document = {
             "revision": self._revision,
             "published_by": "feature",
             "users": {},
-            "pools": {"briefs": {"endpoints": self._nodes_by_engine}},
+            "pools": {"briefs": {"endpoints": self._endpoint_settings_by_id}},
         }
         self._put("/standin/document", document)
         return self._revision
 
-    def wait_ready(self, *names: str) -> None:
-        """Waits until dispatch processes know settings and VM list."""
+    def wait_until_ready(self, *names: str) -> None:
+        """Waits until the named VMs' dispatch processes are ready, or all."""
         for name in names or tuple(self.vms_by_name):
             url = f"{self.vms_by_name[name].url}/readyz"
             wait_until(
@@ -189,8 +205,8 @@
                 f"{name} is ready",
             )
 
-    def held(self, engine: str) -> dict[str, int]:
-        """Returns what an engine holds in memory."""
+    def held_resources(self, engine: str) -> dict[str, int]:
+        """Returns the slots, KV blocks and KV exports that an engine holds."""
         url = f"{self.engine_url(engine)}/standin/held"
         return http_calls.call("GET", url).json()
 
@@ -200,13 +216,13 @@
         requests = http_calls.call("GET", url).json()["requests"]
         return {request["request_id"] for request in requests}
 
-    def misbehave(self, engine: str, **fields: Any) -> None:
-        """Has an engine misbehave; without fields it behaves again."""
+    def set_faults(self, engine: str, **fields: Any) -> None:
+        """Sets the faults that an engine injects; no fields clear them."""
         url = f"{self.engine_url(engine)}/standin/misbehave"
         assert http_calls.call("POST", url, fields).status == 200
 
     def close(self) -> None:
-        """Ends everything that was started."""
+        """Ends all processes and removes the temporary directory."""
         processes = [
             *self.entries_by_incarnation.values(),
             *self.engines_by_id.values(),
@@ -218,8 +234,8 @@
         self._temporary.cleanup()
 
     def _put(self, path: str, value: Any) -> None:
-        answer = http_calls.call("PUT", self._platform_url + path, value)
-        assert answer.status == 200, answer.body
+        response = http_calls.call("PUT", self._platform_url + path, value)
+        assert response.status == 200, response.body
 
 
 def _port(process: child.Child) -> int:
--- a/features/support/endpoint_processes.py
+++ b/features/support/endpoint_processes.py
@@ -1,4 +1,4 @@
-"""Engines and a booking desk as processes, with the router's clients."""
+"""Engines and a booking service as processes, with the router's clients."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 
 REQUEST_ID = "vm1.e0.a1.1.0"
 _BODY = {"prompt": "a case file", "max_tokens": 100_000}
-_STALL_S = 0.5
+_STALL_TIMEOUT_S = 0.5
 _BOOKING_TIMEOUT_S = 0.5
 
 _ARGUMENTS_BY_ID = {
@@ -42,67 +42,72 @@
 
 
 class EndpointProcesses:
-    """Starts the stand-ins, calls them and disturbs them.
+    """Starts endpoint stand-ins, calls them and injects process faults.
 
     Attributes:
-      client: Client of engines.
-      endpoints_by_id: Where each is.
+      runner: Runner of the event loop that the clients use.
+      client: Engine client.
+      endpoints_by_id: Endpoints of the processes.
     """
 
     def __init__(self) -> None:
         self.runner = asyncio.Runner()
         http = http_client.HttpClient()
-        self.client = engine_client.EngineClient(http, stall_s=_STALL_S)
+        self.client = engine_client.EngineClient(http, stall_s=_STALL_TIMEOUT_S)
         self._service_client = service_client.ServiceClient(http)
         self._children_by_id = {
-            name: child.Child(
-                name, "cowsliprill.standins", [*arguments, "--id", name]
+            endpoint_id: child.Child(
+                endpoint_id,
+                "cowsliprill.standins",
+                [*arguments, "--id", endpoint_id],
             )
-            for name, arguments in _ARGUMENTS_BY_ID.items()
+            for endpoint_id, arguments in _ARGUMENTS_BY_ID.items()
         }
         self.endpoints_by_id = {
-            name: model.Endpoint(
-                id=name,
-                kind=_KINDS_BY_ID[name],
+            endpoint_id: model.Endpoint(
+                id=endpoint_id,
+                kind=_KINDS_BY_ID[endpoint_id],
                 host="127.0.0.1",
                 port=int(process.wait_for_event("started")["port"]),
                 availability_zone="gasabo",
                 pool="briefs",
                 slots=20,
             )
-            for name, process in self._children_by_id.items()
+            for endpoint_id, process in self._children_by_id.items()
         }
 
     def close(self) -> None:
-        """Kills what was started."""
+        """Kills all processes and closes the event loop."""
         for process in self._children_by_id.values():
             process.end()
         self.runner.close()
 
-    def suspend(self, name: str) -> None:
-        """Stops a process, as a suspended VM does."""
-        self._children_by_id[name].send_signal(signal.SIGSTOP)
+    def suspend(self, endpoint_id: str) -> None:
+        """Pauses a process with SIGSTOP, as if its VM were suspended."""
+        self._children_by_id[endpoint_id].send_signal(signal.SIGSTOP)
 
-    def wake(self, name: str) -> None:
-        """Lets a suspended process go on."""
-        self._children_by_id[name].send_signal(signal.SIGCONT)
+    def resume(self, endpoint_id: str) -> None:
+        """Resumes a suspended process."""
+        self._children_by_id[endpoint_id].send_signal(signal.SIGCONT)
 
-    def kill(self, name: str) -> None:
+    def kill(self, endpoint_id: str) -> None:
         """Kills a process."""
-        self._children_by_id[name].end()
+        self._children_by_id[endpoint_id].end()
 
-    def admin(self, name: str, method: str, path: str, body: Any = None) -> Any:
-        """Calls a stand-in's interface for tests."""
-        url = f"http://127.0.0.1:{self.endpoints_by_id[name].port}{path}"
+    def call_test_api(
+        self, endpoint_id: str, method: str, path: str, body: Any = None
+    ) -> Any:
+        """Calls the test API of a stand-in and returns the JSON response."""
+        url = f"http://127.0.0.1:{self.endpoints_by_id[endpoint_id].port}{path}"
         return http_calls.call(method, url, body).json()
 
-    async def begin_answer(
+    async def start_stream(
         self,
     ) -> tuple[token_stream.TokenStream, AsyncIterator[bytes]]:
         """Runs a prefill and reads the first token of its decode.
 
         Returns:
-          The stream, and its iterator after the first token.
+          The stream and its iterator, positioned after the first token.
         """
         result = await self.client.prefill(
             self.endpoints_by_id["prefill"], REQUEST_ID, _BODY
@@ -120,10 +125,10 @@
         """Makes a booking.
 
         Args:
-          timeout_s: Time for the whole call.
+          timeout_s: Timeout of the whole call in seconds.
 
         Returns:
-          The desk's answer.
+          The response of the booking service.
         """
         return await self._service_client.call(
             self.endpoints_by_id["desk"],
--- a/features/support/entry_site.py
+++ b/features/support/entry_site.py
@@ -1,4 +1,4 @@
-"""A small fleet for the entry's features, and its callers."""
+"""Small fleet for the entry process features, with calls to the fleet."""
 
 import concurrent.futures
 import contextlib
@@ -14,12 +14,12 @@
 
 USER = "umurongo/firm-1"
 ENTRY = "vm-0.e0"
-_TOKENS = 60
-_WORDS = "a long case file "
+_DEFAULT_MAX_TOKENS = 60
+_PROMPT_PHRASE = "a long case file "
 
 
 def document() -> dict[str, Any]:
-    """Returns the settings of one customer with few endpoints."""
+    """Returns settings with a single customer and few endpoints."""
     settings = copy.deepcopy(small_site.document())
     del settings["users"]["zarqa-lane"]
     for name in list(settings["pools"]):
@@ -30,7 +30,8 @@
     brief["ttft_target_s"] = 20.0
     booking = settings["users"]["umurongo"]["services"]["booking"]
     booking["timeout_s"] = 4.0
-    # Evictions are another feature's matter; a busy machine would cause them.
+    # Long enough to avoid evictions on a slow machine: these features don't
+    # cover evictions.
     briefs = settings["pools"]["umurongo-briefs"]
     briefs["endpoint_defaults"]["export_ttl_s"] = 20.0
     return settings
@@ -40,8 +41,8 @@
     """Two VMs, each with one entry process.
 
     Attributes:
-      fleet: The processes.
-      answers: Answers to come, in order of the calls.
+      fleet: The processes of the fleet.
+      responses: Futures of the responses, in the order of the calls.
     """
 
     def __init__(self) -> None:
@@ -50,66 +51,72 @@
         )
         self._stack = contextlib.ExitStack()
         self._stack.enter_context(self.fleet)
-        self._pool = self._stack.enter_context(
+        self._executor = self._stack.enter_context(
             concurrent.futures.ThreadPoolExecutor(64)
         )
-        self.answers: list[concurrent.futures.Future[http_calls.Answer]] = []
+        self.responses: list[concurrent.futures.Future[http_calls.Answer]] = []
 
     def start(self) -> None:
-        """Starts everything and waits until it is ready."""
+        """Starts the fleet and waits until it is ready."""
         self.fleet.start(vms=2)
 
     def close(self) -> None:
-        """Ends everything."""
+        """Ends all processes."""
         for process in self.fleet.children_by_name.values():
             process.end()
         self._stack.close()
 
     @property
     def entry(self) -> child.Child:
-        """The process that is disturbed."""
+        """The entry process that the features signal and kill."""
         return self.fleet.children_by_name[ENTRY]
 
     def status(self) -> dict[str, Any]:
-        """Returns what the disturbed process says of itself."""
+        """Returns the status that the entry process under test reports."""
         url = f"{self.fleet.peer_url('vm-0', 'e0')}/v1/status"
         return http_calls.call("GET", url).json()
 
     def call(
         self, path: str, body: Any, vm_id: str = "vm-0", **headers: str
     ) -> http_calls.Answer:
-        """Calls as a caller does and waits for the whole answer."""
-        names = {name.replace("_", "-"): text for name, text in headers.items()}
+        """Sends a request as a caller and waits for the complete response."""
+        http_headers = {
+            name.replace("_", "-"): text for name, text in headers.items()
+        }
         key = fleet_document.key_of(USER)
-        names["Authorization"] = f"Bearer {key}"
+        http_headers["Authorization"] = f"Bearer {key}"
         return http_calls.call(
-            "POST", self.fleet.url(vm_id) + path, body, names
+            "POST", self.fleet.url(vm_id) + path, body, http_headers
         )
 
     def send(self, path: str, body: Any, **headers: str) -> None:
-        """Calls without waiting; the answer goes to `answers`."""
-        self.answers.append(self._pool.submit(self.call, path, body, **headers))
+        """Sends a request in a thread and adds its future to `responses`."""
+        self.responses.append(
+            self._executor.submit(self.call, path, body, **headers)
+        )
 
-    def send_brief(self, words: int = 10, tokens: int = _TOKENS) -> None:
-        """Asks for a streamed brief without waiting."""
-        prompt = f"{len(self.answers)} " + _WORDS * words
+    def send_brief(
+        self, phrase_count: int = 10, max_tokens: int = _DEFAULT_MAX_TOKENS
+    ) -> None:
+        """Requests a streamed brief in a thread."""
+        prompt = f"{len(self.responses)} " + _PROMPT_PHRASE * phrase_count
         body = {
             "model": "brief",
             "prompt": prompt,
-            "max_tokens": tokens,
+            "max_tokens": max_tokens,
             "stream": True,
         }
         self.send("/v1/completions", body)
 
-    def misbehave(self, kind: str, **fields: Any) -> None:
-        """Has all endpoints of a kind misbehave, or behave again."""
+    def set_faults(self, kind: str, **fields: Any) -> None:
+        """Sets the faults of all endpoints of a kind; no fields clear them."""
         for endpoint_id in self.fleet.endpoint_ids(kind):
             self.fleet.standin(
                 endpoint_id, "POST", "/standin/misbehave", fields
             )
 
-    def running(self, kind: str) -> list[dict[str, Any]]:
-        """Lists what the engines of a kind hold."""
+    def running_requests(self, kind: str) -> list[dict[str, Any]]:
+        """Returns the requests that the engines of a kind hold."""
         return [
             request
             for endpoint_id in self.fleet.endpoint_ids(kind)
@@ -118,8 +125,8 @@
             )["requests"]
         ]
 
-    def decoded(self) -> list[str]:
-        """Lists the ids of all attempts that the decode engines took."""
+    def decode_attempt_ids(self) -> list[str]:
+        """Returns the ids of all attempts that the decode engines accepted."""
         return [
             entry["request_id"]
             for endpoint_id in self.fleet.endpoint_ids("decode")
@@ -128,8 +135,8 @@
             )["requests"]
         ]
 
-    def bookings(self) -> int:
-        """Counts what the desk has booked."""
+    def booking_count(self) -> int:
+        """Returns the number of bookings that the booking service made."""
         return sum(
             len(
                 self.fleet.standin(endpoint_id, "GET", "/standin/journal")[
@@ -139,8 +146,11 @@
             for endpoint_id in self.fleet.endpoint_ids("plain")
         )
 
-    def is_leased(self) -> bool:
-        """Asks for a short brief; returns whether all engines are leased."""
+    def are_engines_leased(self) -> bool:
+        """Returns whether the entry process has leased slots of every engine.
+
+        Sends a short request first, which creates the demand for slots.
+        """
         body = {"model": "brief", "prompt": "short", "max_tokens": 1}
         self.call("/v1/completions", body)
         url = f"{self.fleet.peer_url('vm-0', 'e0')}/metrics"
--- a/features/support/fake_entry.py
+++ b/features/support/fake_entry.py
@@ -1,4 +1,4 @@
-"""Stands in for an entry process: tells its incarnation on its peer port.
+"""Fake entry process that only serves its incarnation on its peer port.
 
 Run as `python -m features.support.fake_entry INCARNATION PORT`.
 """
--- a/features/support/follower_process.py
+++ b/features/support/follower_process.py
@@ -1,4 +1,4 @@
-"""A process that follows its VM's settings process, as entries do.
+"""Process that follows its VM's settings process as entry processes do.
 
 Run as `python -m features.support.follower_process ENV.json`.
 """
--- a/features/support/settings_cluster.py
+++ b/features/support/settings_cluster.py
@@ -1,7 +1,7 @@
-"""Real processes for the features about settings: platforms and VMs.
+"""Platform and settings processes for the settings features.
 
-Each VM may be given a platform stand-in of its own, so that one VM's replica
-of the platform can be down or stale while the others' is not.
+VMs can use different platform stand-ins, so that the replica that one VM reads
+can be down or stale while those of the other VMs work.
 """
 
 import dataclasses
@@ -20,24 +20,24 @@
 from collections.abc import Sequence
 from typing import Any
 
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 _EXAMPLE = pathlib.Path("examples/both.json")
 
 
 def call(method: str, url: str, value: Any = None, **headers: str) -> Any:
-    """Calls a URL with JSON and returns the answer's JSON, None if empty."""
+    """Sends JSON or bytes; returns the response's JSON, None if empty."""
     body = value
     if value is not None and not isinstance(value, bytes):
         body = json.dumps(value).encode()
     request = urllib.request.Request(url, body, headers, method=method)
-    with urllib.request.urlopen(request, timeout=PATIENCE_S) as reply:
-        text = reply.read()
+    with urllib.request.urlopen(request, timeout=TIMEOUT_S) as response:
+        text = response.read()
     return json.loads(text) if text else None
 
 
 def document(revision: int, priority: int = 10, by: str = "ann") -> dict:
-    """Returns the example settings with a number and one changed value."""
+    """Returns the example settings with this revision and brief priority."""
     tree = json.loads(_EXAMPLE.read_text(encoding="utf-8"))
     tree["revision"] = revision
     tree["published_by"] = by
@@ -46,12 +46,12 @@
 
 
 class Child:
-    """A process whose log lines can be waited for."""
+    """A child process whose log lines are captured and can be awaited."""
 
     def __init__(self, *arguments: str) -> None:
         self.lines: list[str] = []
-        self._forgotten = 0
-        self._grown = threading.Condition()
+        self._skipped_count = 0
+        self._lines_changed = threading.Condition()
         self._process = subprocess.Popen(
             [sys.executable, "-m", *arguments],
             stdout=subprocess.PIPE,
@@ -63,69 +63,74 @@
 
     @functools.cached_property
     def port(self) -> int:
-        """The port it listens on; waits until it does."""
+        """The listening port of the process; blocks until it is logged."""
         line = self.wait_for("event=started")
         return int(re.search(r" port=(\d+)", line).group(1))
 
     @property
     def url(self) -> str:
-        """Its URL."""
+        """The URL of the process."""
         return f"http://127.0.0.1:{self.port}"
 
     def _read(self) -> None:
         for line in self._process.stdout:
-            with self._grown:
+            with self._lines_changed:
                 self.lines.append(line.rstrip())
-                self._grown.notify_all()
+                self._lines_changed.notify_all()
 
     def wait_for(self, pattern: str) -> str:
-        """Returns the first log line since `forget` that fits."""
+        """Waits for a log line that matches and returns the first one.
+
+        Lines before the last `skip_current_lines` are ignored.
+        """
         found: list[str] = []
 
-        def fits() -> bool:
-            lines = self.lines[self._forgotten :]
-            fitting = (line for line in lines if re.search(pattern, line))
-            found.extend(fitting)
+        def has_match() -> bool:
+            lines = self.lines[self._skipped_count :]
+            matching_lines = (
+                line for line in lines if re.search(pattern, line)
+            )
+            found.extend(matching_lines)
             return bool(found)
 
-        with self._grown:
-            assert self._grown.wait_for(fits, PATIENCE_S), (
+        with self._lines_changed:
+            assert self._lines_changed.wait_for(has_match, TIMEOUT_S), (
                 f"no {pattern!r} in:\n" + "\n".join(self.lines)
             )
         return found[0]
 
-    def forget(self) -> None:
-        """Makes `wait_for` pass over the lines so far."""
-        with self._grown:
-            self._forgotten = len(self.lines)
+    def skip_current_lines(self) -> None:
+        """Makes `wait_for` ignore the lines logged so far."""
+        with self._lines_changed:
+            self._skipped_count = len(self.lines)
 
-    def matching(self, pattern: str) -> list[str]:
-        """Returns what the pattern's group holds in each line that fits."""
-        with self._grown:
+    def captured_groups(self, pattern: str) -> list[str]:
+        """Returns the pattern's first group for each line that matches."""
+        with self._lines_changed:
             found = [re.search(pattern, line) for line in self.lines]
         return [match.group(1) for match in found if match]
 
-    def signal(self, number: int) -> None:
-        """Sends a signal."""
-        self._process.send_signal(number)
+    def send_signal(self, signum: int) -> None:
+        """Sends a signal to the process."""
+        self._process.send_signal(signum)
 
     def terminate(self) -> None:
-        """Tells the process to end, also if it is paused."""
+        """Sends SIGTERM, after SIGCONT in case the process is paused."""
         if self._process.poll() is None:
             self._process.send_signal(signal.SIGCONT)
             self._process.terminate()
 
     def stop(self) -> None:
-        """Ends the process."""
+        """Terminates the process and kills it after a timeout."""
         self.terminate()
         try:
-            self._process.wait(PATIENCE_S)
+            self._process.wait(TIMEOUT_S)
         finally:
             self._process.kill()
             self._process.stdout.close()
 
 
-def _listed(vm: str, port: int) -> dict[str, Any]:
+def _vm_list_entry(vm: str, port: int) -> dict[str, Any]:
     return {
         "id": vm,
         "host": "127.0.0.1",
@@ -137,7 +142,7 @@
 
 @dataclasses.dataclass
 class Cluster:
-    """Platforms and VMs of one scenario."""
+    """The platforms, VMs and follower processes of one scenario."""
 
     secret: str = "shared secret of the test"
     platforms: list[Child] = dataclasses.field(default_factory=list)
@@ -148,7 +153,7 @@
     )
 
     def start_platforms(self, count: int) -> None:
-        """Starts replicas of the platform that hold revision 1."""
+        """Starts replicas of the platform and publishes revision 1."""
         for _ in range(count):
             self.platforms.append(Child("cowsliprill.standins", "platform"))
         self.publish(document(1))
@@ -156,14 +161,14 @@
     def start_vm(
         self, platform: int = 0, boot_peers: Sequence[str] = ()
     ) -> None:
-        """Starts a VM's settings process."""
+        """Starts the settings process of a new VM."""
         number = len(self.vms)
         self.vms.append(
             self._start_settings(number, platform, boot_peers=list(boot_peers))
         )
 
     def replace_settings_process(self, number: int) -> None:
-        """Ends a VM's settings process and starts it anew at its port."""
+        """Restarts a VM's settings process on the same port."""
         port = self.vms[number].port
         self.vms[number].stop()
         platform = number % len(self.platforms)
@@ -206,43 +211,46 @@
         path.write_text(json.dumps(environment), encoding="utf-8")
         return path
 
-    def put_list(self, *leaving: str) -> None:
-        """Puts all VMs into the platforms' lists, and some that leave."""
-        vms = [_listed(f"vm{number}", vm.port) for number, vm in self._numbered]
+    def publish_vm_list(self, *leaving: str) -> None:
+        """Publishes all VMs on every platform, and endpoint VMs that leave."""
+        vms = [
+            _vm_list_entry(f"vm{number}", vm.port)
+            for number, vm in self._numbered_vms
+        ]
         vms += [
-            {**_listed(name, 0), "role": "endpoint", "state": "leaving"}
+            {**_vm_list_entry(name, 0), "role": "endpoint", "state": "leaving"}
             for name in leaving
         ]
         for platform in self.platforms:
             call("PUT", f"{platform.url}/standin/vms", vms)
 
-    def put_half_lists(self) -> None:
-        """Puts into each platform's list only the VMs that read from it."""
+    def publish_split_vm_lists(self) -> None:
+        """Publishes on each platform only the VMs that read from it."""
         count = len(self.platforms)
-        for half, platform in enumerate(self.platforms):
+        for platform_number, platform in enumerate(self.platforms):
             vms = [
-                _listed(f"vm{number}", vm.port)
-                for number, vm in self._numbered
-                if number % count == half
+                _vm_list_entry(f"vm{number}", vm.port)
+                for number, vm in self._numbered_vms
+                if number % count == platform_number
             ]
             call("PUT", f"{platform.url}/standin/vms", vms)
 
     @property
-    def _numbered(self) -> list[tuple[int, Child]]:
+    def _numbered_vms(self) -> list[tuple[int, Child]]:
         return list(enumerate(self.vms))
 
     def publish(self, tree: dict, *numbers: int) -> None:
-        """Publishes settings on all platforms, or on some."""
+        """Publishes settings on the numbered platforms, by default all."""
         for number in numbers or range(len(self.platforms)):
             url = self.platforms[number].url
             call("PUT", f"{url}/standin/document", tree)
 
     def set_mode(self, number: int, **mode: Any) -> None:
-        """Makes a platform misbehave."""
+        """Sets the fault mode of a platform."""
         call("POST", f"{self.platforms[number].url}/standin/mode", mode)
 
     def stop(self) -> None:
-        """Ends all processes."""
+        """Stops all processes and removes the temporary directory."""
         children = [*self.followers, *self.vms, *self.platforms]
         for child in children:
             child.terminate()
@@ -251,9 +259,11 @@
         self.folder.cleanup()
 
 
-def wait_until(holds: Any, what: str) -> None:
-    """Asks until something holds; for states that no log line tells."""
-    ends_at = time.monotonic() + PATIENCE_S
-    while not holds():
-        assert time.monotonic() < ends_at, f"never: {what}"
+def wait_until(condition: Any, description: str) -> None:
+    """Polls until a condition holds, for states that are not logged."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, (
+            f"timed out waiting until {description}"
+        )
         time.sleep(0.05)
