--- a/features/dispatch_orders.feature
+++ b/features/dispatch_orders.feature
@@ -1,12 +1,12 @@
-Feature: An engine isn't turned back by a home that wakes
+Feature: A paused coordinator can't roll back an engine when it resumes
 
-  Operators move a model to a new version while one VM is paused. When it wakes
-  it still believes in the old settings and in being the engine's home. If its
-  order were taken, the engine would answer with the old version until someone
-  noticed.
+  Operators publish a new model version while one VM is paused. After resuming,
+  the VM still has the old settings and VM list and acts as the engine's
+  coordinator. If its order were accepted, the engine would serve the old
+  version until someone noticed.
 
-  Scenario: The old home wakes with the old revision and VM list
-    One engine checks fencing numbers, the other takes whatever it is told.
+  Scenario: The old coordinator resumes with the old revision and VM list
+    One engine checks fencing tokens, the other accepts every order.
     Given two VMs and the engines "checks" and "trusts" at version "v1"
     When the coordinator of the engines is paused
     And the platform unlists that VM and version "v2" is published
--- a/features/dispatch_sweep.feature
+++ b/features/dispatch_sweep.feature
@@ -1,12 +1,12 @@
-Feature: Engines hold nothing for callers whose entry is gone
+Feature: Engines release the requests of entry processes that have died
 
-  An entry process dies with requests at its engines. Nobody is left to cancel
-  them, so they go on holding slots and KV cache, and the next family's brief
-  waits for memory that works for no one.
+  An entry process dies with requests running on engines. No process is left to
+  cancel these orphans, so they keep holding slots and KV cache while new
+  requests wait for memory that serves no caller.
 
   Scenario: An entry process is killed, another one is only paused
-    A killed process and one behind a partition are both silent towards their
-    callers. Cancelling for the second would cut its answers in the middle.
+    A killed process and one behind a partition are both unresponsive, but
+    canceling the requests of the second would truncate its responses.
     Given a VM with a prefill and a decode engine
     And an entry process "vm-a.e0.killed" with a request in each stage
     And an entry process "vm-b.e0.paused" on its own VM with a request in decode
@@ -16,28 +16,29 @@
     And the decode engine still holds the request of "vm-b.e0.paused"
 
   Scenario: The home restarts after the entry was killed
-    The home keeps nothing: what its forerunner knew is lost, while the entry
-    never asks for its slots again.
+    The coordinator keeps no state on disk. After its restart it has lost its
+    predecessor's leases, and the killed entry process never requests its slots
+    again.
     Given a VM with a prefill and a decode engine
     And an entry process "vm-a.e0.killed" with a request in each stage
     When entry process "vm-a.e0.killed" is killed
     And the dispatch process of "vm-a" is killed and started again
     Then the engines release all resources of "vm-a.e0.killed"
 
-  Scenario: Engines refuse, lose and delay cancel orders
-    A cancel order that is lost leaves the engine working for a caller who has
-    hung up, until its answer is complete.
+  Scenario: Engines reject, drop and delay cancels
+    After a lost cancel, the engine keeps generating for a caller that has
+    disconnected, until the output is complete.
     Given a VM with a prefill and a decode engine
     And an entry process "vm-a.e0.one" with a request in each stage
     When one engine rejects 3 cancels, one drops 3, one responds late
     And cancels for all requests of "vm-a.e0.one" are sent to "vm-a"
     Then the engines release all resources of "vm-a.e0.one"
 
-  Scenario: A home leaves with cancels that no engine has acknowledged
-    The order's owner lives on, so that no sweep would take the request for an
-    orphan; the order itself has to survive the home.
+  Scenario: A coordinator shuts down with unacknowledged cancels
+    The entry process that owns the request is still alive, so orphan detection
+    doesn't cancel the request. The cancel has to outlive the coordinator.
     Given a VM with a prefill and a decode engine
-    And a second VM "vm-b" whose entry process "vm-b.e0.one" has a request in decode
+    And a second VM "vm-b" whose entry "vm-b.e0.one" has a decode request
     When the engines drop all cancels
     And cancels for all requests of "vm-b.e0.one" are sent to "vm-a"
     And the dispatch process of "vm-a" receives SIGTERM
--- a/features/endpoint_processes.feature
+++ b/features/endpoint_processes.feature
@@ -1,19 +1,21 @@
-Feature: Engines and services that die or stand still
+Feature: Engines and services that crash or are suspended
 
-  The router talks to engines and services over TCP, as separate processes.
-  What it says of a request must be true whatever becomes of them.
+  The router calls engines and services, which are separate processes, over TCP.
+  The outcome that it reports for a request must be correct whatever happens to
+  these processes.
 
-  Scenario: A decode engine is killed amid an answer
-    Its VM loses power. The adviser sees the brief stop; it must not look whole.
+  Scenario: A decode engine is killed while it streams a response
+    The engine's VM loses power. The truncated stream must not look complete to
+    the caller.
     Given a prefill engine, a decode engine and a booking service
     And a streamed response that has begun
     When the decode engine is killed
     Then the stream breaks off without its end marker
     And resuming the stream fails before anything is executed
 
-  Scenario: A decode engine stands still and wakes
-    Its VM is suspended for a while. Once it is awake it would go on with an
-    answer that nobody waits for, and hold a slot for it.
+  Scenario: A decode engine is suspended and resumes
+    The engine's VM is suspended for a while. After resuming, the engine would
+    continue to generate for a caller that has given up, and hold a slot for it.
     Given a prefill engine, a decode engine and a booking service
     And a streamed response that has begun
     When the decode engine is suspended
@@ -21,10 +23,10 @@
     When the decode engine resumes and receives the cancel
     Then the decode engine holds no slot and no KV cache
 
-  Scenario: A booking service is suspended as a booking goes out
-    The kernel of a suspended process still takes the bytes. The caller gives
-    up; the desk makes the booking when it wakes. Had the caller been told "not
-    run", it would book again, and two families would share one appointment.
+  Scenario: A booking service is suspended when a booking is sent
+    The kernel still accepts data for a suspended process. The call times out,
+    yet the service executes the booking after resuming. If the error said that
+    the request was not executed, the caller would retry and book twice.
     Given a prefill engine, a decode engine and a booking service
     When the booking service is suspended
     Then a booking fails with run status "unknown"
@@ -37,8 +39,8 @@
     When the booking service is killed
     Then that booking fails with run status "unknown"
 
-  Scenario: A booking service is gone before the booking
-    The caller may safely ask again, and should be told so.
+  Scenario: A booking service is killed before the booking is sent
+    The caller can safely retry, and the error must say so.
     Given a prefill engine, a decode engine and a booking service
     When the booking service is killed
     Then a booking fails with run status "no"
--- a/features/log_format.feature
+++ b/features/log_format.feature
@@ -1,6 +1,7 @@
 Feature: Log lines
 
-  Operators search logs with grep, so each event is one line of key=value pairs.
+  Operators search logs with grep, so each event must be a single line of
+  key=value pairs.
 
   Scenario: A value with a space and a line break stays on one line
     Given a process that logs to memory
--- a/features/mixed_run.feature
+++ b/features/mixed_run.feature
@@ -1,8 +1,9 @@
-Feature: Faults come together while both users send requests
+Feature: Concurrent faults while both customers send requests
 
-  Processes crash, freeze and are replaced, the platform goes away, engines and
-  services misbehave, twice and together. A user would notice a lost booking, a
-  doubled pickup, another's brief, or an answer that is not true.
+  Processes crash, pause and are replaced, the platform becomes unavailable, and
+  engines and services misbehave, each twice and several at once. Guards against
+  lost bookings, duplicate pickups, responses that belong to another request and
+  reported outcomes that are wrong.
 
   Scenario Outline: Seed <seed>
     When both customers' traffic runs over 3 VMs under the faults of seed <seed>
--- a/features/rolling_restart.feature
+++ b/features/rolling_restart.feature
@@ -1,12 +1,12 @@
-Feature: VMs are replaced one after the other under load
+Feature: Rolling restart of all VMs under load
 
-  Operators roll out a new version VM by VM. A process that ended at once would
-  cut the briefs it streams and the bookings it waits for; a user would see half
-  an answer, or a refusal although other VMs had room.
+  Operators roll out a new version VM by VM. A process that exited without
+  draining would interrupt the streams and bookings in progress. Callers would
+  get truncated responses, or rejections although other VMs had capacity.
 
-  Scenario: Every VM is replaced while both users send requests
-    In the middle an impatient operator repeats the signal, and the platform's
-    service goes down for a while.
+  Scenario: Every VM is replaced while both customers send requests
+    An operator sends SIGTERM a second time to each process, and the platform's
+    service is unavailable while one of the VMs drains.
     Given 3 VMs under both customers' traffic
     When each VM in turn is drained, replaced and listed again
     Then every request not dropped by its caller got a complete response
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,13 +1,13 @@
 Feature: Accepted settings stay in force
 
-  Operators publish settings on a platform that is at times down or stale. What
-  every VM has accepted must be in force everywhere within seconds and never
-  give way to something older.
+  Operators publish settings on a platform that is sometimes down or stale. An
+  accepted revision must be in force on every VM within seconds. No older
+  revision may ever replace it.
 
   Scenario: The platform flaps and is slow while revisions are published
-    Three of four calls to the platform are cut, and later all are slow. A VM
-    that gave up, or waited for long, would go on with the old rules while
-    others use the new ones.
+    Three of four calls to the platform are aborted, and later all are slow. If
+    a VM gave up or waited too long, the VM would keep the old settings while
+    other VMs use the new ones.
     Given a platform and 3 VMs with revision 1 in force
     When each platform aborts 3 of 4 calls
     And revision 2 is published
@@ -18,10 +18,10 @@
     And the revision in force never decreased on any VM
 
   Scenario: One VM's replica of the platform is stale, and later hangs
-    The replica answers with an old revision, as if nothing had happened. Its VM
-    would turn the settings back, or miss new ones. Later it takes calls and
-    never answers, so that a VM which only waited would never hear of revision
-    3, although its peers know it.
+    The stale replica serves an old revision without an error, so its VM could
+    revert the settings or miss new ones. Later the replica accepts calls but
+    never responds, so a VM that relied on the replica alone would never receive
+    revision 3, although its peers have it.
     Given 2 platforms and 3 VMs with revision 1 in force
     When platform 1 becomes stale
     And revision 2 is published
@@ -36,8 +36,8 @@
     And the revision in force never decreased on any VM
 
   Scenario: A VM starts while the platform is down
-    VMs are replaced at any time. One that could start only with the platform up
-    would be missing just when capacity is short.
+    VMs can be replaced at any time. A VM that needed the platform in order to
+    start would be missing when capacity is short.
     Given a platform and 2 VMs with revision 1 in force
     And revision 2 is published and in force
     When each platform is down
@@ -46,8 +46,8 @@
     And the new VM is ready and knows 2 VMs
 
   Scenario: A VM starts with a stale platform
-    The new VM's replica knows only revision 1, which its peers replaced. Its
-    callers would meet the old rules.
+    The new VM's replica has only revision 1, while the VM's peers have already
+    replaced it. The new VM would apply the old settings to its callers.
     Given 2 platforms and 2 VMs with revision 1 in force
     When platform 1 becomes stale
     And revision 2 is published
@@ -55,10 +55,10 @@
     And a VM starts at platform 1
     Then the new VM first serves revision 2 to local processes
 
-  Scenario: Values that can't be used
-    The platform holds half a value, or one that doesn't fit. A VM that took it,
-    or died of it, would take the service down; the last good revision has to
-    stay until a good one comes.
+  Scenario: Invalid values on the platform
+    The platform holds a truncated, oversized or inconsistent value. A VM that
+    accepted such a value, or crashed on it, would take the service down. The
+    last valid revision has to stay in force until a valid one is published.
     Given a platform and 3 VMs with revision 1 in force
     Then the VMs stay at revision 1 and log the reason for each value
       | value                      | logged              |
@@ -71,9 +71,9 @@
     When the platform is repaired and holds revision 3
     Then revision 3 comes into force on every VM
 
-  Scenario: Two operators publish one number at once
-    Each replica of the platform holds another revision 2. Were each VM to keep
-    the first that it saw, VMs would give different orders for ever.
+  Scenario: Two operators publish the same revision concurrently
+    Each replica of the platform holds a different revision 2. If each VM kept
+    the one that it read first, VMs would send conflicting orders forever.
     Given 2 platforms and 3 VMs with revision 1 in force
     When operators publish different revisions 2 on platforms 0 and 1
     Then one of the two revisions 2 is in force on every VM
@@ -81,9 +81,10 @@
     When revision 3 is published
     Then revision 3 comes into force on every VM
 
-  Scenario: A second operator publishes a number that is already in force
-    His tool tells him that revision 2 is published. A watch for higher numbers
-    never shows it, so he would believe that his change is in force.
+  Scenario: An operator publishes a revision that is already in force
+    The operator's tool reports that revision 2 is published. VMs that only
+    watch for higher revisions would never notice the conflict, so the operator
+    would believe that the change is in force.
     Given a platform and 2 VMs with revision 1 in force
     And revision 2 is published and in force
     When another operator publishes his revision 2
@@ -91,9 +92,9 @@
     And one of the two revisions 2 is in force on every VM
     And the audit command shows who published revision 2
 
-  Scenario: A partition splits the VMs while both halves get revisions
+  Scenario: A partition splits the VMs while both halves receive revisions
     Each half reads its own replica of the platform and knows only its own VMs.
-    After the partition a half must not turn the other back.
+    After the partition, neither half may revert the other to an older revision.
     Given 2 platforms and 4 VMs with revision 1 in force
     When the VM list of each half contains only that half
     And operators publish different revisions 2 on platforms 0 and 1
@@ -103,9 +104,10 @@
     Then revision 3 comes into force on every VM
     And the revision in force never decreased on any VM
 
-  Scenario: A settings process is replaced by one that knows less
-    The new process finds neither a peer nor a platform that knows revision 2.
-    An entry on the same VM that followed it would go back to revision 1.
+  Scenario: A settings process is replaced by one with an older revision
+    Neither a peer nor the platform offers revision 2 to the new process. If an
+    entry process on the same VM applied the settings of the new process, the
+    entry process would go back to revision 1.
     Given a platform and 1 VMs with revision 1 in force
     And revision 2 is published and in force
     And an entry process on VM 0 follows the settings, at revision 2
@@ -115,9 +117,9 @@
     When the platform works again with revision 3
     Then the entry process applies revision 3 after revision 2
 
-  Scenario: A paused VM wakes up
-    The process is stopped before revisions 2 and 3 and goes on after them,
-    believing that revision 1 is the newest.
+  Scenario: A paused VM resumes
+    The process is paused before revisions 2 and 3 and resumes after them, with
+    revision 1 as the newest that it has received.
     Given a platform and 3 VMs with revision 1 in force
     When VM 2 is paused
     And revision 2 is published
@@ -126,11 +128,12 @@
     Then revision 3 comes into force on every VM
     And the revision in force never decreased on any VM
 
-  Scenario: Leaving endpoints, by the VM list and by news
-    An endpoint whose VM leaves still answers, but what it is given now may be
-    cut. Another refuses calls because it is shutting down while the platform is
-    down, so the list doesn't say so; without news each VM would have to be
-    refused by itself first.
+  Scenario: Leaving endpoints, from the VM list and from leaving notices
+    An endpoint whose VM is leaving still responds, but may not complete new
+    requests. Another endpoint rejects calls because it is shutting down, which
+    the VM list doesn't show because the platform is down. Without leaving
+    notices between VMs, every VM would send calls to the endpoint until its
+    first rejection.
     Given a platform and 3 VMs with revision 1 in force
     When the VM list marks brief-d2-vm as leaving
     Then every VM reports that brief-d2 is leaving
@@ -139,8 +142,9 @@
     Then every VM reports that brief-d1 is leaving
     And every VM uses brief-d1 again later
 
-  Scenario: A stranger announces a revision
-    Anyone who reaches a VM's port could make it read settings from his host.
+  Scenario: An unauthenticated peer announces a revision
+    Without authentication, anyone who can reach a VM's port could make the VM
+    read settings from a host of their choice.
     Given a platform and 1 VMs with revision 1 in force
     When an unauthenticated peer announces revision 9
     Then the VM rejects the unauthenticated peer
--- a/features/steps/dispatch_steps.py
+++ b/features/steps/dispatch_steps.py
@@ -107,8 +107,7 @@
 
 
 @behave.given(
-    'a second VM "{vm_name}" whose entry process "{incarnation}" has a'
-    " request in decode"
+    'a second VM "{vm_name}" whose entry "{incarnation}" has a decode request'
 )
 def step_second_vm(context, vm_name: str, incarnation: str) -> None:
     _add_entry(context, incarnation)
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -161,7 +161,7 @@
     assert not first_attempts, first_attempts
 
 
-@behave.then("the caller gets a complete response or an error to retry")
+@behave.then("the caller gets a complete response or an error with Retry-After")
 def step_complete_or_retryable(context) -> None:
     response = context.site.responses[0].result(60)
     if response.status == 200:
