--- a/features/dispatch_sweep.feature
+++ b/features/dispatch_sweep.feature
@@ -16,9 +16,9 @@
     And the decode engine still holds the request of "vm-b.e0.paused"
 
   Scenario: The home restarts after the entry was killed
-    The coordinator keeps no state on disk. After its restart it has lost its
-    predecessor's leases, and the killed entry process never requests its slots
-    again.
+    The coordinator keeps no state across a restart, so the new process doesn't
+    know the leases of its predecessor. The killed entry process never requests
+    its slots again.
     Given a VM with a prefill and a decode engine
     And an entry process "vm-a.e0.killed" with a request in each stage
     When entry process "vm-a.e0.killed" is killed
