--- a/features/dispatch_sweep.feature
+++ b/features/dispatch_sweep.feature
@@ -38,7 +38,7 @@
     The entry process that owns the request is still alive, so orphan detection
     doesn't cancel the request. The cancel has to outlive the coordinator.
     Given a VM with a prefill and a decode engine
-    And a second VM "vm-b" whose entry "vm-b.e0.one" has a decode request
+    And a second VM "vm-b" with a decode request of entry process "vm-b.e0.one"
     When the engines drop all cancels
     And cancels for all requests of "vm-b.e0.one" are sent to "vm-a"
     And the dispatch process of "vm-a" receives SIGTERM
--- a/features/steps/dispatch_steps.py
+++ b/features/steps/dispatch_steps.py
@@ -107,7 +107,8 @@
 
 
 @behave.given(
-    'a second VM "{vm_name}" whose entry "{incarnation}" has a decode request'
+    'a second VM "{vm_name}" with a decode request of entry process'
+    ' "{incarnation}"'
 )
 def step_second_vm(context, vm_name: str, incarnation: str) -> None:
     _add_entry(context, incarnation)
