--- a/features/log_format.feature
+++ b/features/log_format.feature
@@ -1,8 +1,9 @@
 Feature: Log lines
 
-  Operators search logs with grep, so each event is one line of key=value pairs.
+  Operators search logs with grep, so each event must be a single line of
+  key=value pairs.
 
   Scenario: A value with a space and a line break stays on one line
     Given a process that logs to memory
-    When it logs an event with a value of two lines
-    Then the log holds one line with that value quoted
+    When that process logs an event with a two-line value
+    Then the log contains one line with that value quoted
