--- a/src/cowsliprill/cells/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Placement of requests at the homes of pools."""
--- a/src/cowsliprill/entry/slot_asker.py
+++ b/src/cowsliprill/entry/slot_asker.py
@@ -15,7 +15,7 @@
 from cowsliprill.decisions import messages
 from cowsliprill.decisions import model
 from cowsliprill.dispatch import messages as slot_messages
-from cowsliprill.entry import home_client
+from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import leases as leases_lib
 from cowsliprill.entry import scheduling as scheduling_lib
 from cowsliprill.entry import world as world_lib
@@ -60,7 +60,7 @@
     def __init__(
         self,
         incarnation: identity.Incarnation,
-        homes: home_client.HomeClient,
+        homes: coordinator_client.CoordinatorClient,
         scheduling: scheduling_lib.Scheduling,
         leases: leases_lib.Leases,
         world: world_lib.World,
@@ -171,7 +171,7 @@
 
     async def _call(
         self, vm: model.Vm, asks: list[messages.SlotDemand], wait_s: float
-    ) -> slot_messages.SlotsAnswer:
+    ) -> slot_messages.SlotsResponse:
         for ask in asks:
             labels = {"endpoint": ask.endpoint_id, "state": "in_use"}
             self._metrics.slots.set(labels, ask.in_use)
@@ -184,7 +184,7 @@
         text = await self._homes.post(
             vm, peers.SLOTS_PATH, request, wait_s + _ANSWER_S
         )
-        answer = codec.decode(slot_messages.SlotsAnswer, text)
+        answer = codec.decode(slot_messages.SlotsResponse, text)
         for grant in answer.grants:
             self._take_grant(grant, sent_at)
         return answer
@@ -209,7 +209,7 @@
         self._metrics.slots.set(labels, wire.slots)
         self._scheduling.post(grant)
 
-    def _take(self, home: _Home, answer: slot_messages.SlotsAnswer) -> None:
+    def _take(self, home: _Home, answer: slot_messages.SlotsResponse) -> None:
         if not home.reachable:
             self._log.event("home_reachable", vm=home.vm.id)
         home.reachable = True
--- a/src/cowsliprill/membership/wire.py
+++ b/src/cowsliprill/membership/wire.py
@@ -1,4 +1,7 @@
-"""Members' messages as datagrams: arrays, since names would fill them."""
+"""Wire format of membership messages: JSON arrays, which omit field names.
+
+Field names would take up most of a datagram.
+"""
 
 from typing import NamedTuple
 
@@ -12,18 +15,19 @@
 
 
 class WireRecord(NamedTuple):
-    """`member_records.Record` on its way.
+    """Wire format of `member_records.Record`.
 
     Attributes:
       id: Id of the VM.
-      host: IP number.
-      port: Port for peers.
-      availability_zone: Where it is.
-      incarnation: Rises with each start.
-      version: Rises with each change.
-      flags: Sum of the bits that are set.
-      cores: Processor cores that it may use.
-      pending_role_changes: Engines that it has ordered to change.
+      host: IP address.
+      port: Port for peers, TCP and UDP.
+      availability_zone: Availability zone of the VM.
+      incarnation: Incarnation number, higher after each restart.
+      version: Version of the record, higher after each change.
+      flags: Bit mask of the record's boolean fields.
+      cores: Number of processor cores that the process may use.
+      pending_role_changes: Engines that the VM has ordered to change, as pairs
+        of endpoint id and target kind.
     """
 
     id: str
@@ -38,17 +42,20 @@
 
 
 class WireMessage(NamedTuple):
-    """`member_records.Message` on its way.
+    """Wire format of `member_records.Message`.
 
     Attributes:
-      sender: The sender.
-      newest_revisions: Newest registry changes that the sender knows.
-      digest: Digest of what the sender knows of members.
-      member_count: How many members the sender knows.
-      monitored: Whether the receiver is to miss the sender's heartbeats.
-      ping: Whether the receiver is to answer.
-      updates: Records of others, each with its standing.
-      digests: Digests of parts that are asked for.
+      sender: Record of the sender.
+      newest_revisions: Newest registry revisions known to the sender, one per
+        prefix.
+      digest: Digest of the sender's member table.
+      member_count: Number of members known to the sender.
+      monitored: Whether the receiver monitors the sender's heartbeats.
+      ping: Whether the receiver must reply.
+      updates: Gossip updates: records of other members, each after its status.
+      digests: Digests of the buckets of the sender's member table, for
+        anti-entropy: the receiver replies with the buckets that differ. Empty
+        if no reply is requested.
     """
 
     sender: WireRecord
@@ -61,25 +68,25 @@
     digests: tuple[int, ...]
 
 
-def write(message: records_lib.Message) -> bytes:
-    """Writes a message.
+def encode_message(message: records_lib.Message) -> bytes:
+    """Encodes a message.
 
     Args:
       message: The message.
 
     Returns:
-      UTF-8 JSON.
+      The message as UTF-8 JSON.
     """
     return codec.encode(
         WireMessage(
-            sender=_write_record(message.sender),
+            sender=_record_to_wire(message.sender),
             newest_revisions=message.newest_revisions,
             digest=message.digest,
             member_count=message.member_count,
             monitored=message.monitored,
             ping=message.ping,
             updates=tuple(
-                (int(updates.status), _write_record(updates.record))
+                (int(updates.status), _record_to_wire(updates.record))
                 for updates in message.updates
             ),
             digests=message.digests,
@@ -87,8 +94,8 @@
     )
 
 
-def read(data: bytes) -> records_lib.Message:
-    """Reads a message.
+def decode_message(data: bytes) -> records_lib.Message:
+    """Decodes a message.
 
     Args:
       data: UTF-8 JSON.
@@ -97,13 +104,13 @@
       The message.
 
     Raises:
-      codec.CodecError: It isn't one.
+      codec.CodecError: The data isn't a valid message.
     """
     wire = codec.decode(WireMessage, data)
     try:
         updates = tuple(
             records_lib.GossipUpdate(
-                record=_read_record(record),
+                record=_record_from_wire(record),
                 status=records_lib.MemberStatus(status),
             )
             for status, record in wire.updates
@@ -111,7 +118,7 @@
     except ValueError as error:
         raise codec.CodecError(str(error)) from error
     return records_lib.Message(
-        sender=_read_record(wire.sender),
+        sender=_record_from_wire(wire.sender),
         newest_revisions=wire.newest_revisions,
         digest=wire.digest,
         member_count=wire.member_count,
@@ -122,7 +129,7 @@
     )
 
 
-def _write_record(record: records_lib.Record) -> WireRecord:
+def _record_to_wire(record: records_lib.Record) -> WireRecord:
     flags = (
         _READY * record.ready
         + _LEAVING * record.leaving
@@ -141,7 +148,7 @@
     )
 
 
-def _read_record(wire: WireRecord) -> records_lib.Record:
+def _record_from_wire(wire: WireRecord) -> records_lib.Record:
     return records_lib.Record(
         id=wire.id,
         host=wire.host,
--- /dev/null
+++ b/src/cowsliprill/pool_scheduling/__init__.py
@@ -0,0 +1,1 @@
+"""Protocol by which pool coordinators schedule requests for entry processes."""
--- a/src/cowsliprill/router/__main__.py
+++ b/src/cowsliprill/router/__main__.py
@@ -3,8 +3,8 @@
 import sys
 
 from cowsliprill import launcher
+from cowsliprill.router import config
 from cowsliprill.router import core
-from cowsliprill.router import node
 
 
 def main() -> int:
@@ -15,9 +15,9 @@
     """
     return launcher.run(
         "cowsliprill-router",
-        "Runs entry, homes and settings of one VM in one process.",
+        "Runs a VM's entry, coordinator and settings in one process.",
         core.serve,
-        load=node.load,
+        load=config.load,
     )
 
 
--- /dev/null
+++ b/src/cowsliprill/router/config.py
@@ -0,0 +1,142 @@
+"""Startup configuration of a router process, read from a JSON file."""
+
+import pathlib
+from typing import Annotated
+
+import pydantic
+
+from cowsliprill import environment
+from cowsliprill.decisions import mechanisms
+from cowsliprill.decisions import quota_owner
+
+# Time in seconds reserved between the end of the last request and the end of
+# the process.
+_SHUTDOWN_RESERVE_S = 0.7
+
+_MS_PER_S = 1_000
+
+# Fraction of the permitted quota overage that customers may use. The rest
+# covers requests that VMs admit before they receive each other's usage.
+_TOLERANCE_FRACTION = 0.5
+
+
+def _parse_address(address: object) -> object:
+    if not isinstance(address, str):
+        return address
+    host, _, port = address.rpartition(":")
+    if not (host and port.isdigit()):
+        raise ValueError(f"{address!r} is not of the form HOST:PORT")
+    return host, int(port)
+
+
+Address = Annotated[tuple[str, int], pydantic.BeforeValidator(_parse_address)]
+
+
+class RouterConfig(pydantic.BaseModel):
+    """Contents of a router's configuration file; unknown fields are ignored.
+
+    Attributes:
+      vm: Id of this VM.
+      availability_zone: Availability zone of this VM.
+      public: Address for callers.
+      ready: Address of the readiness check, called by the load balancer.
+      peer_ports: First and last port for traffic between VMs; only the first is
+        used, for heartbeats over UDP and calls over TCP.
+      seeds: Addresses of some VMs to contact at startup; only their hosts are
+        used.
+      store: Address of the registry's store.
+      processor_share: Fraction of the VM's processor that the process may use.
+      processor_speed: Speed of the processor relative to the slowest VM class.
+      retry_budget_ratio: Retries allowed per request.
+      retry_budget_slack: Retries allowed in addition, for all VMs together.
+      drain_notice_s: Seconds until the load balancer detects that the process
+        is not ready: it checks every second and removes the process after two
+        failed checks.
+      key_revocation_ms: Milliseconds after which a revoked API key must not be
+        accepted, even if the store is unreachable; None for no limit.
+      quota_overage: Fraction by which customers' quotas may be exceeded, None
+        if not configured.
+      quota_slack: Tokens by which quotas may be exceeded in addition, None if
+        not configured.
+      grace_s: Seconds between the stop signal and the end of the process.
+      peer_secret: Secret shared by the processes; if empty, messages are not
+        authenticated.
+      mechanisms_off: Mechanisms of the decision code that are disabled for an
+        experiment.
+      path: Path of the file, None if the configuration was not read from one.
+    """
+
+    model_config = pydantic.ConfigDict(frozen=True)
+
+    vm: str
+    availability_zone: str
+    public: Address
+    ready: Address
+    peer_ports: tuple[int, int]
+    seeds: tuple[Address, ...] = ()
+    store: Address
+    processor_share: float = 0.0
+    processor_speed: float = 1.0
+    retry_budget_ratio: float = 0.1
+    retry_budget_slack: float = 10.0
+    drain_notice_s: float = 2.6
+    quota_overage: float | None = None
+    quota_slack: float | None = None
+    key_revocation_ms: float | None = None
+    grace_s: float = 8.0
+    peer_secret: str = ""
+    mechanisms_off: frozenset[mechanisms.Mechanism] = frozenset()
+    path: pathlib.Path | None = None
+
+    def cores(self) -> float:
+        """Returns the process's capacity in cores of the slowest VM class."""
+        return round(self.processor_share * self.processor_speed, 3)
+
+    def key_revocation_s(self) -> float | None:
+        """Returns the time limit for revoked API keys in seconds, if any."""
+        if self.key_revocation_ms is None:
+            return None
+        return self.key_revocation_ms / _MS_PER_S
+
+    def quota_tolerance(self) -> quota_owner.QuotaTolerance:
+        """Returns by how much customers may exceed their quotas."""
+        return quota_owner.QuotaTolerance(
+            fraction=(self.quota_overage or 0.0) * _TOLERANCE_FRACTION,
+            tokens=(self.quota_slack or 0.0) * _TOLERANCE_FRACTION,
+        )
+
+    def environment(self) -> environment.Environment:
+        """Returns the equivalent environment of an entry process."""
+        return environment.Environment(
+            vm=self.vm,
+            availability_zone=self.availability_zone,
+            process="router",
+            host=self.public[0],
+            public_port=self.public[1],
+            port=self.peer_ports[0],
+            drain_notice_s=self.drain_notice_s,
+            drain_limit_s=max(
+                self.grace_s - _SHUTDOWN_RESERVE_S, self.drain_notice_s
+            ),
+            peer_secret=self.peer_secret,
+            mechanisms_off=self.mechanisms_off,
+        )
+
+
+def load(path: pathlib.Path) -> RouterConfig:
+    """Reads a router's configuration file.
+
+    Args:
+      path: Path of the JSON file.
+
+    Returns:
+      The configuration.
+
+    Raises:
+      environment.EnvironmentFileError: The file can't be read or is invalid.
+    """
+    try:
+        node = RouterConfig.model_validate_json(path.read_bytes())
+        return node.model_copy(update={"path": path})
+    except (OSError, ValueError) as error:
+        raise environment.EnvironmentFileError(f"{path}: {error}") from error
--- a/src/cowsliprill/router/gauges.py
+++ b/src/cowsliprill/router/gauges.py
@@ -1,47 +1,49 @@
-"""The task that keeps a router's gauges up to date."""
+"""Background task that updates the gauges of a router process."""
 
 import asyncio
 import dataclasses
 import math
 
 from cowsliprill import clock
-from cowsliprill.cells import homes as homes_lib
 from cowsliprill.decisions import membership
 from cowsliprill.observability import log as log_lib
 from cowsliprill.observability import metrics as metrics_lib
 from cowsliprill.observability import writer
+from cowsliprill.pool_scheduling import server as server_lib
 from cowsliprill.registry import source as source_lib
 
-# Metrics are read every few seconds at the most often.
-_SAMPLE_S = 1.0
+# A shorter interval is of no use: metrics are scraped every few seconds at
+# most.
+_SAMPLE_INTERVAL_S = 1.0
 
 
-class Gauges:
-    """Reads the other tasks' standing and sets the gauges.
+class GaugeSampler:
+    """Sets the gauges from the state of the other tasks.
+
+    Also logs the load of each pool that has requests, once per interval.
 
     Args:
       metrics: The process's metrics.
-      members: The VMs.
-      source: What follows the store.
-      homes: The pools that are homed here.
-      log: The process's log; tells each second how full a pool is that has
-        work.
-      output: What writes the log, None in tests.
+      members: Membership of the VMs.
+      source: Follower of the registry's store.
+      pool_schedulers: The pool schedulers hosted by this process.
+      log: The process's log.
+      output: Writer of the log, None in tests.
     """
 
     def __init__(
         self,
         metrics: metrics_lib.Metrics,
         members: membership.Membership,
-        source: source_lib.Source,
-        homes: homes_lib.Homes,
+        source: source_lib.RegistrySource,
+        pool_schedulers: server_lib.PoolSchedulerServer,
         log: log_lib.Log,
         output: writer.Writer | None,
     ) -> None:
         self._metrics = metrics
         self._members = members
         self._source = source
-        self._homes = homes
+        self._pool_schedulers = pool_schedulers
         self._log = log
         self._output = output
 
@@ -49,25 +51,25 @@
         """Samples until cancelled."""
         while True:
             self.sample()
-            await asyncio.sleep(_SAMPLE_S)
+            await asyncio.sleep(_SAMPLE_INTERVAL_S)
 
     def sample(self) -> None:
-        """Sets all gauges, and tells how full the pools are."""
+        """Sets all gauges and logs the load of the pools."""
         metrics = self._metrics
         metrics.members.set({}, len(self._members.alive()) + 1)
         dropped = self._output.dropped if self._output else 0
         metrics.log_lines_dropped.set({}, dropped)
         self._sample_registry()
-        for pool, pool_load in self._homes.pool_loads().items():
+        for pool, load in self._pool_schedulers.loads().items():
             for state, slots in (
-                ("promised", pool_load.promised),
-                ("all", pool_load.slots),
+                ("promised", load.promised),
+                ("all", load.slots),
             ):
                 metrics.pool_slots.set({"pool": pool, "state": state}, slots)
-            metrics.pool_waiting.set({"pool": pool}, pool_load.waiting)
-            if pool_load.running or pool_load.waiting:
+            metrics.pool_waiting.set({"pool": pool}, load.waiting)
+            if load.running or load.waiting:
                 self._log.event(
-                    "pool_standing", pool=pool, **dataclasses.asdict(pool_load)
+                    "pool_standing", pool=pool, **dataclasses.asdict(load)
                 )
 
     def _sample_registry(self) -> None:
@@ -75,14 +77,14 @@
         now = clock.now()
         for follower in self._source.followers():
             prefix = {"prefix": follower.view.prefix}
-            away_since = follower.away_since or now
+            unreachable_since = follower.unavailable_since or now
             metrics.registry_position.set(prefix, follower.view.position)
-            metrics.registry_away_s.set(prefix, now - away_since)
+            metrics.registry_away_s.set(prefix, now - unreachable_since)
             if follower.reading and math.isfinite(follower.view.confirmed_at):
                 age_s = now - follower.view.confirmed_at
                 metrics.registry_view_age_s.set(prefix, age_s)
-            for result, calls in (
-                ("answered", follower.answered),
-                ("failed", follower.failed),
+            for result, reads in (
+                ("answered", follower.answered_calls),
+                ("failed", follower.failed_calls),
             ):
-                metrics.registry_reads.set({**prefix, "result": result}, calls)
+                metrics.registry_reads.set({**prefix, "result": result}, reads)
--- a/tests/lone_source.py
+++ b/tests/lone_source.py
@@ -1,4 +1,4 @@
-"""A VM's source of settings and endpoints that has no peers."""
+"""A `registry.source.RegistrySource` of a VM without peers, for tests."""
 
 import io
 import random
@@ -16,12 +16,12 @@
 def make(
     store: store_lib.Store | None = None,
     disabled: Collection[mechanisms.Mechanism] = (),
-) -> source_lib.Source:
-    """Makes a source that follows nothing yet.
+) -> source_lib.RegistrySource:
+    """Returns a source that isn't running yet.
 
     Args:
-      store: The store, None where it isn't called.
-      disabled: Mechanisms that are switched off.
+      store: Client of the store, None if the test makes no store calls.
+      disabled: Disabled mechanisms.
     """
     own = member_records.Record(
         id="vm-1",
@@ -31,7 +31,7 @@
         incarnation=1,
     )
     rng = random.Random(1)
-    return source_lib.Source(
+    return source_lib.RegistrySource(
         store,
         catalog.Catalog(0.2, 10),
         membership.Membership(own, [], rng),
