--- a/src/cowsliprill/standins/fault_injection.py
+++ b/src/cowsliprill/standins/fault_injection.py
@@ -106,7 +106,7 @@
           FaultsError: The fields aren't valid fields of `Faults`.
         """
         if not isinstance(fields, dict) or not fields.keys() <= _FIELD_NAMES:
-            raise FaultsError(f"unknown fields of faults: {fields!r}")
+            raise FaultsError(f"not a misbehaviour: {fields!r}")
         try:
             self.current = _FAULTS_ADAPTER.validate_python(fields)
         except pydantic.ValidationError as error:
