--- a/src/cowsliprill/entry/context.py
+++ b/src/cowsliprill/entry/context.py
@@ -127,11 +127,11 @@
       generation: Model request, None for plain services; set by `resolve`.
       service_path: Path at the plain service; set by `resolve`.
       priority: Priority of the service plus the caller's offset; set by
-        `urgency`.
+        `priority_and_deadline`.
       deadline: Time in seconds by which the first token is due; set by
-        `urgency` or `arrival`.
+        `priority_and_deadline` or `arrival`.
       response_due_at: Time in seconds by which the complete response must have
-        been sent; set by `urgency` or `arrival`.
+        been sent; set by `priority_and_deadline` or `arrival`.
       useful_until: Time in seconds until which a late first token is still of
         use, 0 if only until the deadline; set by `arrival`.
       caller_timeout_s: Timeout that the caller declares in seconds, 0 for none.
--- a/src/cowsliprill/peers.py
+++ b/src/cowsliprill/peers.py
@@ -15,7 +15,7 @@
   `GET /v1/audit` -> the recent audit entries. `POST /v1/audit` adds entries of
   processes on the same VM.
   `POST /v1/exchange`: request and response are
-  `settings.exchange.ExchangeMessage`.
+  `settings.gossip.ExchangeMessage`.
 Dispatch process (one per VM):
   `POST /v1/slots` `{"entry", "asks": [SlotDemand], "wait_s"}` ->
   `{"grants": [SlotGrant], "not_home": [endpoint id]}` with `expires_in_s` in
@@ -31,12 +31,12 @@
 Router process (one per VM, serves all of the above in one process):
   `POST /v1/cells` `pool_scheduling.wire.SchedulingRequest` ->
   `pool_scheduling.wire.SchedulingResponse`: events of an entry process for a
-  pool's coordinator, and the coordinator's decisions. `GET
-  /v1/registry?prefix=P&since=R` -> `registry.peers.WireUpdate`: registry
-  changes after R, for VMs that the store rejects as overloaded. `POST
-  /v1/quotas` `quotas.wire.UsageReport` -> `quotas.wire.UsageResponse`:
-  customers' usage at a VM, for the VM that manages their quotas, and the
-  admissible usage.
+  pool's coordinator, and the coordinator's decisions.
+  `GET /v1/registry?prefix=P&since=R` -> `registry.peer_exchange.WireUpdate`:
+  registry changes after R, for VMs that the store rejects as overloaded.
+  `POST /v1/quotas` `quotas.wire.UsageReport` ->
+  `quotas.wire.UsageResponse`: customers' usage at a VM, for the VM that manages
+  their quotas, and the admissible usage.
 All processes: `GET /healthz`, `GET /readyz`, `GET /metrics`, `GET /v1/status`.
 """
 
--- a/src/cowsliprill/router/roles.py
+++ b/src/cowsliprill/router/roles.py
@@ -18,8 +18,8 @@
 from cowsliprill.observability import log as log_lib
 from cowsliprill.registry import source as source_lib
 
-# Several checks must fit into `leadership.STOOD_STILL_S`: after a longer gap
-# between checks the process counts as paused and gives no orders.
+# Several checks must fit into `leadership.OBSERVATION_GAP_MAX_S`: after a
+# longer gap between checks the process counts as paused and gives no orders.
 _CHECK_INTERVAL_S = 0.25
 
 _NS_PER_MS = 1_000_000
--- a/src/cowsliprill/settings/measure.py
+++ b/src/cowsliprill/settings/measure.py
@@ -72,7 +72,7 @@
         exchange brings it to the rest.
       messages: Messages sent by each VM that received the update from a peer. A
         VM that read it from the platform sends
-        `news.gossip_fanout(vms - 1, from_platform=True)` messages.
+        `leaving_notices.gossip_fanout(vms - 1, from_platform=True)` messages.
       message_bytes: Size of one message, without protocol overhead.
     """
 
--- a/tests/test_caller_timeouts.py
+++ b/tests/test_caller_timeouts.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.elapsed`."""
+"""Tests of `decisions.caller_timeouts`."""
 
 from cowsliprill.decisions import caller_timeouts
 
--- a/tests/test_message_channel.py
+++ b/tests/test_message_channel.py
@@ -1,4 +1,4 @@
-"""Tests of `decisions.channel`: each message once and in order."""
+"""Tests of `decisions.message_channel`: each message once and in order."""
 
 import hypothesis
 from hypothesis import strategies
