--- a/features/steps/dispatch_steps.py
+++ b/features/steps/dispatch_steps.py
@@ -37,7 +37,7 @@
     url = f"{context.site.engine_url(engine)}/v1/completions"
     body = {"model": "standin", "prompt": _PROMPT, **fields}
     stream = http_calls.open_stream(url, body, {"X-Request-Id": request_id})
-    context.add_cleanup(stream.drop)
+    context.add_cleanup(stream.disconnect)
 
 
 def _prefill(context, request_id: str) -> dict:
