--- a/src/cowsliprill/router/config.py
+++ b/src/cowsliprill/router/config.py
@@ -93,7 +93,7 @@
         return round(self.processor_share * self.processor_speed, 3)
 
     def key_revocation_s(self) -> float | None:
-        """Returns the time limit for revoked API keys in seconds, if any."""
+        """Returns how long revoked API keys may be accepted, in seconds."""
         if self.key_revocation_ms is None:
             return None
         return self.key_revocation_ms / _MS_PER_S
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,8 +1,8 @@
 """Benchmark of the router's overhead against a minimal tornado relay.
 
 `make bench` starts the endpoint stand-ins, the processes of one VM and the
-relay, and puts the same load on the router and the relay. Time limits apply to
-ratios or differences within one run, so they don't depend on the machine's
+relay, and puts the same load on the router and the relay. Limits on times apply
+to ratios or differences within one run, so they don't depend on the machine's
 speed.
 """
 
