--- a/src/cowsliprill/engines/token_stream.py
+++ b/src/cowsliprill/engines/token_stream.py
@@ -1,4 +1,4 @@
-"""The checked tokens of one attempt at a model request."""
+"""Validated token stream of one attempt at a model request."""
 
 from collections.abc import AsyncIterator
 
@@ -8,15 +8,15 @@
 
 
 class TokenStream:
-    """The checked tokens of one attempt, as bytes of server-sent events.
+    """Validated server-sent events of one attempt, as bytes.
 
-    Iterate with `async for`; the end of the iteration means that the answer
-    is whole. A `errors.StreamBroken` that is `resumable` may be followed by
-    `EngineClient.resume`, after which the iteration goes on.
+    Iterate with `async for`; the iteration ends normally only if the output is
+    complete. After an `errors.StreamBroken` that is `resumable`, call
+    `EngineClient.resume` and iterate again.
 
     Attributes:
-      request_id: The attempt's id.
-      validator: Where the stream stands.
+      request_id: Attempt id as text.
+      validator: Validates the events and tracks the last delivered token.
     """
 
     def __init__(self, request_id: str) -> None:
@@ -26,22 +26,22 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that were delivered so far."""
+        """Number of tokens delivered so far."""
         return self.validator.last_token
 
     def attach(self, response: exchange_lib.Response) -> None:
-        """Takes the connection that the next events come by.
+        """Sets the response from which the next events are read.
 
         Args:
-          response: The engine's answer.
+          response: Response of the engine.
         """
         self._response = response
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yields checked events.
+        """Yields validated events.
 
         Raises:
-          errors.StreamBroken: The answer isn't whole.
+          errors.StreamBroken: The stream is truncated, stalled or invalid.
         """
         reason = stream_lib.StreamFault.TRUNCATED
         try:
@@ -56,7 +56,7 @@
         except errors.CallError:
             pass
         finally:
-            self._let_go()
+            self._release_connection()
         result = self.validator.end(reason)
         if isinstance(result, stream_lib.Broken):
             raise errors.StreamBroken(
@@ -65,7 +65,7 @@
                 last_token=result.last_token,
             )
 
-    def _let_go(self) -> None:
+    def _release_connection(self) -> None:
         if self._response is None:
             return
         if self.validator.complete:
@@ -74,9 +74,9 @@
             self._response.close()
 
     def close(self) -> None:
-        """Ends the reading, at any time.
+        """Stops reading; may be called at any time.
 
-        The connection of an answer that isn't whole is dropped; the engine
-        holds its memory until a cancel.
+        Closes the connection if the stream is incomplete. The engine keeps the
+        memory of the request until a cancellation.
         """
-        self._let_go()
+        self._release_connection()
--- a/src/cowsliprill/entry/core.py
+++ b/src/cowsliprill/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry process as a whole: its parts, its start and its end."""
+"""The entry process: wiring of its components, startup and shutdown."""
 
 import asyncio
 import random
@@ -22,16 +22,16 @@
 from cowsliprill.engines import http_client
 from cowsliprill.entry import authorization
 from cowsliprill.entry import canceller
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import coordinator_client
 from cowsliprill.entry import dialect as dialect_lib
-from cowsliprill.entry import forward
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import model_relay
 from cowsliprill.entry import native
-from cowsliprill.entry import placing as placing_lib
+from cowsliprill.entry import placement_backend as backend_lib
 from cowsliprill.entry import plain_relay
 from cowsliprill.entry import routes
-from cowsliprill.entry import world as world_lib
+from cowsliprill.entry import ticket_forwarding
 from cowsliprill.entry.filters import admission
 from cowsliprill.entry.filters import idempotency
 from cowsliprill.entry.filters import identify
@@ -45,41 +45,43 @@
 
 _NONCE_BYTES = 4
 _SECRET_BYTES = 32
-_CANCELS_SETTLE_S = 2.0
+_CANCEL_FLUSH_TIMEOUT_S = 2.0
 _SEED_BITS = 32
 _MAX_HEADER_BYTES = 131_072
-# Bodies are bounded by the gate, which answers in our own shape.
+# tornado's own limit is out of reach: the request gate limits bodies and
+# responds with an error in the API's format.
 _MAX_BODY_BYTES = 2**40
-_IDLE_CONNECTION_S = 75.0
+_IDLE_CONNECTION_TIMEOUT_S = 75.0
 
 
 class Entry:
     """One entry process.
 
     Args:
-      environment: What it was told about itself.
-      log: Its log.
-      source: Where settings and VM list come from.
-      make_dialect: Makes what callers and endpoints are spoken to with.
-      make_placing: Makes what decides where model requests run.
-      metrics: Its metrics, where other tasks of the process share them.
-      quotas: Keeps customers' quotas, None where none are kept.
+      environment: Configuration of the process.
+      log: Log of the process.
+      source: Provides settings and VM list.
+      make_dialect: Creates the dialect spoken with callers and endpoints.
+      make_backend: Creates the component that places model requests on engines.
+      metrics: Metrics of the process, None to create new ones.
+      quotas: Enforces the customers' quotas, None for no quotas.
 
     Attributes:
-      shell: Its servers, health and signals.
-      peer_routes: Further tornado routes of the peer port, set before `run`.
-      before_drain: Awaited when the process begins to leave.
+      shell: HTTP servers, health checks and signal handling of the process.
+      peer_routes: Additional tornado routes of the peer port, to be set before
+        `run`.
+      before_drain: Awaited when shutdown begins.
     """
 
     def __init__(
         self,
         environment: environment_lib.Environment,
         log: log_lib.Log,
-        source: world_lib.Source,
-        make_dialect: Callable[[dialect_lib.Tools], dialect_lib.Dialect] = (
-            native.make
-        ),
-        make_placing: placing_lib.MakePlacing = placing_lib.ByLeases,
+        source: cluster_state_lib.ClusterStateSource,
+        make_dialect: Callable[
+            [dialect_lib.Dependencies], dialect_lib.Dialect
+        ] = (native.make),
+        make_backend: backend_lib.MakeBackend = backend_lib.LeasePlacement,
         metrics: metrics_lib.Metrics | None = None,
         quotas: quota.Admission | None = None,
     ) -> None:
@@ -98,12 +100,12 @@
         self._auth = peer_auth.PeerAuth(
             environment.peer_secret.get_secret_value()
         )
-        self._world = world_lib.World()
+        self._cluster_state = cluster_state_lib.ClusterState()
         self._budgets = retry_budget.RetryBudgets()
         self._outlier_detector = self._make_outlier_detector()
         self._http = http_client.HttpClient()
         self._dialect = make_dialect(
-            dialect_lib.Tools(
+            dialect_lib.Dependencies(
                 incarnation=self._incarnation,
                 http=self._http,
                 budgets=self._budgets,
@@ -111,25 +113,27 @@
                 log=log,
             )
         )
-        self._gate = gate_lib.Gate(self._incarnation, self._world)
+        self._gate = gate_lib.Gate(self._incarnation, self._cluster_state)
         homes = coordinator_client.CoordinatorClient(self._http, self._auth)
         self._canceller = self._make_canceller(homes)
-        self._placing = make_placing(
-            placing_lib.Tools(
+        self._placement_backend = make_backend(
+            backend_lib.Dependencies(
                 incarnation=self._incarnation,
                 availability_zone=environment.availability_zone,
                 homes=homes,
-                world=self._world,
+                cluster_state=self._cluster_state,
                 canceller=self._canceller,
                 metrics=self._metrics,
                 log=log,
                 random_source=self._random,
             )
         )
-        self._scheduling = self._placing.scheduling
+        self._scheduling = self._placement_backend.scheduling
         self._source = source
         self._quotas = quotas or quota.Unlimited()
-        self._authorization = authorization.Authorization(source, self._world)
+        self._authorization = authorization.Authorization(
+            source, self._cluster_state
+        )
         self.shell = process.Process(
             environment=environment,
             log=log,
@@ -141,35 +145,42 @@
         self.peer_routes: list[tuple] = []
         self.before_drain: Callable[[], Awaitable[None]] = _do_nothing
         self._public_server = None
-        self._reports: set[asyncio.Task] = set()
+        self._leaving_reports: set[asyncio.Task] = set()
 
     def _make_canceller(
         self, homes: coordinator_client.CoordinatorClient
-    ) -> canceller.Canceller | canceller.NoOrders:
-        if self._dialect.engines.closing_ends_work:
-            return canceller.NoOrders()
+    ) -> canceller.Canceller | canceller.NoOpCanceller:
+        if self._dialect.engines.disconnect_cancels:
+            return canceller.NoOpCanceller()
         return canceller.Canceller(
             engine_client.EngineClient(self._http),
             homes,
-            self._world,
+            self._cluster_state,
             self._metrics,
             self._log,
             self._random,
         )
 
     async def run(self) -> None:
-        """Serves until a signal, then drains and returns."""
+        """Serves until SIGTERM or SIGINT, then drains and returns.
+
+        Raises:
+          Exception: A background task has failed.
+        """
         self._listen()
-        self._source.subscribe(self._take_world)
-        self._take_world()
+        self._source.subscribe(self._apply_cluster_state)
+        self._apply_cluster_state()
         tasks = [
-            asyncio.create_task(work)
-            for work in (self._source.run(), *self._placing.work())
+            asyncio.create_task(background_work)
+            for background_work in (
+                self._source.run(),
+                *self._placement_backend.background_work(),
+            )
         ]
         ended = asyncio.create_task(self.shell.run_until_stopped())
         await asyncio.wait([ended, *tasks], return_when=asyncio.FIRST_COMPLETED)
-        # A task that ends by itself is a fault of ours. Going on without it
-        # would look alive and serve nothing.
+        # A background task that ends by itself is a bug. Without the task the
+        # process would pass health checks but serve nothing.
         for task in tasks:
             if task.done():
                 task.result()
@@ -178,39 +189,42 @@
         self._http.close()
 
     def _listen(self) -> None:
-        # The peer port must be known before the first ticket names it, and
-        # tornado takes no call before this method is left.
+        # The store gets the peer port only after it is bound. No ticket can
+        # name a wrong port: tornado accepts no request before this method
+        # returns.
         ticket_store = tickets.TicketStore(
             self._incarnation,
             self._environment.port,
             secrets.token_bytes(_SECRET_BYTES),
         )
-        parts = self._parts(ticket_store)
+        components = self._make_components(ticket_store)
         self.shell.listen(
             [
-                *routes.peer_routes(self._gate, parts, self._auth),
+                *routes.peer_routes(self._gate, components, self._auth),
                 *self.peer_routes,
             ]
         )
         ticket_store.port = self.shell.port
         self._public_server = self.shell.listen_public(
-            self._dialect.application(self._gate, parts),
+            self._dialect.application(self._gate, components),
             max_header_size=_MAX_HEADER_BYTES,
             max_body_size=_MAX_BODY_BYTES,
-            idle_connection_timeout=_IDLE_CONNECTION_S,
+            idle_connection_timeout=_IDLE_CONNECTION_TIMEOUT_S,
         )
 
-    def _parts(self, ticket_store: tickets.TicketStore) -> routes.Parts:
-        return routes.Parts(
+    def _make_components(
+        self, ticket_store: tickets.TicketStore
+    ) -> routes.Components:
+        return routes.Components(
             route=route.Route(self._random),
             identify_by_route=identify.IdentifyByRoute(self._authorization),
             quota=quota.Quota(self._quotas),
             report=report.Report(self._log, self._metrics, self._dialect),
             idempotency=idempotency.Idempotency(
                 ticket_store,
-                forward.Forwarder(
+                ticket_forwarding.TicketForwarder(
                     self._http,
-                    self._world,
+                    self._cluster_state,
                     self._auth,
                     self._environment.vm,
                     self._random,
@@ -222,7 +236,7 @@
             ),
             plain_placement=plain_placement.PlainPlacement(
                 self._environment.availability_zone,
-                self._world,
+                self._cluster_state,
                 self._budgets,
                 self._log,
                 self._random,
@@ -232,8 +246,8 @@
             model_relay=model_relay.ModelRelay(
                 self._dialect.engines,
                 self._scheduling,
-                self._placing.permissions,
-                self._world,
+                self._placement_backend.permissions,
+                self._cluster_state,
                 self._dialect.resumer,
                 self._report_leaving,
                 self._log,
@@ -248,50 +262,51 @@
             return outlier_detection.FixedEjectionDetector()
         return outlier_detection.OutlierDetector()
 
-    def _take_world(self) -> None:
+    def _apply_cluster_state(self) -> None:
         snapshot = self._source.snapshot
-        self._world.update(snapshot, self._source.fleet)
+        self._cluster_state.update(snapshot, self._source.fleet)
         self._http.limits_by_address = connection_limits.limits_for_endpoints(
             snapshot, self._source.fleet
         )
-        self._placing.world_changed(snapshot)
+        self._placement_backend.cluster_state_changed(snapshot)
         self._budgets.keep_only(snapshot.services_by_id.values())
         self._outlier_detector.retain(snapshot.endpoints_by_id.keys())
         self._metrics.revision.set({}, snapshot.revision)
         if self._public_server is not None:
-            # tornado asks for it before each call that a connection brings.
+            # tornado reads this value before each request on a connection.
             parameters = self._public_server.conn_params
             parameters.header_timeout = snapshot.limits.idle_timeout_s
-        self._announce_world()
+        self._notify_scheduler()
 
-    def _announce_world(self) -> None:
-        fleet = self._world.fleet_at(clock.now())
+    def _notify_scheduler(self) -> None:
+        fleet = self._cluster_state.fleet_at(clock.now())
         self._scheduling.post(
-            messages.ClusterStateChanged(self._world.snapshot, fleet)
+            messages.ClusterStateChanged(self._cluster_state.snapshot, fleet)
         )
 
     def _report_leaving(self, endpoint_id: str, ttl_s: float) -> None:
         now = clock.now()
-        if self._world.is_leaving(endpoint_id, now):
+        if self._cluster_state.is_leaving(endpoint_id, now):
             return
         self._log.event("endpoint_leaving", endpoint=endpoint_id)
-        self._world.note_leaving(endpoint_id, now + ttl_s)
-        self._announce_world()
-        # The scheduler has to hear too when the news expire.
-        asyncio.get_running_loop().call_later(ttl_s, self._announce_world)
-        # The request that met the draining answer doesn't wait for the report.
-        report = asyncio.create_task(
+        self._cluster_state.mark_leaving(endpoint_id, now + ttl_s)
+        self._notify_scheduler()
+        # The scheduler must also be notified when the leaving mark expires.
+        asyncio.get_running_loop().call_later(ttl_s, self._notify_scheduler)
+        # Published in a task of its own, so that the request whose response
+        # revealed the draining endpoint doesn't wait.
+        report_task = asyncio.create_task(
             self._source.report_leaving(endpoint_id, ttl_s)
         )
-        self._reports.add(report)
-        report.add_done_callback(self._reports.discard)
+        self._leaving_reports.add(report_task)
+        report_task.add_done_callback(self._leaving_reports.discard)
 
     def _unready_reason(self) -> str:
         if self._gate.draining:
             return "draining"
-        if not self._world.snapshot.revision:
+        if not self._cluster_state.snapshot.revision:
             return "no settings yet"
-        keys_required = self._world.snapshot.keys_required
+        keys_required = self._cluster_state.snapshot.keys_required
         if keys_required and not self._source.accepts_api_keys():
             return "settings unconfirmed"
         return ""
@@ -299,7 +314,7 @@
     def _status(self) -> dict[str, Any]:
         return {
             "incarnation": str(self._incarnation),
-            "revision": self._world.snapshot.revision,
+            "revision": self._cluster_state.snapshot.revision,
             "requests": len(self._gate.tasks),
             "buffered_bytes": self._gate.buffered_bytes,
             "pending_cancels": self._canceller.pending,
@@ -307,10 +322,12 @@
         }
 
     async def _drain(self) -> None:
-        """Leaves without cutting a request.
+        """Shuts down gracefully.
 
-        The balancer goes on sending connections until it has seen that the
-        process isn't ready; closing the port before would refuse them.
+        The port stays open for the drain notice, because the load balancer
+        sends connections until its readiness check fails; closing the port
+        earlier would refuse these. Requests still in flight at the drain limit
+        are aborted.
         """
         notice_s = self._environment.drain_notice_s
         self._gate.draining = True
@@ -318,14 +335,14 @@
         await asyncio.sleep(notice_s)
         self._gate.closed = True
         self._public_server.stop()
-        cut = await self._gate.wait_until_empty(
+        remaining = await self._gate.wait_until_idle(
             self._environment.drain_limit_s - notice_s
         )
-        if cut:
-            self._log.warning("requests_cut", requests=cut)
-            self._gate.cut()
-        await self._canceller.settle(_CANCELS_SETTLE_S)
-        await self._placing.hand_back()
+        if remaining:
+            self._log.warning("requests_cut", requests=remaining)
+            self._gate.abort_all()
+        await self._canceller.drain(_CANCEL_FLUSH_TIMEOUT_S)
+        await self._placement_backend.release_leases()
 
 
 async def _do_nothing() -> None:
--- a/src/cowsliprill/entry/filters/accept.py
+++ b/src/cowsliprill/entry/filters/call_validation.py
@@ -1,4 +1,4 @@
-"""Whether a call can be taken at all."""
+"""Filter that rejects malformed calls and calls before readiness."""
 
 import dataclasses
 
@@ -9,21 +9,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accept:
-    """Refuses calls of the wrong method or size, or before any settings.
+class CallValidation:
+    """Rejects calls of the wrong method or size, or before settings arrive.
 
     Attributes:
-      methods: HTTP methods of the path, empty for any.
+      methods: HTTP methods allowed on the path, empty for any.
     """
 
     methods: tuple[str, ...] = ()
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
-        """Lets the call pass or refuses it."""
-        if ctx.call.fault is not None:
-            raise ctx.call.fault
+        """Passes the call on or raises `errors.EntryError`."""
+        if ctx.call.rejection is not None:
+            raise ctx.call.rejection
         if self.methods and ctx.call.method not in self.methods:
             raise errors.EntryError(
                 errors.Code.METHOD_NOT_ALLOWED,
--- a/src/cowsliprill/entry/filters/idempotency.py
+++ b/src/cowsliprill/entry/filters/idempotency.py
@@ -1,4 +1,4 @@
-"""At most one run for each ticket or idempotency key."""
+"""Filter that executes each ticket or idempotency key at most once."""
 
 import dataclasses
 import hashlib
@@ -10,35 +10,35 @@
 from cowsliprill.engines import protocol
 from cowsliprill.entry import context
 from cowsliprill.entry import errors
-from cowsliprill.entry import forward
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
+from cowsliprill.entry import ticket_forwarding
 
 REPLAYED_HEADER = "Idempotent-Replayed"
 
 _MAX_KEY_BYTES = 255
-_IN_PROGRESS_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Idempotency:
-    """Lets each key run once here, and sends tickets to their owners.
+    """Executes each key once here and forwards tickets to their owners.
 
     Attributes:
       ticket_store: Tickets and keys of this incarnation.
-      forwarder: Passes requests on to the owners of their tickets.
-      room: Room for answers while they are recorded.
+      forwarder: Forwards requests to the processes that issued their tickets.
+      recording_budget: Memory budget for responses that are being recorded.
     """
 
     ticket_store: tickets.TicketStore
-    forwarder: forward.Forwarder
-    room: reply_lib.RecordingRoom = dataclasses.field(
-        default_factory=reply_lib.RecordingRoom
+    forwarder: ticket_forwarding.TicketForwarder
+    recording_budget: response_writer_lib.RecordingBudget = dataclasses.field(
+        default_factory=response_writer_lib.RecordingBudget
     )
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
-        """Runs the request, repeats its answer or refuses it."""
+        """Executes the request, replays its response or rejects it."""
         key = ctx.call.headers.get(protocol.IDEMPOTENCY_KEY_HEADER, "")
         if not key:
             await proceed(ctx)
@@ -51,17 +51,20 @@
         ctx.idempotency_key = key
         match self._claim(ctx, key):
             case tickets.Granted(record):
-                await self._run(ctx, proceed, record)
-            case tickets.Replay(answer) if answer is not None:
+                await self._run_and_record(ctx, proceed, record)
+            case tickets.Replay(response) if response is not None:
                 ctx.progress.outcome = "replayed"
-                headers = [*answer.headers, (REPLAYED_HEADER, "true")]
-                await reply_lib.send(
-                    ctx.reply, answer.status, _bare(headers), answer.body
+                headers = [*response.headers, (REPLAYED_HEADER, "true")]
+                await response_writer_lib.send(
+                    ctx.response_writer,
+                    response.status,
+                    _without_content_length(headers),
+                    response.body,
                 )
             case tickets.OwnedElsewhere(ticket):
                 await self.forwarder.forward(ctx, ticket)
             case claim:
-                raise _refusal(claim)
+                raise _error_for_claim(claim)
 
     def _claim(self, ctx: context.Context, key: str) -> tickets.Claim:
         fingerprint = _fingerprint(ctx.call)
@@ -77,56 +80,64 @@
             ticket, customer, service, fingerprint, now
         )
 
-    async def _run(
-        self, ctx: context.Context, proceed: context.Handle, record: str
+    async def _run_and_record(
+        self, ctx: context.Context, proceed: context.Handler, record: str
     ) -> None:
-        recording = reply_lib.RecordingReply(ctx.reply, self.room)
-        ctx.reply = recording
-        # A booking whose caller is gone has most likely been made. Going on to
-        # its end costs no engine memory, and the caller's retry then learns
-        # what became of it instead of "unknown".
-        ctx.survives_caller = (
+        recording = response_writer_lib.RecordingResponseWriter(
+            ctx.response_writer, self.recording_budget
+        )
+        ctx.response_writer = recording
+        # A non-idempotent call whose caller disconnects has most likely been
+        # executed. Completing it costs no engine memory, and the caller's
+        # retry gets its response instead of "unknown".
+        ctx.continues_after_disconnect = (
             ctx.service.idempotency is model.Idempotency.NON_IDEMPOTENT
             and ctx.service.kind is model.ServiceKind.PLAIN
         )
         try:
             await proceed(ctx)
         except errors.EntryError as error:
-            self._settle_error(record, recording, error)
+            self._record_error(record, recording, error)
             raise
         except BaseException:
-            self._settle_unknown(record, ctx)
+            self._record_unexpected_end(record, ctx)
             raise
         else:
             self.ticket_store.finish(record, recording.answer())
         finally:
-            recording.forget()
+            recording.release()
 
-    def _settle_error(
+    def _record_error(
         self,
         record: str,
-        recording: reply_lib.RecordingReply,
+        recording: response_writer_lib.RecordingResponseWriter,
         error: errors.EntryError,
     ) -> None:
         if error.run is messages.Executed.NO:
             self.ticket_store.release(record)
             return
-        answer = tickets.StoredResponse(
+        response = tickets.StoredResponse(
             status=error.status,
             headers=tuple(error.headers().items()),
             body=error.body(),
         )
-        self.ticket_store.finish(record, None if recording.started else answer)
+        self.ticket_store.finish(
+            record, None if recording.started else response
+        )
 
-    def _settle_unknown(self, record: str, ctx: context.Context) -> None:
+    def _record_unexpected_end(self, record: str, ctx: context.Context) -> None:
         if ctx.progress.run is messages.Executed.NO:
             self.ticket_store.release(record)
         else:
             self.ticket_store.finish(record, None)
 
 
-def _bare(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    return [pair for pair in headers if pair[0].lower() != "content-length"]
+def _without_content_length(
+    headers: list[tuple[str, str]],
+) -> list[tuple[str, str]]:
+    return [
+        header for header in headers if header[0].lower() != "content-length"
+    ]
 
 
 def _fingerprint(call: context.Call) -> bytes:
@@ -137,7 +148,7 @@
     return digest.digest()
 
 
-def _refusal(claim: tickets.Claim) -> errors.EntryError:
+def _error_for_claim(claim: tickets.Claim) -> errors.EntryError:
     unknown = messages.Executed.UNKNOWN
     match claim:
         case tickets.InProgress():
@@ -145,7 +156,7 @@
                 errors.Code.IN_PROGRESS,
                 "The first request with this key still runs.",
                 run=unknown,
-                retry_after_s=_IN_PROGRESS_RETRY_S,
+                retry_after_s=_RETRY_AFTER_S,
             )
         case tickets.Mismatch():
             return errors.EntryError(
@@ -167,11 +178,11 @@
             return errors.EntryError(
                 errors.Code.TOO_MANY_KEYS,
                 "No more keys can be remembered now.",
-                retry_after_s=_IN_PROGRESS_RETRY_S,
+                retry_after_s=_RETRY_AFTER_S,
             )
         case _:
             return errors.EntryError(
-                errors.Code.ANSWER_NOT_STORED,
+                errors.Code.RESPONSE_NOT_STORED,
                 "A request with this key has ended; its answer isn't stored.",
                 run=unknown,
             )
--- a/src/cowsliprill/entry/filters/route.py
+++ b/src/cowsliprill/entry/filters/route.py
@@ -1,4 +1,4 @@
-"""Which service a call goes to that names only a host and a path."""
+"""Filter that routes a call to a service by host and path prefix."""
 
 import dataclasses
 import random
@@ -11,18 +11,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Finds a call's route and draws its service.
+    """Finds a call's route and selects a service of the route.
 
     Attributes:
-      random_source: Draws among the services of a split route.
+      random_source: Selects among the weighted services of a split route.
     """
 
     random_source: random.Random
 
     async def __call__(
-        self, ctx: context.Context, proceed: context.Handle
+        self, ctx: context.Context, proceed: context.Handler
     ) -> None:
-        """Finds the service or refuses the call."""
+        """Sets the route and service or raises `errors.EntryError`."""
         host = ctx.call.headers.get("Host", "")
         route = routing.find_route(
             ctx.snapshot.routes_by_prefix_by_host, host, ctx.call.path
@@ -39,19 +39,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ByKind:
-    """The end of a chain that splits by the kind of the service.
+class ServiceKindDispatcher:
+    """Final handler of a chain; dispatches by the kind of the service.
 
     Attributes:
-      generate: Handles model requests.
-      plain: Handles plain calls.
+      generate: Handler of model requests.
+      plain: Handler of plain calls.
     """
 
-    generate: context.Handle
-    plain: context.Handle
+    generate: context.Handler
+    plain: context.Handler
 
     async def __call__(self, ctx: context.Context) -> None:
-        """Passes the call on."""
+        """Passes the call to the handler of its kind."""
         if ctx.service.kind is model.ServiceKind.MODEL:
             await self.generate(ctx)
         else:
--- a/src/cowsliprill/entry/routes.py
+++ b/src/cowsliprill/entry/routes.py
@@ -1,4 +1,4 @@
-"""Which filters each path passes."""
+"""HTTP routes of the entry process and the filter chain of each."""
 
 import dataclasses
 
@@ -8,45 +8,45 @@
 from cowsliprill import peers
 from cowsliprill.decisions import tickets
 from cowsliprill.engines import protocol
-from cowsliprill.entry import answers
 from cowsliprill.entry import context
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import handlers
+from cowsliprill.entry import local_responses
 from cowsliprill.entry import model_relay
 from cowsliprill.entry import plain_relay
-from cowsliprill.entry.filters import accept
 from cowsliprill.entry.filters import admission
-from cowsliprill.entry.filters import arrival
+from cowsliprill.entry.filters import call_validation
+from cowsliprill.entry.filters import caller_deadlines
 from cowsliprill.entry.filters import idempotency
 from cowsliprill.entry.filters import identify
 from cowsliprill.entry.filters import model_placement
 from cowsliprill.entry.filters import plain_placement
+from cowsliprill.entry.filters import priority_and_deadline
 from cowsliprill.entry.filters import quota
 from cowsliprill.entry.filters import report
 from cowsliprill.entry.filters import resolve
 from cowsliprill.entry.filters import route
-from cowsliprill.entry.filters import urgency
 
 MODELS_PATH = "/v1/models"
 TICKETS_PATH = "/v1/tickets"
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Parts:
-    """The filters that hold state, and the ends of the chains.
+class Components:
+    """Filters that hold state, and the final handlers of the chains.
 
     Attributes:
-      report: Reports each request's end.
-      route: Finds the services of calls that name none.
-      identify_by_route: Finds the customers of calls that name a route.
-      quota: Refuses what goes beyond a customer's quota.
-      idempotency: Lets each key run once.
-      admission: Bounds the requests at once.
-      model_placement: Places model requests.
-      plain_placement: Places plain calls.
-      model_relay: Runs attempts at model requests.
-      plain_relay: Makes plain calls.
-      ticket_store: Tickets of this incarnation.
+      report: Writes log line and metrics when a request ends; sends errors.
+      route: Selects the service of a request by host and path.
+      identify_by_route: Identifies the customer of a request with a route.
+      quota: Enforces the customers' quotas.
+      idempotency: Executes each idempotency key at most once.
+      admission: Limits the number of concurrent requests.
+      model_placement: Chooses engines for model requests and retries them.
+      plain_placement: Chooses endpoints of plain services and retries.
+      model_relay: Runs one attempt of a model request at its engines.
+      plain_relay: Sends a request to a plain service.
+      ticket_store: Ticket store of this incarnation.
     """
 
     report: report.Report
@@ -62,129 +62,150 @@
     ticket_store: tickets.TicketStore
 
 
-def generation(parts: Parts) -> context.Handle:
-    """Returns the chain of model requests."""
+def generation_chain(components: Components) -> context.Handler:
+    """Returns the filter chain for model requests."""
     return context.chain(
         [
-            parts.report,
-            accept.Accept(("POST",)),
+            components.report,
+            call_validation.CallValidation(("POST",)),
             identify.identify,
             resolve.resolve_generation,
-            urgency.urgency,
-            parts.idempotency,
-            parts.admission,
-            parts.model_placement,
+            priority_and_deadline.set_priority_and_deadline,
+            components.idempotency,
+            components.admission,
+            components.model_placement,
         ],
-        parts.model_relay,
+        components.model_relay,
     )
 
 
-def plain(parts: Parts) -> context.Handle:
-    """Returns the chain of plain calls."""
+def plain_chain(components: Components) -> context.Handler:
+    """Returns the filter chain for requests to plain services."""
     return context.chain(
         [
-            parts.report,
-            accept.Accept(),
+            components.report,
+            call_validation.CallValidation(),
             identify.identify,
             resolve.resolve_plain,
-            urgency.urgency,
-            parts.idempotency,
-            parts.admission,
-            parts.plain_placement,
+            priority_and_deadline.set_priority_and_deadline,
+            components.idempotency,
+            components.admission,
+            components.plain_placement,
         ],
-        parts.plain_relay,
+        components.plain_relay,
     )
 
 
-def _own(parts: Parts, method: str, last: context.Handle) -> context.Handle:
+def _authenticated_chain(
+    components: Components, method: str, final_handler: context.Handler
+) -> context.Handler:
     return context.chain(
-        [parts.report, accept.Accept((method,)), identify.identify], last
+        [
+            components.report,
+            call_validation.CallValidation((method,)),
+            identify.identify,
+        ],
+        final_handler,
     )
 
 
-def _tickets(gate: gate_lib.Gate, parts: Parts) -> context.Handle:
-    issue = answers.IssueTicket(
-        parts.ticket_store, gate, parts.idempotency.forwarder
+def _ticket_chain(
+    gate: gate_lib.Gate, components: Components
+) -> context.Handler:
+    issue = local_responses.IssueTicket(
+        components.ticket_store, gate, components.idempotency.forwarder
     )
-    return _own(parts, "POST", issue)
+    return _authenticated_chain(components, "POST", issue)
 
 
-def public_application(gate: gate_lib.Gate, parts: Parts) -> web.Application:
-    """Returns what callers reach."""
-    generate = generation(parts)
+def public_application(
+    gate: gate_lib.Gate, components: Components
+) -> web.Application:
+    """Returns the HTTP application of the public port."""
+    generate = generation_chain(components)
     chains_by_pattern = {
         protocol.COMPLETIONS_PATH: generate,
         protocol.CHAT_PATH: generate,
-        resolve.SERVICES_PATH + ".*": plain(parts),
-        MODELS_PATH: _own(parts, "GET", answers.list_models),
-        TICKETS_PATH: _tickets(gate, parts),
-        "/.*": context.chain([parts.report], answers.refuse_path),
+        resolve.SERVICES_PATH + ".*": plain_chain(components),
+        MODELS_PATH: _authenticated_chain(
+            components, "GET", local_responses.list_models
+        ),
+        TICKETS_PATH: _ticket_chain(gate, components),
+        "/.*": context.chain(
+            [components.report], local_responses.raise_path_not_found
+        ),
     }
     return web.Application(
         [
             (pattern, handlers.CallHandler, {"gate": gate, "handle": handle})
             for pattern, handle in chains_by_pattern.items()
         ],
-        log_function=_log_nothing,
+        log_function=_suppress_access_log,
     )
 
 
 def routed_application(
-    gate: gate_lib.Gate, parts: Parts, read_call: context.Filter
+    gate: gate_lib.Gate, components: Components, parse_call: context.Filter
 ) -> web.Application:
-    """Returns what callers reach who name a host and a path.
+    """Returns the HTTP application that selects services by host and path.
 
     Args:
-      gate: Where calls enter.
-      parts: The filters that hold state, and the ends of the chains.
-      read_call: Reads a call's headers once its service is known.
+      gate: Request gate of the process.
+      components: Filters that hold state, and the final handlers of the chains.
+      parse_call: Filter that parses a request once its service is known.
     """
-    by_kind = route.ByKind(
-        generate=context.chain([parts.model_placement], parts.model_relay),
-        plain=context.chain([parts.plain_placement], parts.plain_relay),
+    by_kind = route.ServiceKindDispatcher(
+        generate=context.chain(
+            [components.model_placement], components.model_relay
+        ),
+        plain=context.chain(
+            [components.plain_placement], components.plain_relay
+        ),
     )
     handle = context.chain(
         [
-            parts.report,
-            accept.Accept(),
-            parts.route,
-            parts.identify_by_route,
-            read_call,
-            arrival.Arrival(),
-            parts.quota,
-            parts.admission,
+            components.report,
+            call_validation.CallValidation(),
+            components.route,
+            components.identify_by_route,
+            parse_call,
+            caller_deadlines.CallerDeadlines(),
+            components.quota,
+            components.admission,
         ],
         by_kind,
     )
-    own = {"gate": gate, "handle": handle}
+    handler_arguments = {"gate": gate, "handle": handle}
     return web.Application(
-        [(".*", handlers.CallHandler, own)], log_function=_log_nothing
+        [(".*", handlers.CallHandler, handler_arguments)],
+        log_function=_suppress_access_log,
     )
 
 
 def peer_routes(
-    gate: gate_lib.Gate, parts: Parts, auth: peer_auth.PeerAuth
+    gate: gate_lib.Gate, components: Components, auth: peer_auth.PeerAuth
 ) -> list[tuple]:
-    """Returns what peers reach."""
-    generate = generation(parts)
+    """Returns the tornado routes of the peer port."""
+    generate = generation_chain(components)
     handles_by_prefix = [
         (protocol.COMPLETIONS_PATH, generate),
         (protocol.CHAT_PATH, generate),
-        (resolve.SERVICES_PATH, plain(parts)),
-        (TICKETS_PATH, _tickets(gate, parts)),
+        (resolve.SERVICES_PATH, plain_chain(components)),
+        (TICKETS_PATH, _ticket_chain(gate, components)),
     ]
     incarnation = {"incarnation": gate.incarnation}
-    forward = {
+    forward_arguments = {
         "gate": gate,
         "handles_by_prefix": handles_by_prefix,
         "auth": auth,
     }
     return [
         (peers.INCARNATION_PATH, handlers.IncarnationHandler, incarnation),
-        (peers.FORWARD_PATH, handlers.ForwardHandler, forward),
+        (peers.FORWARD_PATH, handlers.ForwardHandler, forward_arguments),
     ]
 
 
-def _log_nothing(handler: web.RequestHandler) -> None:
-    # The report filter writes one line a request, with its id and outcome.
+def _suppress_access_log(handler: web.RequestHandler) -> None:
+    # Replaces tornado's access log: the report filter writes one line for each
+    # request, with its id and outcome.
     del handler
--- a/src/cowsliprill/entry/sinks.py
+++ b/src/cowsliprill/entry/sinks.py
@@ -1,4 +1,4 @@
-"""How tokens reach the caller: as they come, or all at once."""
+"""Writers of engine events to the caller, streamed or as one response."""
 
 import json
 from typing import Protocol
@@ -7,7 +7,7 @@
 from cowsliprill.engines import event_stream
 from cowsliprill.engines import hop_headers
 from cowsliprill.entry import context
-from cowsliprill.entry import reply as reply_lib
+from cowsliprill.entry import response_writer as response_writer_lib
 
 _OK = 200
 _STREAM_HEADERS = (
@@ -18,56 +18,62 @@
 
 
 class Sink(Protocol):
-    """Takes the checked events of one whole answer."""
+    """Receives the validated events of one response."""
 
-    async def take(self, events: bytes) -> None:
-        """Takes events, in order."""
+    async def write_events(self, events: bytes) -> None:
+        """Writes the next events of the stream."""
 
     async def end(self) -> None:
-        """Takes the end; the answer is whole."""
+        """Ends the response after the stream is complete."""
 
 
 class _StreamSink:
-    def __init__(self, reply: reply_lib.Reply) -> None:
-        self._reply = reply
+    def __init__(
+        self, response_writer: response_writer_lib.ResponseWriter
+    ) -> None:
+        self._response_writer = response_writer
 
-    async def take(self, events: bytes) -> None:
-        if not self._reply.started:
-            await self._reply.start(_OK, _STREAM_HEADERS)
-        await self._reply.write(events)
+    async def write_events(self, events: bytes) -> None:
+        if not self._response_writer.started:
+            await self._response_writer.start(_OK, _STREAM_HEADERS)
+        await self._response_writer.write(events)
 
     async def end(self) -> None:
-        await self._reply.end()
+        await self._response_writer.end()
 
 
-class _WholeSink:
-    def __init__(self, reply: reply_lib.Reply) -> None:
-        self._reply = reply
+class _BufferedSink:
+    def __init__(
+        self, response_writer: response_writer_lib.ResponseWriter
+    ) -> None:
+        self._response_writer = response_writer
         self._response_builder = stream_lib.ResponseBuilder()
 
-    async def take(self, events: bytes) -> None:
+    async def write_events(self, events: bytes) -> None:
         self._response_builder.add(events)
 
     async def end(self) -> None:
         body = json.dumps(self._response_builder.answer()).encode()
-        await reply_lib.send(self._reply, _OK, _JSON_HEADERS, body)
+        await response_writer_lib.send(
+            self._response_writer, _OK, _JSON_HEADERS, body
+        )
 
 
 def sink_for(ctx: context.Context) -> Sink:
-    """Returns where the tokens of a request go."""
+    """Returns the sink for the response mode that a request asks for."""
     if ctx.generation.request.stream:
-        return _StreamSink(ctx.reply)
-    return _WholeSink(ctx.reply)
+        return _StreamSink(ctx.response_writer)
+    return _BufferedSink(ctx.response_writer)
 
 
-class EventSink:
-    """Passes an engine's events on unchanged, under its own headers.
+class PassthroughSink:
+    """Passes an engine's events on unchanged, with the engine's headers.
 
-    A stream that went on at another engine keeps the headers of the first.
+    A stream that is resumed at another engine keeps the headers of the first.
 
     Args:
       ctx: The request.
-      stream: The engine's stream.
+      stream: Event stream of the engine.
     """
 
     def __init__(
@@ -76,17 +82,17 @@
         self._ctx = ctx
         self._stream = stream
 
-    async def take(self, events: bytes) -> None:
-        """Passes events on."""
-        reply = self._ctx.reply
-        if not reply.started:
+    async def write_events(self, events: bytes) -> None:
+        """Writes events to the caller."""
+        response_writer = self._ctx.response_writer
+        if not response_writer.started:
             headers = hop_headers.end_to_end(self._stream.headers)
-            await reply.start(self._stream.status, headers.get_all())
-        await reply.write(events)
-        # Noted once the caller's socket has them: a stream that goes on
-        # elsewhere must begin after what was really passed on.
+            await response_writer.start(self._stream.status, headers.get_all())
+        await response_writer.write(events)
+        # Set only after the socket has accepted the events: a resumed stream
+        # must continue after the last event that was really sent.
         self._ctx.progress.last_event_id = self._stream.last_id
 
     async def end(self) -> None:
-        """Ends the answer, which is whole."""
-        await self._ctx.reply.end()
+        """Ends the response after the stream is complete."""
+        await self._ctx.response_writer.end()
--- a/src/cowsliprill/replay/catalogue.py
+++ b/src/cowsliprill/replay/catalogue.py
@@ -1,4 +1,7 @@
-"""The recipes of the committed traces; `python -m` writes them."""
+"""Parameters of the synthetic traces that are committed below `traces/`.
+
+`python -m cowsliprill.replay.catalogue` writes the files.
+"""
 
 import dataclasses
 
@@ -6,7 +9,7 @@
 from cowsliprill.replay import sites
 from cowsliprill.replay import trace as traces
 
-_NOTE = (
+_TRACE_NOTE = (
     "Synthetic: Poisson arrivals, log-normal lengths, Zipf prefixes, drawn"
     " with a seed; sizes and delays from the brief, the rest assumed."
 )
@@ -25,22 +28,24 @@
     )
 
 
-def recipes(site: str) -> list[traces.Trace]:
-    """Returns the recipes of one site's traces.
+def synthetic_traces(site: str) -> list[traces.Trace]:
+    """Returns the synthetic traces of one site.
 
     Args:
       site: A key of `sites.SITES_BY_NAME`.
 
     Returns:
-      Traces without demands.
+      Trace headers without demands, which are generated from a seed.
     """
-    calm = traces.Trace(name=f"{site}-calm", note=_NOTE, site=site, load=0.5)
+    base = traces.Trace(
+        name=f"{site}-calm", note=_TRACE_NOTE, site=site, load=0.5
+    )
 
     def variant(name: str, **changes: object) -> traces.Trace:
-        return dataclasses.replace(calm, name=f"{site}-{name}", **changes)
+        return dataclasses.replace(base, name=f"{site}-{name}", **changes)
 
     return [
-        calm,
+        base,
         variant("peak-0.7", load=0.7),
         variant("peak-1.0", load=1.0),
         variant("peak-1.3", load=1.3),
@@ -69,9 +74,9 @@
 
 
 def write_all() -> None:
-    """Writes every recipe below `traces/`."""
+    """Writes the trace headers of all sites below `traces/`."""
     for site in sites.SITES_BY_NAME:
-        for trace in recipes(site):
+        for trace in synthetic_traces(site):
             path = command.TRACES_FOLDER / f"{trace.name}.jsonl"
             traces.write(trace, path)
 
--- a/src/cowsliprill/replay/command.py
+++ b/src/cowsliprill/replay/command.py
@@ -1,4 +1,4 @@
-"""The `replay` command's arguments."""
+"""Command-line arguments of the `replay` command."""
 
 import dataclasses
 import pathlib
@@ -17,7 +17,7 @@
 )
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplayCommand:
-    """Plays traces and prints figures beside baselines and a bound.
+    """Replays traces and compares policies with baselines and a bound.
 
     Attributes:
       traces: Trace files.
@@ -48,16 +48,16 @@
 
 
 def trace_paths(command: ReplayCommand) -> list[pathlib.Path]:
-    """Returns the files that a command names.
+    """Returns the paths of the traces to replay.
 
     Args:
-      command: The command.
+      command: Parsed command-line arguments.
 
     Returns:
-      Paths of traces.
+      Paths of trace files.
 
     Raises:
-      trace.TraceError: It names none.
+      trace.TraceError: The arguments select no trace.
     """
     paths = list(command.traces)
     if command.all:
--- a/src/cowsliprill/replay/report.py
+++ b/src/cowsliprill/replay/report.py
@@ -1,11 +1,11 @@
-"""Figures of a replay, for tables and JSON."""
+"""Metrics of a replay, for the printed table and for JSON."""
 
 import collections
 import dataclasses
 import statistics
 from collections.abc import Iterable
 
-from cowsliprill.replay import outcomes
+from cowsliprill.replay import records
 from cowsliprill.replay import sites
 from cowsliprill.replay import trace as traces
 
@@ -13,38 +13,45 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Rate:
-    """Good requests out of demands."""
+class Goodput:
+    """Goodput of a group of demands.
+
+    Attributes:
+      good: Demands that were served within both latency targets.
+      demands: All demands of the group.
+    """
 
     good: int
     demands: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Figures:
-    """Figures of one run.
+class ReplayMetrics:
+    """Metrics of one run. Ratios are between 0 and 1 unless noted.
 
     Attributes:
-      demands: Requests that callers wanted, returns not counted again.
-      good: Those answered whole, within both targets counted from when the
-        caller last came, before the trace's end.
-      finished: Those answered whole, late ones included.
-      good_share: `good` over `demands`.
-      bound: No router can have more good ones.
-      prefills: Prefills on which an engine began to work.
-      wasted: Those of them whose results were never used.
-      wasted_share: `wasted` over `prefills`.
-      refusals: Refusals, each return's counted.
-      refused_after_s: Time to refusal, p50, p95, p99.
-      late_refusal_s: Worst time from a refusal's cause to the refusal.
-      ttft_s: Time to first token, p50, p95, p99.
-      tpot_s: Time between tokens, p50, p95, p99.
-      by_user: Goodput of each user.
-      by_service: Goodput of each service.
-      by_priority: Goodput of each priority.
-      share_by_user: Decode slot time of each user over its fair share.
-      fairness: The least of these.
-      messages: Messages between entries and homes.
+      demands: Demands that arrived; a retry after a refusal counts as the same
+        demand.
+      good: Demands that finished before the end of the trace within both
+        latency targets, counted from the caller's last submission.
+      finished: Demands that finished, including those past their targets.
+      good_share: `good` divided by `demands`.
+      bound: Upper bound on `good` for any router.
+      prefills: Prefills that an engine began to compute.
+      wasted: Prefills whose KV cache was never used.
+      wasted_share: `wasted` divided by `prefills`.
+      refusals: Refusals, including those of retries.
+      refused_after_s: Time from submission to refusal: p50, p95, p99.
+      late_refusal_s: Maximum time from a refusal's cause to the refusal.
+      ttft_s: Time to first token: p50, p95, p99.
+      tpot_s: Time per output token: p50, p95, p99.
+      by_user: Goodput by calling customer.
+      by_service: Goodput by service.
+      by_priority: Goodput by priority.
+      share_by_user: Decode slot time of each calling customer divided by its
+        max-min fair share; can exceed 1.
+      fairness: Minimum of `share_by_user`.
+      messages: Messages between entry processes and coordinators.
     """
 
     demands: int
@@ -60,16 +67,16 @@
     late_refusal_s: float
     ttft_s: tuple[float, ...]
     tpot_s: tuple[float, ...]
-    by_user: dict[str, Rate]
-    by_service: dict[str, Rate]
-    by_priority: dict[str, Rate]
+    by_user: dict[str, Goodput]
+    by_service: dict[str, Goodput]
+    by_priority: dict[str, Goodput]
     share_by_user: dict[str, float]
     fairness: float
     messages: int
 
 
 def quantiles(values: Iterable[float]) -> tuple[float, ...]:
-    """Returns p50, p95 and p99 by nearest rank, zeros for no values."""
+    """Returns p50, p95 and p99 by nearest rank, or zeros for no values."""
     ordered = sorted(values)
     if not ordered:
         return tuple(0.0 for _ in _QUANTILES)
@@ -79,26 +86,26 @@
     )
 
 
-def fair_shares(total: float, demand_by_user: dict[str, float]) -> dict:
-    """Splits a total max-min fairly.
+def max_min_fair_shares(total: float, demand_by_user: dict[str, float]) -> dict:
+    """Splits a total by max-min fairness.
 
     Args:
-      total: What there is.
-      demand_by_user: What each user asks for.
+      total: The amount to split.
+      demand_by_user: Demand of each customer.
 
     Returns:
-      What each user's fair share is; no one gets more than it asks for.
+      The fair share of each customer, at most its demand.
     """
     shares = {}
-    left = total
+    remaining = total
     by_demand = sorted(demand_by_user.items(), key=lambda item: item[1])
     for index, (user, demand) in enumerate(by_demand):
-        shares[user] = min(demand, left / (len(by_demand) - index))
-        left -= shares[user]
+        shares[user] = min(demand, remaining / (len(by_demand) - index))
+        remaining -= shares[user]
     return shares
 
 
-def _is_good(outcome: outcomes.Outcome, site: sites.Site) -> bool:
+def _is_good(outcome: records.Outcome, site: sites.Site) -> bool:
     return (
         outcome.finished_at > 0
         and outcome.ttft_s() <= site.ttft_target_s
@@ -106,90 +113,106 @@
     )
 
 
-def _rates(keys: list[str], good: list[bool]) -> dict[str, Rate]:
+def _goodput_by_key(keys: list[str], good: list[bool]) -> dict[str, Goodput]:
     demands = collections.Counter(keys)
     successes = collections.Counter(
-        key for key, ok in zip(keys, good, strict=True) if ok
+        key for key, is_good in zip(keys, good, strict=True) if is_good
     )
     return {
-        key: Rate(good=successes[key], demands=count)
+        key: Goodput(good=successes[key], demands=count)
         for key, count in sorted(demands.items())
     }
 
 
-def _shares(
-    result: outcomes.Result, site: sites.Site
+def _slot_time_shares(
+    result: records.Result, site: sites.Site
 ) -> tuple[dict[str, float], float]:
     demand_by_user: dict[str, float] = {}
     for outcome in result.outcomes:
         user = outcome.demand.user
-        wanted = outcome.demand.output_tokens * site.seconds_per_token
-        demand_by_user[user] = demand_by_user.get(user, 0.0) + wanted
-    used: dict[str, float] = {}
-    for use in result.runs:
-        # Answers still running at the end count as far as they got.
-        running = not use.ended_at and use.work.key in result.unused_at_end
-        ended_at = result.ended_at if running else use.ended_at
+        demand_s = outcome.demand.output_tokens * site.seconds_per_token
+        demand_by_user[user] = demand_by_user.get(user, 0.0) + demand_s
+    slot_s_by_user: dict[str, float] = {}
+    for usage in result.slot_usages:
+        # Decodes still running at the end count up to the end.
+        is_running = (
+            not usage.ended_at and usage.job.key in result.in_flight_keys_at_end
+        )
+        ended_at = result.ended_at if is_running else usage.ended_at
         if ended_at:
-            seconds = used.get(use.user, 0.0) + ended_at - use.began_at
-            used[use.user] = seconds
-    fair = fair_shares(sum(used.values()), demand_by_user)
+            seconds = (
+                slot_s_by_user.get(usage.user, 0.0)
+                + ended_at
+                - usage.acquired_at
+            )
+            slot_s_by_user[usage.user] = seconds
+    fair_share_by_user = max_min_fair_shares(
+        sum(slot_s_by_user.values()), demand_by_user
+    )
     shares = {
-        user: round(used.get(user, 0.0) / share, 3) if share else 1.0
-        for user, share in sorted(fair.items())
+        user: round(slot_s_by_user.get(user, 0.0) / share, 3) if share else 1.0
+        for user, share in sorted(fair_share_by_user.items())
     }
     return shares, min(shares.values(), default=1.0)
 
 
-def figures(
-    trace: traces.Trace, result: outcomes.Result, bound: int
-) -> Figures:
-    """Works out the figures of a run.
+def compute_metrics(
+    trace: traces.Trace, result: records.Result, bound: int
+) -> ReplayMetrics:
+    """Computes the metrics of a run.
 
     Args:
-      trace: What was played.
-      result: What happened.
-      bound: The bound on goodput.
+      trace: The replayed trace.
+      result: The result of the run.
+      bound: Upper bound on the goodput.
 
     Returns:
-      The figures.
+      The metrics.
     """
     site = sites.SITES_BY_NAME[trace.site]
-    seen = result.outcomes
-    good = [_is_good(outcome, site) for outcome in seen]
-    started = [work for work in result.works if work.prefill_started]
+    all_outcomes = result.outcomes
+    good = [_is_good(outcome, site) for outcome in all_outcomes]
+    started = [job for job in result.jobs if job.prefill_started]
     wasted = sum(
-        not work.used and work.key not in result.unused_at_end
-        for work in started
+        not job.used and job.key not in result.in_flight_keys_at_end
+        for job in started
     )
-    shares, fairness = _shares(result, site)
-    first = [item for item in seen if item.first_token_at]
-    finished = [item for item in seen if item.finished_at]
-    after = [time for item in seen for time in item.refused_after]
-    late = [time for item in seen for time in item.late_refusals]
-    return Figures(
-        demands=len(seen),
+    shares, fairness = _slot_time_shares(result, site)
+    with_first_token = [item for item in all_outcomes if item.first_token_at]
+    finished = [item for item in all_outcomes if item.finished_at]
+    delays_s = [time for item in all_outcomes for time in item.refusal_delays_s]
+    lateness_s = [
+        time for item in all_outcomes for time in item.refusal_lateness_s
+    ]
+    return ReplayMetrics(
+        demands=len(all_outcomes),
         good=sum(good),
         finished=len(finished),
-        good_share=round(sum(good) / max(len(seen), 1), 4),
+        good_share=round(sum(good) / max(len(all_outcomes), 1), 4),
         bound=bound,
         prefills=len(started),
         wasted=wasted,
         wasted_share=round(wasted / max(len(started), 1), 4),
-        refusals=len(after),
-        refused_after_s=quantiles(after),
-        late_refusal_s=round(max(late, default=0.0), 4),
-        ttft_s=quantiles(item.ttft_s() for item in first),
+        refusals=len(delays_s),
+        refused_after_s=quantiles(delays_s),
+        late_refusal_s=round(max(lateness_s, default=0.0), 4),
+        ttft_s=quantiles(item.ttft_s() for item in with_first_token),
         tpot_s=quantiles(item.tpot_s() for item in finished),
-        by_user=_rates([item.demand.user for item in seen], good),
-        by_service=_rates([item.demand.service for item in seen], good),
-        by_priority=_rates([str(item.priority) for item in seen], good),
+        by_user=_goodput_by_key(
+            [item.demand.user for item in all_outcomes], good
+        ),
+        by_service=_goodput_by_key(
+            [item.demand.service for item in all_outcomes], good
+        ),
+        by_priority=_goodput_by_key(
+            [str(item.priority) for item in all_outcomes], good
+        ),
         share_by_user=shares,
         fairness=fairness,
         messages=result.messages_sent,
     )
 
 
-def median(runs: list[Figures], name: str) -> float:
-    """Returns the median of one figure over runs of different seeds."""
+def median(runs: list[ReplayMetrics], name: str) -> float:
+    """Returns the median of one metric over runs with different seeds."""
     return statistics.median(getattr(run, name) for run in runs)
--- a/src/cowsliprill/standins/engine_server.py
+++ b/src/cowsliprill/standins/engine_server.py
@@ -1,25 +1,25 @@
-"""The stand-in of an engine as a process."""
+"""Process of a fake engine: serves its HTTP interface until a signal."""
 
 from cowsliprill.standins import engine as engine_lib
 from cowsliprill.standins import engine_command
 from cowsliprill.standins import engine_handlers
-from cowsliprill.standins import shell
+from cowsliprill.standins import http_server
 
 Command = engine_command.EngineCommand
 
 
 async def serve(command: engine_command.EngineCommand) -> None:
-    """Serves until SIGTERM.
+    """Serves a fake engine until SIGTERM or SIGINT.
 
     Args:
-      command: Its configuration.
+      command: The engine's configuration.
     """
     engine = engine_lib.Engine(command)
     engine.start()
-    server = shell.Server(
+    server = http_server.Server(
         engine_handlers.routes(engine), command.host, command.port
     )
-    await shell.run_until_signal(
+    await http_server.run_until_signal(
         f"standin.{command.id}", server, role=command.role
     )
     await engine.stop()
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -1,4 +1,4 @@
-"""Tests of `entry.handlers` over real connections."""
+"""Tests of the request handlers of the entry process over real connections."""
 
 import asyncio
 import socket
@@ -8,10 +8,10 @@
 from tornado import web
 
 from cowsliprill.decisions import identity
+from cowsliprill.entry import cluster_state as cluster_state_lib
 from cowsliprill.entry import context
 from cowsliprill.entry import gate as gate_lib
 from cowsliprill.entry import handlers
-from cowsliprill.entry import world as world_lib
 
 _REQUEST = b"GET /a HTTP/1.1\r\nHost: a\r\n\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
@@ -28,35 +28,41 @@
 
 
 class _Site:
-    """One server whose calls stream for ever."""
+    """A server whose responses are streams that never end."""
 
     def __init__(self) -> None:
         self.gate = gate_lib.Gate(
-            identity.Incarnation("vm", "e0", "0"), world_lib.World()
+            identity.Incarnation("vm", "e0", "0"),
+            cluster_state_lib.ClusterState(),
         )
         self.started = asyncio.Event()
-        own = {"gate": self.gate, "handle": self._handle}
-        application = web.Application([(".*", handlers.CallHandler, own)])
+        handler_arguments = {"gate": self.gate, "handle": self._handle}
+        application = web.Application(
+            [(".*", handlers.CallHandler, handler_arguments)]
+        )
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
         self.server = httpserver.HTTPServer(application)
         self.server.add_sockets(sockets)
 
     async def _handle(self, ctx: context.Context) -> None:
-        await ctx.reply.start(200, [("Content-Type", "text/event-stream")])
-        await ctx.reply.write(b"id: 1\ndata: a\n\n")
+        await ctx.response_writer.start(
+            200, [("Content-Type", "text/event-stream")]
+        )
+        await ctx.response_writer.write(b"id: 1\ndata: a\n\n")
         self.started.set()
         await asyncio.Event().wait()
 
 
-class TestEndOfTheProcess:
-    """A process ends amid a stream, its time to drain being over."""
+class TestProcessExit:
+    """A process ends during a stream, after its drain timeout."""
 
-    def test_a_cut_stream_doesnt_look_whole(self):
-        """The event loop cancels all that runs as it closes.
+    def test_cancelled_stream_is_not_properly_ended(self):
+        """Guards against truncated streams that look complete.
 
-        tornado then ends the answer in good order: its caller takes half a
-        summary for the whole, and never asks for the rest.
+        The event loop cancels all tasks when it closes. tornado would then
+        properly end the response: the caller would take half of it for the
+        complete response and not request the rest.
         """
 
         async def scenario():
@@ -65,8 +71,8 @@
                 asyncio.to_thread(_read_all, site.port)
             )
             await site.started.wait()
-            own = {asyncio.current_task(), reading}
-            for task in asyncio.all_tasks() - own:
+            unaffected = {asyncio.current_task(), reading}
+            for task in asyncio.all_tasks() - unaffected:
                 task.cancel()
             return await asyncio.wait_for(reading, 10)
 
@@ -74,15 +80,15 @@
         assert b"data: a" in answer
         assert not answer.endswith(_LAST_CHUNK)
 
-    def test_what_is_left_when_the_time_is_over_is_cut(self):
+    def test_requests_left_after_the_drain_timeout_are_aborted(self):
         async def scenario():
             site = _Site()
             reading = asyncio.create_task(
                 asyncio.to_thread(_read_all, site.port)
             )
             await site.started.wait()
-            assert await site.gate.wait_until_empty(0.01) == 1
-            site.gate.cut()
+            assert await site.gate.wait_until_idle(0.01) == 1
+            site.gate.abort_all()
             return await asyncio.wait_for(reading, 10)
 
         answer = asyncio.run(scenario())
--- a/tests/test_service_client.py
+++ b/tests/test_service_client.py
@@ -1,12 +1,12 @@
-"""Tests of `engines.service_client` against the stand-in of a service."""
+"""Tests of `engines.service_client` against a simulated service."""
 
 import asyncio
 import dataclasses
 import json
 
 import pytest
+from tests import fake_fleet
 from tests import raw_endpoint
-from tests import standin_fleet
 
 from cowsliprill.decisions import call_state as call_lib
 from cowsliprill.decisions import messages
@@ -14,7 +14,7 @@
 from cowsliprill.engines import errors
 from cowsliprill.engines import http_client
 from cowsliprill.engines import service_client
-from cowsliprill.standins import shell
+from cowsliprill.standins import http_server
 
 _SERVICE = model.Service(
     id="zarqa/pickup",
@@ -40,10 +40,10 @@
 )
 
 
-def _call(conduct: dict) -> tuple[object, call_lib.CallProgress, list]:
+def _call(faults: dict) -> tuple[object, call_lib.CallProgress, list]:
     async def scenario():
-        async with standin_fleet.start() as fleet:
-            fleet.service.conduct.set(conduct)
+        async with fake_fleet.start() as fleet:
+            fleet.service.faults.set(faults)
             progress = call_lib.CallProgress()
             try:
                 outcome = await fleet.service_client.call(
@@ -51,46 +51,46 @@
                 )
             except errors.CallError as error:
                 outcome = error
-            return outcome, progress, fleet.service.journal
+            return outcome, progress, fleet.service.executed_calls
 
     return asyncio.run(scenario())
 
 
 class TestCall:
-    """One call, passed whole."""
-
-    def test_passes_the_call_and_the_answer_whole(self) -> None:
-        answer, _, journal = _call({})
-        assert answer.status == 200
-        assert json.loads(answer.body)["received"] == "bag 7"
-        assert [entry.path for entry in journal] == [_REQUEST.path]
-        assert journal[0].idempotency_key == "k1"
-        assert "Content-Length" not in answer.headers
-
-    def test_headers_of_one_connection_stay_behind(self) -> None:
-        """A caller's key and connection headers aren't the service's."""
+    """Forwarding of one request and its response."""
+
+    def test_forwards_request_and_response_unchanged(self) -> None:
+        response, _, executed_calls = _call({})
+        assert response.status == 200
+        assert json.loads(response.body)["received"] == "bag 7"
+        assert [entry.path for entry in executed_calls] == [_REQUEST.path]
+        assert executed_calls[0].idempotency_key == "k1"
+        assert "Content-Length" not in response.headers
+
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
+        """The API key and hop-by-hop headers are not forwarded."""
         headers = service_client.request_headers(_REQUEST)
         assert headers["X-End"] == "2"
         dropped = {"Authorization", "Connection", "X-Hop", "Transfer-Encoding"}
         assert not dropped & set(headers)
 
-    def test_a_key_runs_once_where_the_service_checks(self) -> None:
+    def test_service_deduplicates_by_idempotency_key(self) -> None:
         async def scenario() -> None:
-            async with standin_fleet.start() as fleet:
-                answers = [
+            async with fake_fleet.start() as fleet:
+                responses = [
                     await fleet.service_client.call(
                         fleet.service_endpoint, _SERVICE, _REQUEST
                     )
                     for _ in range(2)
                 ]
-                assert answers[0].body == answers[1].body
-                assert len(fleet.service.journal) == 1
+                assert responses[0].body == responses[1].body
+                assert len(fleet.service.executed_calls) == 1
 
         asyncio.run(scenario())
 
 
 class TestConnections:
-    """Which calls may go out on a connection that lay idle."""
+    """Which requests may reuse an idle connection."""
 
     @pytest.mark.parametrize(
         ("idempotency", "expected"),
@@ -99,18 +99,18 @@
             (model.Idempotency.IDEMPOTENT, 1),
         ],
     )
-    def test_unrepeatable_call_opens_its_own(
+    def test_non_idempotent_request_opens_a_connection(
         self, idempotency, expected
     ) -> None:
-        """A service closes an idle connection just as a booking goes out.
+        """A service may close an idle connection as a request is sent on it.
 
-        Nobody could tell whether the booking was made.
+        Whether a non-idempotent request was executed would then be unknown.
         """
 
         async def script(connection) -> None:
             while True:
                 await connection.run()
-                await connection.send(raw_endpoint.answer(b"booked"))
+                await connection.send(raw_endpoint.http_response(b"booked"))
 
         async def scenario() -> None:
             service = dataclasses.replace(
@@ -135,20 +135,20 @@
 
 
 class TestFailure:
-    """What may be said of a call without a usable answer."""
+    """What is known of a request's execution without a usable response."""
 
-    def test_refusal_cut_at_each_byte(self) -> None:
-        """The service dies while it refuses.
+    def test_refusal_truncated_at_each_byte(self) -> None:
+        """The service crashes at each byte of its refusal.
 
-        A caller told "not run" repeats the pickup, so it must be true; a
-        caller told "unknown" without need has to look it up by hand.
+        A caller repeats a request reported as "not run", so this must be true;
+        a needless "unknown" makes the caller check by hand.
         """
-        length = len(shell.refusal_body("engine_draining"))
+        length = len(http_server.refusal_body("engine_draining"))
 
         async def scenario() -> None:
-            async with standin_fleet.start() as fleet:
+            async with fake_fleet.start() as fleet:
                 for end in range(length + 1):
-                    fleet.service.conduct.set(
+                    fleet.service.faults.set(
                         {
                             "refuse": "engine_draining",
                             "cut_refusal_at_byte": end,
@@ -158,15 +158,17 @@
                         await fleet.service_client.call(
                             fleet.service_endpoint, _SERVICE, _REQUEST
                         )
-                    whole = isinstance(caught.value, errors.ServiceRefused)
-                    assert (caught.value.run is messages.Executed.NO) is whole
-                    assert whole is (end == length)
-                assert fleet.service.journal == []
+                    is_refusal = isinstance(caught.value, errors.ServiceRefused)
+                    assert (
+                        caught.value.run is messages.Executed.NO
+                    ) is is_refusal
+                    assert is_refusal is (end == length)
+                assert fleet.service.executed_calls == []
 
         asyncio.run(scenario())
 
     @pytest.mark.parametrize(
-        ("conduct", "ran"),
+        ("faults", "executions"),
         [
             ({"cut_before_run": True}, 0),
             ({"cut_at_byte": 0}, 1),
@@ -174,24 +176,26 @@
             ({"foreign_id": True}, 1),
         ],
     )
-    def test_nothing_but_a_refusal_says_not_run(self, conduct, ran) -> None:
-        """The service breaks off before or after it has run the call."""
-        outcome, progress, journal = _call(conduct)
+    def test_only_a_refusal_proves_not_executed(
+        self, faults, executions
+    ) -> None:
+        """The connection is lost before or after the execution."""
+        outcome, progress, executed_calls = _call(faults)
         assert isinstance(outcome, errors.CallError)
         assert outcome.run is messages.Executed.UNKNOWN
         assert progress.run is messages.Executed.UNKNOWN
-        assert len(journal) == ran
+        assert len(executed_calls) == executions
 
-    def test_refusal_is_kept_for_use_after_a_cancel(self) -> None:
+    def test_progress_records_a_refusal(self) -> None:
         _, progress, _ = _call({"refuse": "engine_draining"})
         assert progress.run is messages.Executed.NO
 
 
 class TestIsRefusal:
-    """Which answers prove that nothing was run."""
+    """Which responses prove that a request was not executed."""
 
     @pytest.mark.parametrize(
-        ("status", "run", "answer_id", "expected"),
+        ("status", "run", "response_id", "expected"),
         [
             (503, "no", "a", True),
             (503, "no", "b", False),
@@ -201,8 +205,8 @@
             (200, "no", "a", False),
         ],
     )
-    def test_only_its_own_and_explicit(
-        self, status, run, answer_id, expected
+    def test_requires_explicit_refusal_with_matching_id(
+        self, status, run, response_id, expected
     ) -> None:
-        """An engine mixes up refusals, or fails without a word on the run."""
-        assert call_lib.is_refusal(status, run, answer_id, "a") is expected
+        """An endpoint mixes up refusals, or fails without a `run` field."""
+        assert call_lib.is_refusal(status, run, response_id, "a") is expected
